--- a/include/berylridge/Balancer/BalancerCore.h
+++ b/include/berylridge/Balancer/BalancerCore.h
@@ -32,9 +32,9 @@
     /// In a planned stop new requests are served this long: callers are still sent here until the
     /// balancer in front has asked twice, a second apart, whether the node is ready. Later ones are
     /// turned away, since stopLimit would cut their answers.
-    Duration closeAfter = std::chrono::milliseconds(2800);
+    Duration rejectNewRequestsAfter = std::chrono::milliseconds(2800);
     /// A planned stop goes on at least this long, for callers who are sent here all the same.
-    Duration leaveTime = std::chrono::milliseconds(3500);
+    Duration minStopTime = std::chrono::milliseconds(3500);
     Duration stopLimit = std::chrono::milliseconds(7200); ///< Longest planned stop.
 };
 
--- a/include/berylridge/Catalog/Catalog.h
+++ b/include/berylridge/Catalog/Catalog.h
@@ -47,7 +47,7 @@
 
     RequestKind requestKind() const { return static_cast<RequestKind>(kind); }
     /// Whether a request whose outcome is unknown may be sent to another target.
-    bool isRepeatable() const
+    bool isRetryable() const
     {
         return requestKind() == RequestKind::Idempotent
             || (requestKind() == RequestKind::Stream && isResumable);
@@ -60,11 +60,11 @@
     std::string name;
     std::uint32_t connectionLimit = 0; ///< Of one target, over all nodes; 0 where none is known.
     std::uint32_t coldMs = 0;          ///< How long a target stays cold after its start.
-    double coldPerSecond = 0;          ///< Requests a second that a cold target bears; 0: not cold.
+    double coldRequestsPerSecond = 0;  ///< Requests a second that a cold target bears; 0: not cold.
     bool isEngine = false;             ///< A model engine, with memory for prompts.
     std::uint32_t engineSlots = 0;     ///< Requests that an engine runs at once.
     std::uint64_t engineTokens = 0;    ///< Tokens that an engine's memory holds.
-    MSGPACK_DEFINE(name, connectionLimit, coldMs, coldPerSecond, isEngine, engineSlots,
+    MSGPACK_DEFINE(name, connectionLimit, coldMs, coldRequestsPerSecond, isEngine, engineSlots,
                    engineTokens)
 };
 
--- a/include/berylridge/Catalog/RouteTable.h
+++ b/include/berylridge/Catalog/RouteTable.h
@@ -1,4 +1,4 @@
-// Looks up what a catalog says of a request: its route, its workspace and its services.
+// Looks up description a catalog says of a request: its route, its workspace and its services.
 #pragma once
 
 #include "berylridge/Catalog/Catalog.h"
@@ -23,9 +23,9 @@
     /// after the path and the host's case don't matter.
     const RouteSpec *route(std::string_view host, std::string_view path) const;
     /// Null for a credential that no workspace has.
-    const WorkspaceSpec *workspaceOf(const std::string &credential) const;
+    const WorkspaceSpec *workspaceForCredential(const std::string &credential) const;
     /// The same by the credential's shortHash().
-    const WorkspaceSpec *workspaceOfHash(std::uint32_t credentialHash) const;
+    const WorkspaceSpec *workspaceForCredentialHash(std::uint32_t credentialHash) const;
     const ServiceSpec *service(const std::string &name) const;
     /// Whether callers of routes that aren't public need a credential.
     bool needsCredentials() const { return !m_catalog->workspaces.empty(); }
--- a/include/berylridge/Catalog/TargetDirectory.h
+++ b/include/berylridge/Catalog/TargetDirectory.h
@@ -1,4 +1,4 @@
-// Which targets there are and which zones are taken out: news of the platform and of other nodes
+// Which targets there are and which zones are taken out: update of the platform and of other nodes
 // merged entry by entry, the newest revision first.
 #pragma once
 
@@ -17,7 +17,7 @@
 struct DirectoryChange
 {
     std::string subject; ///< Id of a target, or name of a zone.
-    std::string what;
+    std::string description;
 };
 
 /// Not safe for use by two threads at once.
@@ -28,7 +28,7 @@
     struct Entry
     {
         TargetRecord record; ///< The newest; where it was removed, the fields of the last one.
-        TimePoint heardAt;   ///< When the newest record came.
+        TimePoint updatedAt; ///< When the newest record came.
         TimePoint coldUntil; ///< By the target's own word.
         /// An entry that lapsed while the platform was away is used until then: its target is back
         /// within about two seconds if it lives.
@@ -36,18 +36,18 @@
     };
 
     /// How long an entry that lapsed during an outage of the platform is still used after its end:
-    /// the platform's own bound of about two seconds, and half a second for the news to come.
-    static constexpr Duration lapseGrace = std::chrono::milliseconds(2500);
+    /// the platform's own bound of about two seconds, and half a second for the update to come.
+    static constexpr Duration lapsedEntryGracePeriod = std::chrono::milliseconds(2500);
 
-    /// Takes in news; true where anything changed.
-    bool apply(const DirectoryNews &news, TimePoint now);
+    /// Takes in update; true where anything changed.
+    bool apply(const DirectoryUpdate &update, TimePoint now);
     /// The platform answers this node again after an outage: removals that it tells of in the next
     /// moments may be entries that lapsed.
-    void onPlatformBack(TimePoint now) { m_lapsesUntil = now + lapseGrace; }
+    void onPlatformReconnected(TimePoint now) { m_lapseGraceEnd = now + lapsedEntryGracePeriod; }
 
     /// Whether new work may be sent to the target.
     bool isUsable(const Entry &entry, TimePoint now) const;
-    bool isZoneOut(const std::string &zone) const;
+    bool isZoneEvacuated(const std::string &zone) const;
     bool isCold(const Entry &entry, TimePoint now) const { return entry.coldUntil > now; }
 
     const std::map<std::string, Entry> &entries() const { return m_entries; }
@@ -57,23 +57,23 @@
     std::uint64_t revision() const { return m_revision; }
 
     /// What a node lacks that knows everything up to a revision.
-    DirectoryNews newsSince(std::uint64_t revision, TimePoint now) const;
+    DirectoryUpdate updateSince(std::uint64_t revision, TimePoint now) const;
 
     std::vector<DirectoryChange> takeChanges() { return std::exchange(m_changes, {}); }
 
 private:
-    bool takeTarget(const TargetRecord &record, TimePoint now);
-    bool takeZone(const ZoneRecord &record);
-    bool dropUnlisted(const DirectoryNews &news, TimePoint now);
-    void remove(Entry &entry, std::uint64_t revision, TimePoint now);
-    void note(std::string subject, std::string what);
+    bool mergeTarget(const TargetRecord &record, TimePoint now);
+    bool mergeZone(const ZoneRecord &record);
+    bool removeUnlisted(const DirectoryUpdate &update, TimePoint now);
+    void markRemoved(Entry &entry, std::uint64_t revision, TimePoint now);
+    void recordChange(std::string subject, std::string description);
 
     std::map<std::string, Entry> m_entries; ///< Removed ones too: their revisions must not return.
     std::map<std::string, ZoneRecord> m_zones;
     std::vector<DirectoryChange> m_changes;
     std::uint64_t m_revision = 0;
-    std::uint64_t m_completeSince = 0; ///< Removals before this revision are not known.
-    TimePoint m_lapsesUntil {};
+    std::uint64_t m_removalsKnownSince = 0; ///< Removals before this revision are not known.
+    TimePoint m_lapseGraceEnd {};
 };
 
 } // namespace berylridge
--- a/include/berylridge/Fleet/BalancerMessages.h
+++ b/include/berylridge/Fleet/BalancerMessages.h
@@ -110,7 +110,7 @@
 /// Entries of the directory that are newer than the receiver's.
 struct DirectoryRelay
 {
-    DirectoryNews news;
+    DirectoryUpdate news;
     MSGPACK_DEFINE(news)
 };
 
--- a/include/berylridge/Router/Events.h
+++ b/include/berylridge/Router/Events.h
@@ -181,7 +181,7 @@
 /// Targets and zones as the platform lists them. Relayed ones come as a NodeMessage.
 struct DirectoryArrived
 {
-    DirectoryNews news;
+    DirectoryUpdate news;
 };
 
 /// The settings name other nodes to greet.
--- a/lib/Balancer/BalancedRequest.h
+++ b/lib/Balancer/BalancedRequest.h
@@ -1,8 +1,8 @@
 // What the balancer keeps of one request while it runs, and what it is refused with.
 #pragma once
 
-#include "RequestStory.h"
-#include "TargetBoard.h"
+#include "RequestTrace.h"
+#include "TargetSelector.h"
 
 #include "berylridge/Catalog/RouteTable.h"
 #include "berylridge/Chart/RequestLife.h"
@@ -23,7 +23,7 @@
 {
     RequestHandle handle = 0;
     std::string id;
-    std::shared_ptr<const RouteTable> table; ///< Under which it was admitted.
+    std::shared_ptr<const RouteTable> routeTable; ///< Under which it was admitted.
     const RouteSpec *route = nullptr;
     const ServiceSpec *service = nullptr;
     WorkspaceId workspace;
@@ -34,26 +34,26 @@
     RequestState state = RequestState::Arrived;
     Verdict verdict = Verdict::NotRun;
 
-    AttemptNumber attempts = 0;     ///< Begun, of whatever end.
-    std::uint32_t sent = 0;         ///< Attempts of which a byte may have reached a target.
-    std::vector<TargetKey> avoided; ///< Targets at which it failed.
-    bool isBegun = false;           ///< The caller has part of the answer.
+    AttemptNumber attempts = 0;             ///< Begun, of whatever end.
+    std::uint32_t sentAttempts = 0;         ///< Attempts of which a byte may have reached a target.
+    std::vector<TargetKey> excludedTargets; ///< Targets at which it failed.
+    bool isPartlyDelivered = false;         ///< The caller has part of the answer.
 
     // Of the attempt that runs.
     bool isRunning = false;
-    BoardChoice choice;
+    TargetChoice choice;
     TimePoint dispatchedAt;
-    Verdict verdictBefore = Verdict::NotRun;
-    bool isRead = false; ///< The target's answer has begun.
+    Verdict verdictBeforeAttempt = Verdict::NotRun;
+    bool hasResponseStarted = false; ///< The target's answer has begun.
 
-    RequestStory story;
-    std::optional<Duration> firstAfter; ///< From arrival to the answer's begin.
+    RequestTrace trace;
+    std::optional<Duration> firstResponseDelay; ///< From arrival to the answer's begin.
 
     WorkspaceKey workspaceKey() const { return shortHash(workspace.str()); }
     /// Whether the answer began, or hasn't begun until now, beyond the route's latency target.
     bool isLate(TimePoint now) const
     {
-        const Duration since = firstAfter.value_or(now - arrivedAt);
+        const Duration since = firstResponseDelay.value_or(now - arrivedAt);
         return route->latencyTargetMs > 0 && toSeconds(since) * 1000 > route->latencyTargetMs;
     }
 };
--- a/lib/Balancer/BalancerContext.h
+++ b/lib/Balancer/BalancerContext.h
@@ -32,17 +32,17 @@
     {
     }
 
-    void act(Action action) { actions->push_back(std::move(action)); }
+    void emit(Action action) { actions->push_back(std::move(action)); }
     void log(LogEventId id, std::string detail, Json::Value fields = {})
     {
-        act(Log {LogRecord {id, std::move(detail), {}, std::move(fields)}});
+        emit(Log {LogRecord {id, std::move(detail), {}, std::move(fields)}});
     }
 
     const BalancerOptions options;
     const BalancerCharts charts;
     TimePoint now;
     Actions *actions = nullptr;
-    std::shared_ptr<const RouteTable> table; ///< Null until a catalog is known.
+    std::shared_ptr<const RouteTable> routeTable; ///< Null until a catalog is known.
     TargetDirectory directory;
     PeerTable peers;
 };
--- a/lib/Balancer/BalancerCore.cpp
+++ b/lib/Balancer/BalancerCore.cpp
@@ -1,10 +1,10 @@
 #include "berylridge/Balancer/BalancerCore.h"
 
 #include "BalancerContext.h"
-#include "FleetTalk.h"
+#include "GossipExchange.h"
 #include "ReaderRole.h"
-#include "RequestFlow.h"
-#include "TargetBoard.h"
+#include "RequestProcessor.h"
+#include "TargetSelector.h"
 
 #include "berylridge/Support/Overloaded.h"
 
@@ -16,10 +16,10 @@
 namespace {
 
 /// Digests are due far more often than this. A longer gap means that the process was paused, and
-/// that what it knows of others is as old as the gap.
-constexpr Duration pauseLimit = std::chrono::milliseconds(800);
+/// that description it knows of others is as old as the gap.
+constexpr Duration maxEventGap = std::chrono::milliseconds(800);
 /// A request that is on its way when the last one has ended.
-constexpr Duration quietBeforeStop = std::chrono::milliseconds(500);
+constexpr Duration idleTimeBeforeStop = std::chrono::milliseconds(500);
 
 } // namespace
 
@@ -28,12 +28,12 @@
 public:
     Impl(BalancerOptions options, BalancerCharts charts, TimePoint now)
         : m_context(std::move(options), std::move(charts), now)
-        , m_board(m_context)
-        , m_requests(m_context, m_board)
+        , m_targetSelector(m_context)
+        , m_requests(m_context, m_targetSelector)
         , m_reader(m_context)
-        , m_talk(m_context, m_board, m_requests, m_reader)
+        , m_gossip(m_context, m_targetSelector, m_requests, m_reader)
         , m_state(m_context.charts.node.initial())
-        , m_handledAt(now)
+        , m_lastEventAt(now)
         , m_nextDigest(now)
     {
     }
@@ -42,28 +42,28 @@
     TimePoint nextTimer() const { return m_nextDigest; }
 
 private:
-    void noticePause();
+    void detectPause();
     void dispatch(const Event &event);
     void onNodeMessage(const NodeMessage &message);
     void onCatalog(std::shared_ptr<const Catalog> catalog, const std::string &source);
-    void onDirectory(const DirectoryNews &news, const std::string &source);
+    void onDirectory(const DirectoryUpdate &news, const std::string &source);
     void onPlatformReach(bool isReachable);
     void onLeave(const std::string &who);
     void runTimers();
     void checkReady();
-    void checkReader();
-    void checkStop();
+    void updateReaderRole();
+    void checkPlannedStop();
     void stop(NodeSign sign);
 
     BalancerContext m_context;
-    TargetBoard m_board;
-    RequestFlow m_requests;
+    TargetSelector m_targetSelector;
+    RequestProcessor m_requests;
     ReaderRole m_reader;
-    FleetTalk m_talk;
+    GossipExchange m_gossip;
     NodeState m_state;
-    TimePoint m_handledAt;
+    TimePoint m_lastEventAt;
     TimePoint m_nextDigest;
-    TimePoint m_leaveAt {};
+    TimePoint m_leaveStartedAt {};
     bool m_isPlatformReachable = true;
 };
 
@@ -72,17 +72,17 @@
     assert(now >= m_context.now && "time must not step back");
     m_context.now = now;
     m_context.actions = &actions;
-    noticePause();
-    m_handledAt = now;
+    detectPause();
+    m_lastEventAt = now;
     dispatch(event);
     runTimers();
     m_context.actions = nullptr;
 }
 
-void BalancerCore::Impl::noticePause()
+void BalancerCore::Impl::detectPause()
 {
-    const Duration gap = m_context.now - m_handledAt;
-    if (gap <= pauseLimit)
+    const Duration gap = m_context.now - m_lastEventAt;
+    if (gap <= maxEventGap)
         return;
     m_context.log(LogEventId::WokeLate, std::to_string(gap.count() / 1000) + " ms");
     m_context.peers.onWoke(gap);
@@ -123,13 +123,13 @@
         return;
     std::visit(
         Overloaded {
-            [&](const LoadDigest &m) { m_talk.onDigest(message.from, message.incarnation, m); },
-            [&](const StateRequest &m) { m_talk.onStateRequest(message.from, m); },
+            [&](const LoadDigest &m) { m_gossip.onDigest(message.from, message.incarnation, m); },
+            [&](const StateRequest &m) { m_gossip.onStateRequest(message.from, m); },
             [&](const CatalogNews &m) {
                 onCatalog(std::make_shared<const Catalog>(m.catalog), message.from.str());
             },
             [&](const PlacementNews &m) {
-                m_talk.onPlacements(message.from, message.incarnation, m);
+                m_gossip.onPlacements(message.from, message.incarnation, m);
             },
             [&](const DirectoryRelay &m) { onDirectory(m.news, message.from.str()); },
         },
@@ -140,21 +140,21 @@
                                    const std::string &source)
 {
     // Whoever brings it: an older version must never come back into force in this run.
-    if (m_context.table && catalog->version <= m_context.table->catalog().version)
+    if (m_context.routeTable && catalog->version <= m_context.routeTable->catalog().version)
         return;
     m_context.log(LogEventId::DocumentAccepted,
                   "catalog version " + std::to_string(catalog->version) + " from " + source);
-    m_context.table = std::make_shared<const RouteTable>(std::move(catalog));
+    m_context.routeTable = std::make_shared<const RouteTable>(std::move(catalog));
     checkReady();
 }
 
-void BalancerCore::Impl::onDirectory(const DirectoryNews &news, const std::string &source)
+void BalancerCore::Impl::onDirectory(const DirectoryUpdate &news, const std::string &source)
 {
     if (m_context.directory.apply(news, m_context.now))
-        m_board.onDirectory();
+        m_targetSelector.onDirectory();
     for (const DirectoryChange &change : m_context.directory.takeChanges())
         m_context.log(LogEventId::TargetState,
-                      change.subject + ' ' + change.what + " by " + source);
+                      change.subject + ' ' + change.description + " by " + source);
     checkReady();
 }
 
@@ -165,26 +165,26 @@
     m_isPlatformReachable = isReachable;
     m_context.log(isReachable ? LogEventId::PlatformBack : LogEventId::PlatformSilent, "");
     if (isReachable)
-        m_context.directory.onPlatformBack(m_context.now);
+        m_context.directory.onPlatformReconnected(m_context.now);
 }
 
 void BalancerCore::Impl::onLeave(const std::string &who)
 {
     if (!m_context.charts.node.step(m_state, NodeSign::LeaveOrdered))
         return;
-    m_leaveAt = m_context.now;
+    m_leaveStartedAt = m_context.now;
     m_context.log(LogEventId::NodeLeaving, who);
-    m_context.act(Readiness {false});
+    m_context.emit(Readiness {false});
 }
 
 void BalancerCore::Impl::checkReady()
 {
-    if (!m_context.table || m_context.directory.revision() == 0)
+    if (!m_context.routeTable || m_context.directory.revision() == 0)
         return;
     if (!m_context.charts.node.step(m_state, NodeSign::DocumentsKnown))
         return;
     m_context.log(LogEventId::NodeReady, m_context.options.node.str());
-    m_context.act(Readiness {true});
+    m_context.emit(Readiness {true});
 }
 
 void BalancerCore::Impl::runTimers()
@@ -193,35 +193,35 @@
         return;
     m_nextDigest = m_context.now + m_context.options.digestPeriod;
     m_context.peers.forgetSilent(m_context.now);
-    m_board.expire();
+    m_targetSelector.expire();
     m_requests.tick();
-    checkReader();
-    const bool isTold = m_reader.isReading() && m_isPlatformReachable;
-    m_talk.sendDigests(m_state == NodeState::Leaving, isTold);
-    checkStop();
+    updateReaderRole();
+    const bool isPlatformStateCurrent = m_reader.isReading() && m_isPlatformReachable;
+    m_gossip.sendDigests(m_state == NodeState::Leaving, isPlatformStateCurrent);
+    checkPlannedStop();
 }
 
-void BalancerCore::Impl::checkReader()
+void BalancerCore::Impl::updateReaderRole()
 {
     const bool wasReading = m_reader.isReading();
-    if (m_reader.decide() == wasReading)
+    if (m_reader.update() == wasReading)
         return;
     m_context.log(LogEventId::ReaderRole, wasReading ? "ceases to read" : "begins to read");
-    m_context.act(WatchPlatform {!wasReading});
+    m_context.emit(WatchPlatform {!wasReading});
     // Whoever doesn't call the platform can't tell that it is silent.
     m_isPlatformReachable = true;
 }
 
-void BalancerCore::Impl::checkStop()
+void BalancerCore::Impl::checkPlannedStop()
 {
     if (m_state != NodeState::Leaving)
         return;
-    const Duration since = m_context.now - m_leaveAt;
-    if (since >= m_context.options.closeAfter)
-        m_requests.close();
-    const bool isQuiet
-        = m_requests.size() == 0 && m_context.now - m_requests.lastArrival() > quietBeforeStop;
-    if (since >= m_context.options.leaveTime && isQuiet) {
+    const Duration since = m_context.now - m_leaveStartedAt;
+    if (since >= m_context.options.rejectNewRequestsAfter)
+        m_requests.rejectNewRequests();
+    const bool isIdle
+        = m_requests.size() == 0 && m_context.now - m_requests.lastArrival() > idleTimeBeforeStop;
+    if (since >= m_context.options.minStopTime && isIdle) {
         stop(NodeSign::Emptied);
         return;
     }
@@ -230,7 +230,7 @@
     if (m_requests.size() > 0)
         m_context.log(LogEventId::StopLimitReached,
                       std::to_string(m_requests.size()) + " requests");
-    m_requests.endAll();
+    m_requests.abortAll();
     stop(NodeSign::LimitReached);
 }
 
@@ -238,7 +238,7 @@
 {
     m_context.charts.node.step(m_state, sign);
     m_context.log(LogEventId::NodeStopped, m_context.options.node.str());
-    m_context.act(Stopped {});
+    m_context.emit(Stopped {});
 }
 
 Expected<std::unique_ptr<BalancerCore>> BalancerCore::create(BalancerOptions options, TimePoint now,
--- /dev/null
+++ b/lib/Balancer/GossipExchange.cpp
@@ -0,0 +1,175 @@
+#include "GossipExchange.h"
+
+#include "berylridge/Support/Hash.h"
+
+#include <algorithm>
+#include <cmath>
+#include <limits>
+
+namespace berylridge {
+
+namespace {
+
+/// A list of live nodes goes with each fifth digest: a new node needs one, the others none.
+constexpr std::uint64_t digestsPerPeerList = 5;
+/// Entries of one message, so that it fits a datagram.
+constexpr std::size_t maxPeersPerDigest = 16;
+constexpr std::size_t maxInterruptedRequestsPerDigest = 16;
+constexpr std::size_t maxPlacementsPerMessage = 80;
+constexpr std::size_t maxReadsPerMessage = 20;
+/// Messages of placements in one period; the rest follow with the next.
+constexpr int maxPlacementMessagesPerPeriod = 2;
+/// A broken run goes out twice to each peer: missed, it lets the request end one target more.
+constexpr unsigned interruptedRequestRounds = 2;
+/// Newer state is on its way for so long before it is asked for again.
+constexpr Duration stateRequestRetryDelay = std::chrono::milliseconds(400);
+
+std::uint32_t clampToUint32(double value)
+{
+    constexpr double maxValue = std::numeric_limits<std::uint32_t>::max();
+    return static_cast<std::uint32_t>(std::clamp(value, 0.0, maxValue));
+}
+
+} // namespace
+
+void GossipExchange::sendDigests(bool isLeaving, bool isReading)
+{
+    queueUpdates();
+    LoadDigest digest = buildDigest();
+    digest.isLeaving = isLeaving;
+    digest.isReading = isReading;
+    const std::vector<PlacementNews> update = takePlacementMessages();
+    for (auto &[node, endpoint] : m_context.peers.nextReceivers(m_context.now)) {
+        m_context.emit(SendToNode {node, endpoint, BalancerMessage(digest)});
+        for (const PlacementNews &each : update)
+            m_context.emit(SendToNode {node, endpoint, BalancerMessage(each)});
+    }
+}
+
+void GossipExchange::queueUpdates()
+{
+    const unsigned periodsPerRound = m_context.peers.periodsPerTurn();
+    for (const PlacementEntry &entry : m_targetSelector.takePlacements())
+        m_placements.add(entry, periodsPerRound);
+    for (const TargetReadEntry &entry : m_targetSelector.takeReads())
+        m_reads.add(entry, periodsPerRound);
+    for (const BrokenRunEntry &entry : m_requests.takeInterruptedRequests())
+        m_interruptedRequests.add(entry, periodsPerRound * interruptedRequestRounds);
+}
+
+std::vector<PlacementNews> GossipExchange::takePlacementMessages()
+{
+    std::vector<PlacementEntry> placements
+        = m_placements.take(maxPlacementsPerMessage * maxPlacementMessagesPerPeriod);
+    std::vector<PlacementNews> update;
+    for (std::size_t first = 0; first < placements.size(); first += maxPlacementsPerMessage) {
+        const auto begin = placements.begin() + static_cast<std::ptrdiff_t>(first);
+        const auto count = std::min(maxPlacementsPerMessage, placements.size() - first);
+        update.push_back({{begin, begin + static_cast<std::ptrdiff_t>(count)}, {}});
+    }
+    std::vector<TargetReadEntry> reads = m_reads.take(maxReadsPerMessage);
+    if (reads.empty())
+        return update;
+    if (update.empty())
+        update.emplace_back();
+    update.front().reads = std::move(reads);
+    return update;
+}
+
+LoadDigest GossipExchange::buildDigest()
+{
+    LoadDigest digest;
+    const BalancerOptions &options = m_context.options;
+    digest.zone = options.zone.str();
+    digest.address = options.endpoint.address;
+    digest.port = options.endpoint.port;
+    digest.catalogVersion = m_context.routeTable ? m_context.routeTable->catalog().version : 0;
+    digest.directoryRevision = m_context.directory.revision();
+    for (const auto &[target, load] : m_targetSelector.loads().allOwn())
+        digest.loads.push_back(
+            {target, load.running, clampToUint32(static_cast<double>(load.tokens))});
+    for (const auto &flow : m_requests.shares().ownFlows(m_context.now))
+        digest.flows.push_back(
+            {flow.workspace, clampToUint32(flow.asked), clampToUint32(flow.admitted)});
+    digest.servedPerSecond = clampToUint32(m_requests.shares().servedPerSecond(m_context.now));
+    digest.turnedAwayPerSecond
+        = clampToUint32(m_requests.shares().turnedAwayPerSecond(m_context.now));
+    digest.brokenRuns = m_interruptedRequests.take(maxInterruptedRequestsPerDigest);
+    if (m_digestsSent++ % digestsPerPeerList == 0)
+        digest.peers = m_context.peers.someLiveEntries(maxPeersPerDigest, m_context.now);
+    return digest;
+}
+
+void GossipExchange::onDigest(const NodeId &from, Incarnation incarnation, const LoadDigest &digest)
+{
+    const bool wasKnown = m_context.peers.find(from) != nullptr;
+    if (!m_context.peers.onHeard(from, incarnation, digest, m_context.now))
+        return;
+    if (!wasKnown)
+        m_context.log(LogEventId::MemberJoined, from.str() + " zone " + digest.zone);
+    mergeLoads(from, digest);
+    m_reader.onPeerState(digest.catalogVersion, digest.directoryRevision);
+    requestNewerState(from, digest);
+}
+
+void GossipExchange::mergeLoads(const NodeId &from, const LoadDigest &digest)
+{
+    std::vector<TargetLoads::RemoteEntry> loads;
+    for (const TargetLoadEntry &entry : digest.loads)
+        loads.push_back({entry.target, {entry.running, entry.tokens}});
+    m_targetSelector.loads().onDigest(from, std::move(loads), m_context.now);
+    WorkspaceShares::RemoteNews update;
+    for (const WorkspaceFlowEntry &entry : digest.flows)
+        update.flows.push_back({entry.workspace, static_cast<double>(entry.askedPerSecond),
+                                static_cast<double>(entry.admittedPerSecond)});
+    update.servedPerSecond = digest.servedPerSecond;
+    update.turnedAwayPerSecond = digest.turnedAwayPerSecond;
+    m_requests.shares().onDigest(from, std::move(update), m_context.now);
+    for (const BrokenRunEntry &entry : digest.brokenRuns)
+        m_requests.onRemoteInterruptedRequest(entry);
+}
+
+void GossipExchange::onPlacements(const NodeId &from, Incarnation incarnation,
+                                  const PlacementNews &update)
+{
+    const PeerTable::Peer *peer = m_context.peers.find(from);
+    if (peer && peer->incarnation > incarnation)
+        return;
+    // Reads go first: what was placed with them is newer.
+    for (const TargetReadEntry &entry : update.reads)
+        m_targetSelector.onRemoteRead(from, incarnation, entry);
+    for (const PlacementEntry &entry : update.placements)
+        m_targetSelector.onRemotePlacement(entry.part, entry.target);
+}
+
+void GossipExchange::requestNewerState(const NodeId &from, const LoadDigest &digest)
+{
+    const StateRequest ownState {m_context.routeTable ? m_context.routeTable->catalog().version : 0,
+                                 m_context.directory.revision()};
+    const bool isBehind = digest.catalogVersion > ownState.catalogVersion
+        || digest.directoryRevision > ownState.directoryRevision;
+    if (!isBehind)
+        return;
+    TimePoint &requestedAt = m_stateRequestedAt[from];
+    if (requestedAt > TimePoint {} && m_context.now - requestedAt < stateRequestRetryDelay)
+        return;
+    requestedAt = m_context.now;
+    m_context.emit(SendToNode {from, {digest.address, digest.port}, BalancerMessage(ownState)});
+}
+
+void GossipExchange::onStateRequest(const NodeId &from, const StateRequest &request)
+{
+    const PeerTable::Peer *peer = m_context.peers.find(from);
+    if (!peer)
+        return;
+    const auto send = [&](BalancerMessage message) {
+        m_context.emit(SendToNode {from, peer->endpoint, std::move(message)});
+    };
+    if (m_context.routeTable && m_context.routeTable->catalog().version > request.catalogVersion)
+        send(CatalogNews {m_context.routeTable->catalog()});
+    const TargetDirectory &directory = m_context.directory;
+    if (directory.revision() > request.directoryRevision)
+        send(DirectoryRelay {directory.updateSince(request.directoryRevision, m_context.now)});
+}
+
+} // namespace berylridge
--- /dev/null
+++ b/lib/Balancer/GossipExchange.h
@@ -0,0 +1,53 @@
+// What this node tells the others and takes from them: loads, demands, broken runs, and whatever of
+// the platform's state one of them lacks.
+#pragma once
+
+#include "BalancerContext.h"
+#include "ReaderRole.h"
+#include "RequestProcessor.h"
+#include "TargetSelector.h"
+#include "TransmitLimitedQueue.h"
+
+#include <map>
+#include <string>
+
+namespace berylridge {
+
+class GossipExchange
+{
+public:
+    GossipExchange(BalancerContext &context, TargetSelector &targetSelector,
+                   RequestProcessor &requests, ReaderRole &reader)
+        : m_context(context)
+        , m_targetSelector(targetSelector)
+        , m_requests(requests)
+        , m_reader(reader)
+    {
+    }
+
+    /// Sends this period's digests. isReading: this node reads the platform's state with success.
+    void sendDigests(bool isLeaving, bool isReading);
+
+    void onDigest(const NodeId &from, Incarnation incarnation, const LoadDigest &digest);
+    void onPlacements(const NodeId &from, Incarnation incarnation, const PlacementNews &update);
+    void onStateRequest(const NodeId &from, const StateRequest &request);
+
+private:
+    LoadDigest buildDigest();
+    std::vector<PlacementNews> takePlacementMessages();
+    void queueUpdates();
+    void mergeLoads(const NodeId &from, const LoadDigest &digest);
+    void requestNewerState(const NodeId &from, const LoadDigest &digest);
+
+    BalancerContext &m_context;
+    TargetSelector &m_targetSelector;
+    RequestProcessor &m_requests;
+    ReaderRole &m_reader;
+    std::uint64_t m_digestsSent = 0; ///< Sent so far.
+    TransmitLimitedQueue<PlacementEntry> m_placements;
+    TransmitLimitedQueue<TargetReadEntry> m_reads;
+    TransmitLimitedQueue<BrokenRunEntry> m_interruptedRequests;
+    std::map<NodeId, TimePoint> m_stateRequestedAt; ///< When state was last asked for.
+};
+
+} // namespace berylridge
--- /dev/null
+++ b/lib/Balancer/OverloadLog.cpp
@@ -0,0 +1,39 @@
+#include "OverloadLog.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace berylridge {
+
+namespace {
+
+constexpr Duration logPeriod = std::chrono::seconds(1);
+
+} // namespace
+
+void OverloadLog::onLag(const TrafficLag &event)
+{
+    m_accumulated.lag = std::max(m_accumulated.lag, event.lag);
+    m_accumulated.connections += event.connections;
+    m_accumulated.leftUnread += event.leftUnread;
+    for (const ShedCount &each : event.shed)
+        m_shedRequests += each.requests;
+}
+
+void OverloadLog::tick(std::size_t running)
+{
+    if (m_accumulated.lag == Duration(0) || m_context.now - m_lastLoggedAt < logPeriod)
+        return;
+    m_lastLoggedAt = m_context.now;
+    const TrafficLag sum = std::exchange(m_accumulated, TrafficLag {Duration(0)});
+    const std::uint64_t shed = std::exchange(m_shedRequests, 0);
+    Json::Value fields;
+    fields["lagMs"] = toMilliseconds(sum.lag);
+    fields["turnedAway"] = Json::UInt64(shed);
+    fields["connections"] = Json::UInt64(sum.connections);
+    fields["leftUnread"] = Json::UInt64(sum.leftUnread);
+    fields["running"] = Json::UInt64(running);
+    m_context.log(LogEventId::NodeBusy, "", std::move(fields));
+}
+
+} // namespace berylridge
--- a/lib/Balancer/BusyLog.h
+++ b/lib/Balancer/OverloadLog.h
@@ -9,10 +9,10 @@
 
 namespace berylridge {
 
-class BusyLog
+class OverloadLog
 {
 public:
-    explicit BusyLog(BalancerContext &context)
+    explicit OverloadLog(BalancerContext &context)
         : m_context(context)
     {
     }
@@ -24,9 +24,9 @@
 
 private:
     BalancerContext &m_context;
-    TrafficLag m_sum {Duration(0)}; ///< Since the last line; the lag is the worst.
-    std::uint64_t m_shed = 0;       ///< Requests turned away since then.
-    TimePoint m_toldAt {};
+    TrafficLag m_accumulated {Duration(0)}; ///< Since the last line; the lag is the worst.
+    std::uint64_t m_shedRequests = 0;       ///< Requests turned away since then.
+    TimePoint m_lastLoggedAt {};
 };
 
 } // namespace berylridge
--- a/lib/Balancer/RequestLog.cpp
+++ b/lib/Balancer/RequestLog.cpp
@@ -7,12 +7,12 @@
 namespace {
 
 /// One request in so many has its steps logged though nothing went wrong.
-constexpr std::uint64_t sampleEvery = 100;
+constexpr std::uint64_t requestsPerSample = 100;
 /// Twice what a node of the size to come has in requests a second.
-constexpr double linesPerSecond = 200;
+constexpr double maxLinesPerSecond = 200;
 /// Of these, with steps.
-constexpr double detailsPerSecond = 50;
-constexpr Duration tellPeriod = std::chrono::seconds(1);
+constexpr double maxDetailedLinesPerSecond = 50;
+constexpr Duration logPeriod = std::chrono::seconds(1);
 
 Json::Value refusalFields(const Refusal &refusal)
 {
@@ -28,63 +28,64 @@
 
 RequestLog::RequestLog(BalancerContext &context)
     : m_context(context)
-    , m_lines({.lines = linesPerSecond})
-    , m_details({.lines = detailsPerSecond})
+    , m_lineBudget({.lines = maxLinesPerSecond})
+    , m_detailBudget({.lines = maxDetailedLinesPerSecond})
 {
 }
 
 void RequestLog::answered(const BalancedRequest &request, unsigned status)
 {
-    const bool isSample = m_answered++ % sampleEvery == 0;
+    const bool isSample = m_answered++ % requestsPerSample == 0;
     Json::Value fields;
     fields["status"] = status;
-    end(request, LogEventId::RequestEnded, "answered", std::move(fields),
-        isSample || request.isLate(m_context.now) || request.attempts > 1);
+    logEnded(request, LogEventId::RequestEnded, "answered", std::move(fields),
+             isSample || request.isLate(m_context.now) || request.attempts > 1);
 }
 
 void RequestLog::refused(const BalancedRequest &request, const Refusal &refusal)
 {
-    end(request, LogEventId::RequestRefused, "refused", refusalFields(refusal), true);
+    logEnded(request, LogEventId::RequestRefused, "refused", refusalFields(refusal), true);
 }
 
 void RequestLog::callerGone(const BalancedRequest &request)
 {
-    end(request, LogEventId::RequestEnded, "caller gone", {}, true);
+    logEnded(request, LogEventId::RequestEnded, "caller gone", {}, true);
 }
 
-void RequestLog::refusedAtOnce(const RequestArrived &event, const Refusal &refusal)
+void RequestLog::refusedEarly(const RequestArrived &event, const Refusal &refusal)
 {
-    if (!takesLine())
+    if (!consumeLineBudget())
         return;
     Json::Value fields = refusalFields(refusal);
     fields["outcome"] = "refused";
     fields["verdict"] = std::string(verdictName(Verdict::NotRun));
-    fields["catalog"] = Json::UInt64(m_context.table ? m_context.table->catalog().version : 0);
-    m_context.act(
+    fields["catalog"]
+        = Json::UInt64(m_context.routeTable ? m_context.routeTable->catalog().version : 0);
+    m_context.emit(
         Log {{LogEventId::RequestRefused, refusal.title, event.requestId, std::move(fields)}});
 }
 
 void RequestLog::tick()
 {
-    if (m_unlogged == 0 || m_context.now - m_toldAt < tellPeriod)
+    if (m_unlogged == 0 || m_context.now - m_lastLoggedAt < logPeriod)
         return;
-    m_toldAt = m_context.now;
+    m_lastLoggedAt = m_context.now;
     Json::Value fields;
     fields["requestsWithoutLine"] = Json::UInt64(std::exchange(m_unlogged, 0));
     m_context.log(LogEventId::LogLinesDropped, "", std::move(fields));
 }
 
-bool RequestLog::takesLine()
+bool RequestLog::consumeLineBudget()
 {
-    const bool hasRoom = m_lines.tryTake(0, LogLevel::Info, m_context.now);
-    m_unlogged += hasRoom ? 0 : 1;
-    return hasRoom;
+    const bool hasBudget = m_lineBudget.tryTake(0, LogLevel::Info, m_context.now);
+    m_unlogged += hasBudget ? 0 : 1;
+    return hasBudget;
 }
 
-void RequestLog::end(const BalancedRequest &request, LogEventId id, const char *outcome,
-                     Json::Value fields, bool wantsSteps)
+void RequestLog::logEnded(const BalancedRequest &request, LogEventId id, const char *outcome,
+                          Json::Value fields, bool includesSteps)
 {
-    if (!takesLine())
+    if (!consumeLineBudget())
         return;
     fields["outcome"] = outcome;
     fields["verdict"] = std::string(verdictName(request.verdict));
@@ -96,17 +97,17 @@
         fields["target"] = request.choice.target.str();
     fields["attempts"] = request.attempts;
     fields["totalMs"] = toMilliseconds(m_context.now - request.arrivedAt);
-    if (request.firstAfter)
-        fields["firstMs"] = toMilliseconds(*request.firstAfter);
+    if (request.firstResponseDelay)
+        fields["firstMs"] = toMilliseconds(*request.firstResponseDelay);
     if (request.isLate(m_context.now))
         fields["late"] = true;
-    fields["catalog"] = Json::UInt64(request.table->catalog().version);
-    if (wantsSteps && m_details.tryTake(0, LogLevel::Info, m_context.now)) {
+    fields["catalog"] = Json::UInt64(request.routeTable->catalog().version);
+    if (includesSteps && m_detailBudget.tryTake(0, LogLevel::Info, m_context.now)) {
         fields["directory"] = Json::UInt64(m_context.directory.revision());
         fields["nodes"] = Json::UInt64(m_context.peers.live(m_context.now));
-        fields["steps"] = request.story.details();
+        fields["steps"] = request.trace.details();
     }
-    m_context.act(Log {{id, {}, request.id, std::move(fields)}});
+    m_context.emit(Log {{id, {}, request.id, std::move(fields)}});
 }
 
 } // namespace berylridge
--- a/lib/Balancer/RequestLog.h
+++ b/lib/Balancer/RequestLog.h
@@ -23,22 +23,22 @@
     void refused(const BalancedRequest &request, const Refusal &refusal);
     void callerGone(const BalancedRequest &request);
     /// Refused before anything was worked out for it.
-    void refusedAtOnce(const RequestArrived &event, const Refusal &refusal);
+    void refusedEarly(const RequestArrived &event, const Refusal &refusal);
 
     /// Tells now and then how many had no line.
     void tick();
 
 private:
-    bool takesLine();
-    void end(const BalancedRequest &request, LogEventId id, const char *outcome, Json::Value fields,
-             bool wantsSteps);
+    bool consumeLineBudget();
+    void logEnded(const BalancedRequest &request, LogEventId id, const char *outcome,
+                  Json::Value fields, bool includesSteps);
 
     BalancerContext &m_context;
-    LogBudget m_lines;
-    LogBudget m_details;
+    LogBudget m_lineBudget;
+    LogBudget m_detailBudget;
     std::uint64_t m_answered = 0;
     std::uint64_t m_unlogged = 0; ///< Since it was last told.
-    TimePoint m_toldAt {};
+    TimePoint m_lastLoggedAt {};
 };
 
 } // namespace berylridge
--- a/lib/Balancer/RequestFlow.cpp
+++ b/lib/Balancer/RequestProcessor.cpp
@@ -1,4 +1,4 @@
-#include "RequestFlow.h"
+#include "RequestProcessor.h"
 
 #include "berylridge/Policy/Admission.h"
 #include "berylridge/Support/Hash.h"
@@ -12,16 +12,16 @@
 namespace {
 
 /// For a caller whose route names none and who names none itself.
-constexpr Duration assumedDeadline = std::chrono::seconds(30);
+constexpr Duration defaultDeadline = std::chrono::seconds(30);
 /// Where no catalog is known yet; a node learns it within a second of its start.
 constexpr Duration startingRetryAfter = std::chrono::milliseconds(300);
 /// The next connection of the caller reaches another node.
 constexpr Duration leavingRetryAfter = std::chrono::milliseconds(20);
-/// Where no target can be reached: most faults pass in a few seconds, and a target is tried again
-/// within two.
+/// Where no target can be reached: maxTimeout faults pass in a few seconds, and a target is tried
+/// again within two.
 constexpr Duration noTargetRetryAfter = std::chrono::milliseconds(500);
 constexpr Duration fullRetryAfter = std::chrono::milliseconds(60);
-constexpr double tokensPerGenerated = 2; ///< What a generated token weighs against one read.
+constexpr double generatedTokenCost = 2; ///< What a generated token weighs against one read.
 
 std::uint64_t fingerprintOf(const RequestArrived &event, const WorkspaceId &workspace)
 {
@@ -29,7 +29,7 @@
 }
 
 /// By weight, the same for each sending of the request.
-const std::string *serviceOf(const RouteSpec &route, const std::string &requestId)
+const std::string *selectService(const RouteSpec &route, const std::string &requestId)
 {
     double total = 0;
     for (const WeightedService &each : route.services)
@@ -48,10 +48,10 @@
 {
     if (!request.chain)
         return 0;
-    return request.chain->inputTokens + tokensPerGenerated * request.chain->outputTokens;
+    return request.chain->inputTokens + generatedTokenCost * request.chain->outputTokens;
 }
 
-bool saysNotRun(const AttemptFailed &event)
+bool isKnownNotRun(const AttemptFailed &event)
 {
     return !event.sentAny || event.failure == AttemptFailure::NotRun
         || event.failure == AttemptFailure::OtherTarget;
@@ -84,24 +84,24 @@
 
 } // namespace
 
-RequestFlow::RequestFlow(BalancerContext &context, TargetBoard &board)
+RequestProcessor::RequestProcessor(BalancerContext &context, TargetSelector &targetSelector)
     : m_context(context)
-    , m_board(board)
+    , m_targetSelector(targetSelector)
     , m_log(context)
     , m_tally(context)
-    , m_busy(context)
+    , m_overloadLog(context)
     , m_random(context.options.seed)
 {
 }
 
-void RequestFlow::onArrived(const RequestArrived &event)
+void RequestProcessor::onArrived(const RequestArrived &event)
 {
     m_lastArrival = m_context.now;
     BalancedRequest request;
     request.handle = event.handle;
     request.id = event.requestId;
     request.arrivedAt = m_context.now;
-    if (const auto refusal = admit(request, event)) {
+    if (const auto refusal = resolveRequest(request, event)) {
         m_tally.refused(request, refusal->type);
         refuseEarly(event, *refusal);
         return;
@@ -110,22 +110,24 @@
     step(kept, RequestSign::Enqueued);
     m_tally.asked(kept, demandOf(kept));
     m_retries[kept.service->name].onFirstAttempt(m_context.now);
-    if (const auto refusal = findPlace(kept, true))
+    if (const auto refusal = placeRequest(kept, true))
         refuse(kept, *refusal);
 }
 
-std::optional<Refusal> RequestFlow::admit(BalancedRequest &request, const RequestArrived &event)
+std::optional<Refusal> RequestProcessor::resolveRequest(BalancedRequest &request,
+                                                        const RequestArrived &event)
 {
-    if (m_isClosed)
+    if (m_isRejectingNewRequests)
         return Refusal {503, "leaving", "the router stops", leavingRetryAfter};
-    request.table = m_context.table;
-    if (!request.table)
+    request.routeTable = m_context.routeTable;
+    if (!request.routeTable)
         return Refusal {503, "starting", "the router has no catalog yet", startingRetryAfter};
-    request.route = request.table->route(event.host, event.path);
+    request.route = request.routeTable->route(event.host, event.path);
     if (!request.route)
         return Refusal {404, "unknown-route", "no route matches host and path", {}};
-    if (request.table->needsCredentials()) {
-        const WorkspaceSpec *workspace = request.table->workspaceOf(event.credential);
+    if (request.routeTable->needsCredentials()) {
+        const WorkspaceSpec *workspace
+            = request.routeTable->workspaceForCredential(event.credential);
         if (!workspace && !request.route->isPublic)
             return Refusal {401, "unknown-credential", "no workspace has this credential", {}};
         if (workspace)
@@ -134,11 +136,11 @@
     request.fingerprint = fingerprintOf(event, request.workspace);
     if (m_crashes.blockedFor(request.fingerprint, m_context.now))
         return Refusal {502, "crashing-request", "the request ended the targets that ran it", {}};
-    const std::string *service = serviceOf(*request.route, event.requestId);
-    request.service = service ? request.table->service(*service) : nullptr;
+    const std::string *service = selectService(*request.route, event.requestId);
+    request.service = service ? request.routeTable->service(*service) : nullptr;
     if (!request.service)
         return Refusal {503, "no-service", "the route's service is not known", noTargetRetryAfter};
-    Duration limit = event.deadline.value_or(assumedDeadline);
+    Duration limit = event.deadline.value_or(defaultDeadline);
     if (request.route->timeoutMs > 0)
         limit = std::min(limit, fromMilliseconds(request.route->timeoutMs));
     request.deadline = m_context.now + limit;
@@ -147,24 +149,25 @@
     return std::nullopt;
 }
 
-std::optional<Refusal> RequestFlow::findPlace(BalancedRequest &request, bool isFirst)
+std::optional<Refusal> RequestProcessor::placeRequest(BalancedRequest &request, bool isFirst)
 {
     const PromptChain *chain = request.chain ? &*request.chain : nullptr;
-    const auto choice = m_board.choose(*request.service, chain, request.avoided);
+    const auto choice = m_targetSelector.choose(*request.service, chain, request.excludedTargets);
     const Duration at = m_context.now - request.arrivedAt;
     if (!choice) {
-        request.story.add(at, NoTargetStep {});
+        request.trace.add(at, NoTargetStep {});
         return Refusal {503, "no-target", "no target can take the request now",
                         spreadRetry(noTargetRetryAfter, m_random)};
     }
-    PlacedStep step;
+    PlacementStep step;
     step.choice = *choice;
-    std::optional<Refusal> refusal = isFirst ? roomFor(request, *choice, step) : std::nullopt;
-    if (!refusal && !m_board.take(*choice, *request.service, chain))
+    std::optional<Refusal> refusal
+        = isFirst ? checkAdmission(request, *choice, step) : std::nullopt;
+    if (!refusal && !m_targetSelector.reserve(*choice, *request.service, chain))
         refusal = Refusal {503, "target-cold", "the targets are cold",
                            spreadRetry(noTargetRetryAfter, m_random)};
-    step.isTaken = !refusal;
-    request.story.add(at, std::move(step));
+    step.isAccepted = !refusal;
+    request.trace.add(at, std::move(step));
     if (refusal)
         return refusal;
     if (isFirst) {
@@ -176,8 +179,9 @@
     return std::nullopt;
 }
 
-std::optional<Refusal> RequestFlow::roomFor(BalancedRequest &request, const BoardChoice &choice,
-                                            PlacedStep &step)
+std::optional<Refusal> RequestProcessor::checkAdmission(BalancedRequest &request,
+                                                        const TargetChoice &choice,
+                                                        PlacementStep &step)
 {
     double ahead = 0;
     if (request.chain) {
@@ -204,16 +208,16 @@
                     spreadRetry(std::max(excess, fullRetryAfter), m_random)};
 }
 
-void RequestFlow::start(BalancedRequest &request, const BoardChoice &choice)
+void RequestProcessor::start(BalancedRequest &request, const TargetChoice &choice)
 {
     ++request.attempts;
     request.choice = choice;
     request.isRunning = true;
-    request.isRead = false;
+    request.hasResponseStarted = false;
     request.dispatchedAt = m_context.now;
     // From here on a byte may leave at any moment; only the shell's word that none did, or the
     // target's own, takes it back.
-    request.verdictBefore = request.verdict;
+    request.verdictBeforeAttempt = request.verdict;
     request.verdict = Verdict::MayHaveRun;
     step(request, RequestSign::Dispatched);
 
@@ -228,99 +232,101 @@
     dispatch.timeLeft = left;
     dispatch.connectTimeout = std::chrono::milliseconds(400);
     dispatch.firstByteTimeout = std::min(left, firstByteLimit(request));
-    dispatch.idleTimeout
-        = mayRepeat(request) ? std::min<Duration>(left, std::chrono::milliseconds(1000)) : left;
-    dispatch.isResumed = request.isBegun;
+    dispatch.idleTimeout = allowsAnotherAttempt(request)
+        ? std::min<Duration>(left, std::chrono::milliseconds(1000))
+        : left;
+    dispatch.isResumed = request.isPartlyDelivered;
     dispatch.workspace = request.workspace;
-    dispatch.repeats = request.route->isRepeatable() ? Repeats::Allowed : Repeats::Forbidden;
+    dispatch.repeats = request.route->isRetryable() ? Repeats::Allowed : Repeats::Forbidden;
     dispatch.keptConnections
         = keptConnections(request.service->connectionLimit, m_context.peers.counted(m_context.now));
-    m_context.act(std::move(dispatch));
+    m_context.emit(std::move(dispatch));
 }
 
 /// A silent target is left for another one after this, where the request may be repeated.
-Duration RequestFlow::firstByteLimit(const BalancedRequest &request) const
+Duration RequestProcessor::firstByteLimit(const BalancedRequest &request) const
 {
     const Duration left = request.deadline - m_context.now;
-    if (!mayRepeat(request))
+    if (!allowsAnotherAttempt(request))
         return left;
-    constexpr Duration least = std::chrono::milliseconds(600);
-    constexpr Duration most = std::chrono::milliseconds(1600);
+    constexpr Duration minTimeout = std::chrono::milliseconds(600);
+    constexpr Duration maxTimeout = std::chrono::milliseconds(1600);
     const auto expected = fromSeconds((request.choice.waitMs + request.choice.readMs) / 1000 * 3);
-    const Duration byTarget = fromMilliseconds(request.route->latencyTargetMs) * 3;
-    return std::clamp(std::max(expected, byTarget), least, most);
+    const Duration latencyBound = fromMilliseconds(request.route->latencyTargetMs) * 3;
+    return std::clamp(std::max(expected, latencyBound), minTimeout, maxTimeout);
 }
 
 /// Whether one more attempt would be allowed if the one that begins now ends without a word.
-bool RequestFlow::mayRepeat(const BalancedRequest &request) const
+bool RequestProcessor::allowsAnotherAttempt(const BalancedRequest &request) const
 {
-    return request.route->isRepeatable() && request.sent + 1 < request.route->attempts;
+    return request.route->isRetryable() && request.sentAttempts + 1 < request.route->attempts;
 }
 
-void RequestFlow::onHead(const AttemptHead &event)
+void RequestProcessor::onHead(const AttemptHead &event)
 {
     BalancedRequest *request = find(event.handle, event.attempt);
     if (!request)
         return;
     step(*request, RequestSign::HeadCame);
-    if (std::exchange(request->isRead, true))
+    if (std::exchange(request->hasResponseStarted, true))
         return;
     const Duration at = m_context.now - request->arrivedAt;
-    request->story.add(at, AnswerBegunStep {event.status});
-    if (!request->firstAfter) {
-        request->firstAfter = at;
+    request->trace.add(at, ResponseStartedStep {event.status});
+    if (!request->firstResponseDelay) {
+        request->firstResponseDelay = at;
         m_tally.begun(*request, request->isLate(m_context.now));
     }
-    m_board.onFirstEvent(request->choice, m_context.now - request->dispatchedAt);
+    m_targetSelector.onFirstEvent(request->choice, m_context.now - request->dispatchedAt);
 }
 
-void RequestFlow::onDone(const AttemptDone &event)
+void RequestProcessor::onDone(const AttemptDone &event)
 {
     BalancedRequest *request = find(event.handle, event.attempt);
     if (!request)
         return;
     request->verdict = Verdict::Ran;
     m_crashes.clear(request->fingerprint);
-    m_board.health(request->choice.key).onAnswered(m_context.now);
+    m_targetSelector.health(request->choice.key).onAnswered(m_context.now);
     if (!request->chain)
-        m_board.onServed(request->service->name, m_context.now - request->dispatchedAt);
+        m_targetSelector.onResponseCompleted(request->service->name,
+                                             m_context.now - request->dispatchedAt);
     endAttempt(*request);
     step(*request, RequestSign::AnswerEnded);
     m_log.answered(*request, event.status);
     finish(event.handle);
 }
 
-void RequestFlow::onFailed(const AttemptFailed &event)
+void RequestProcessor::onFailed(const AttemptFailed &event)
 {
     BalancedRequest *request = find(event.handle, event.attempt);
     if (!request)
         return;
-    learn(*request, event);
+    updateTargetHealth(*request, event);
     endAttempt(*request);
-    if (saysNotRun(event))
-        request->verdict = request->verdictBefore;
+    if (isKnownNotRun(event))
+        request->verdict = request->verdictBeforeAttempt;
     if (event.sentAny && event.failure != AttemptFailure::OtherTarget)
-        ++request->sent;
-    request->isBegun = request->isBegun || event.answerBegun;
-    request->avoided.push_back(request->choice.key);
+        ++request->sentAttempts;
+    request->isPartlyDelivered = request->isPartlyDelivered || event.answerBegun;
+    request->excludedTargets.push_back(request->choice.key);
     m_tally.attemptFailed(*request, failureName(event.failure));
-    request->story.add(
+    request->trace.add(
         m_context.now - request->arrivedAt,
-        FailedStep {request->choice.target, failureName(event.failure), event.sentAny});
+        AttemptFailedStep {request->choice.target, failureName(event.failure), event.sentAny});
     if (mayRetry(*request, event)) {
         step(*request, RequestSign::Retried);
-        if (!findPlace(*request, false))
+        if (!placeRequest(*request, false))
             return;
     }
-    giveUp(*request, event);
+    finishFailed(*request, event);
 }
 
-void RequestFlow::learn(BalancedRequest &request, const AttemptFailed &event)
+void RequestProcessor::updateTargetHealth(BalancedRequest &request, const AttemptFailed &event)
 {
-    TargetHealth &health = m_board.health(request.choice.key);
+    TargetHealth &health = m_targetSelector.health(request.choice.key);
     const TimePoint now = m_context.now;
     if (event.coldFor)
-        m_board.onColdWord(request.choice.key, *event.coldFor);
+        m_targetSelector.onColdReported(request.choice.key, *event.coldFor);
     switch (event.failure) {
     case AttemptFailure::ConnectRefused:
     case AttemptFailure::ConnectTimeout:
@@ -335,7 +341,7 @@
     case AttemptFailure::CutShort:
         if (event.sentAny) {
             health.onBroken(now);
-            recordBrokenRun(request);
+            recordInterruptedRequest(request);
         }
         return;
     case AttemptFailure::BadAnswer:
@@ -346,15 +352,15 @@
     }
 }
 
-bool RequestFlow::mayRetry(BalancedRequest &request, const AttemptFailed &event)
+bool RequestProcessor::mayRetry(BalancedRequest &request, const AttemptFailed &event)
 {
-    constexpr Duration leastLeft = std::chrono::milliseconds(50);
-    constexpr AttemptNumber mostAttempts = 6;
-    if (request.deadline - m_context.now < leastLeft || request.attempts >= mostAttempts)
+    constexpr Duration minTimeLeft = std::chrono::milliseconds(50);
+    constexpr AttemptNumber maxAttempts = 6;
+    if (request.deadline - m_context.now < minTimeLeft || request.attempts >= maxAttempts)
         return false;
-    if (!saysNotRun(event) && !request.route->isRepeatable())
+    if (!isKnownNotRun(event) && !request.route->isRetryable())
         return false;
-    if (request.sent >= request.route->attempts)
+    if (request.sentAttempts >= request.route->attempts)
         return false;
     if (m_crashes.blockedFor(request.fingerprint, m_context.now))
         return false;
@@ -364,10 +370,10 @@
         m_context.options.retries, m_context.peers.counted(m_context.now), m_context.now);
 }
 
-void RequestFlow::giveUp(BalancedRequest &request, const AttemptFailed &event)
+void RequestProcessor::finishFailed(BalancedRequest &request, const AttemptFailed &event)
 {
     if (event.holdsAnswer && !request.isRunning) {
-        m_context.act(PassAnswer {event.handle, event.attempt});
+        m_context.emit(PassAnswer {event.handle, event.attempt});
         step(request, RequestSign::GivenUp);
         finish(request.handle);
         return;
@@ -386,31 +392,31 @@
             {}});
 }
 
-void RequestFlow::recordBrokenRun(const BalancedRequest &request)
+void RequestProcessor::recordInterruptedRequest(const BalancedRequest &request)
 {
     if (m_crashes.add(request.fingerprint, request.choice.boot, m_context.now))
-        m_brokenRuns.push_back({request.fingerprint, request.choice.boot});
+        m_interruptedRequests.push_back({request.fingerprint, request.choice.boot});
 }
 
-void RequestFlow::onRemoteBrokenRun(const BrokenRunEntry &entry)
+void RequestProcessor::onRemoteInterruptedRequest(const BrokenRunEntry &entry)
 {
     m_crashes.add(entry.fingerprint, entry.boot, m_context.now);
 }
 
-void RequestFlow::onLag(const TrafficLag &event)
+void RequestProcessor::onLag(const TrafficLag &event)
 {
-    m_busy.onLag(event);
+    m_overloadLog.onLag(event);
     m_tally.turnedAway(event.shed);
 }
 
-void RequestFlow::onCallerGone(const CallerGone &event)
+void RequestProcessor::onCallerGone(const CallerGone &event)
 {
     const auto found = m_requests.find(event.handle);
     if (found == m_requests.end())
         return;
     BalancedRequest &request = found->second;
     if (request.isRunning) {
-        m_context.act(AbortAttempt {request.handle, request.attempts});
+        m_context.emit(AbortAttempt {request.handle, request.attempts});
         endAttempt(request);
     }
     step(request, RequestSign::CallerGone);
@@ -418,25 +424,26 @@
     finish(event.handle);
 }
 
-void RequestFlow::tick()
+void RequestProcessor::tick()
 {
     m_crashes.expire(m_context.now);
     m_log.tick();
-    m_busy.tick(m_requests.size());
-    const double named = m_context.table ? m_context.table->catalog().tokensPerSecond : 0;
-    m_shares.update(named, m_context.now);
+    m_overloadLog.tick(m_requests.size());
+    const double configuredTokensPerSecond
+        = m_context.routeTable ? m_context.routeTable->catalog().tokensPerSecond : 0;
+    m_shares.update(configuredTokensPerSecond, m_context.now);
     m_tally.tick(m_shares.fleet());
     if (m_shares.isFull() == m_wasFull)
         return;
     m_wasFull = m_shares.isFull();
     Json::Value fields;
-    fields["named"] = named;
-    fields["level"] = std::min(m_shares.fleet().level, named);
+    fields["named"] = configuredTokensPerSecond;
+    fields["level"] = std::min(m_shares.fleet().level, configuredTokensPerSecond);
     m_context.log(m_wasFull ? LogEventId::FleetFull : LogEventId::FleetHasRoom, "",
                   std::move(fields));
 }
 
-void RequestFlow::endAll()
+void RequestProcessor::abortAll()
 {
     std::vector<RequestHandle> handles;
     for (const auto &[handle, request] : m_requests)
@@ -444,19 +451,19 @@
     for (const RequestHandle handle : handles) {
         BalancedRequest &request = m_requests.at(handle);
         if (request.isRunning) {
-            m_context.act(AbortAttempt {handle, request.attempts});
+            m_context.emit(AbortAttempt {handle, request.attempts});
             endAttempt(request);
         }
         refuse(request, {502, "stopping", "the router stops and can't wait for the answer", {}});
     }
 }
 
-std::vector<BrokenRunEntry> RequestFlow::takeBrokenRuns()
+std::vector<BrokenRunEntry> RequestProcessor::takeInterruptedRequests()
 {
-    return std::exchange(m_brokenRuns, {});
+    return std::exchange(m_interruptedRequests, {});
 }
 
-BalancedRequest *RequestFlow::find(RequestHandle handle, AttemptNumber attempt)
+BalancedRequest *RequestProcessor::find(RequestHandle handle, AttemptNumber attempt)
 {
     const auto found = m_requests.find(handle);
     if (found == m_requests.end() || found->second.attempts != attempt || !found->second.isRunning)
@@ -464,36 +471,36 @@
     return &found->second;
 }
 
-void RequestFlow::step(BalancedRequest &request, RequestSign sign)
+void RequestProcessor::step(BalancedRequest &request, RequestSign sign)
 {
     m_context.charts.request.step(request.state, sign);
 }
 
-void RequestFlow::endAttempt(BalancedRequest &request)
+void RequestProcessor::endAttempt(BalancedRequest &request)
 {
     assert(request.isRunning && "an attempt ends once");
     request.isRunning = false;
-    m_board.onEnd(request.choice, request.isRead);
+    m_targetSelector.onAttemptEnded(request.choice, request.hasResponseStarted);
 }
 
-void RequestFlow::refuse(BalancedRequest &request, const Refusal &refusal)
+void RequestProcessor::refuse(BalancedRequest &request, const Refusal &refusal)
 {
     m_log.refused(request, refusal);
     m_tally.refused(request, refusal.type);
-    m_context.act(Refuse {request.handle, refusal.status, request.verdict, refusal.title,
-                          refusal.type, refusal.retryAfter});
+    m_context.emit(Refuse {request.handle, refusal.status, request.verdict, refusal.title,
+                           refusal.type, refusal.retryAfter});
     step(request, RequestSign::GivenUp);
     finish(request.handle);
 }
 
-void RequestFlow::refuseEarly(const RequestArrived &event, const Refusal &refusal)
+void RequestProcessor::refuseEarly(const RequestArrived &event, const Refusal &refusal)
 {
-    m_log.refusedAtOnce(event, refusal);
-    m_context.act(Refuse {event.handle, refusal.status, Verdict::NotRun, refusal.title,
-                          refusal.type, refusal.retryAfter});
+    m_log.refusedEarly(event, refusal);
+    m_context.emit(Refuse {event.handle, refusal.status, Verdict::NotRun, refusal.title,
+                           refusal.type, refusal.retryAfter});
 }
 
-void RequestFlow::finish(RequestHandle handle)
+void RequestProcessor::finish(RequestHandle handle)
 {
     m_requests.erase(handle);
 }
--- a/lib/Balancer/RequestFlow.h
+++ b/lib/Balancer/RequestProcessor.h
@@ -4,9 +4,9 @@
 
 #include "BalancedRequest.h"
 #include "BalancerContext.h"
-#include "BusyLog.h"
+#include "OverloadLog.h"
 #include "RequestLog.h"
-#include "TargetBoard.h"
+#include "TargetSelector.h"
 #include "WorkspaceTally.h"
 
 #include "berylridge/Policy/CrashRecord.h"
@@ -20,10 +20,10 @@
 
 namespace berylridge {
 
-class RequestFlow
+class RequestProcessor
 {
 public:
-    RequestFlow(BalancerContext &context, TargetBoard &board);
+    RequestProcessor(BalancerContext &context, TargetSelector &targetSelector);
 
     void onArrived(const RequestArrived &event);
     /// How late a traffic thread runs.
@@ -33,32 +33,32 @@
     void onDone(const AttemptDone &event);
     void onFailed(const AttemptFailed &event);
     /// Another node lost a target while it ran a request with this fingerprint.
-    void onRemoteBrokenRun(const BrokenRunEntry &entry);
+    void onRemoteInterruptedRequest(const BrokenRunEntry &entry);
 
     /// Periodic work: shares and what is remembered for a while.
     void tick();
     /// From now on new requests are refused: a planned stop could not wait for their answers.
-    void close() { m_isClosed = true; }
+    void rejectNewRequests() { m_isRejectingNewRequests = true; }
     /// Ends all requests at the limit of a planned stop.
-    void endAll();
+    void abortAll();
 
     WorkspaceShares &shares() { return m_shares; }
-    std::vector<BrokenRunEntry> takeBrokenRuns();
+    std::vector<BrokenRunEntry> takeInterruptedRequests();
     std::size_t size() const { return m_requests.size(); }
     TimePoint lastArrival() const { return m_lastArrival; }
 
 private:
-    std::optional<Refusal> admit(BalancedRequest &request, const RequestArrived &event);
-    std::optional<Refusal> findPlace(BalancedRequest &request, bool isFirst);
-    std::optional<Refusal> roomFor(BalancedRequest &request, const BoardChoice &choice,
-                                   PlacedStep &step);
-    void start(BalancedRequest &request, const BoardChoice &choice);
+    std::optional<Refusal> resolveRequest(BalancedRequest &request, const RequestArrived &event);
+    std::optional<Refusal> placeRequest(BalancedRequest &request, bool isFirst);
+    std::optional<Refusal> checkAdmission(BalancedRequest &request, const TargetChoice &choice,
+                                          PlacementStep &step);
+    void start(BalancedRequest &request, const TargetChoice &choice);
     Duration firstByteLimit(const BalancedRequest &request) const;
-    bool mayRepeat(const BalancedRequest &request) const;
-    void learn(BalancedRequest &request, const AttemptFailed &event);
+    bool allowsAnotherAttempt(const BalancedRequest &request) const;
+    void updateTargetHealth(BalancedRequest &request, const AttemptFailed &event);
     bool mayRetry(BalancedRequest &request, const AttemptFailed &event);
-    void giveUp(BalancedRequest &request, const AttemptFailed &event);
-    void recordBrokenRun(const BalancedRequest &request);
+    void finishFailed(BalancedRequest &request, const AttemptFailed &event);
+    void recordInterruptedRequest(const BalancedRequest &request);
     BalancedRequest *find(RequestHandle handle, AttemptNumber attempt);
     void step(BalancedRequest &request, RequestSign sign);
     void endAttempt(BalancedRequest &request);
@@ -67,19 +67,19 @@
     void finish(RequestHandle handle);
 
     BalancerContext &m_context;
-    TargetBoard &m_board;
+    TargetSelector &m_targetSelector;
     RequestLog m_log;
     WorkspaceTally m_tally;
-    BusyLog m_busy;
+    OverloadLog m_overloadLog;
     WorkspaceShares m_shares;
     CrashRecord m_crashes;
     std::map<std::string, RetryShare> m_retries; ///< By service.
     std::unordered_map<RequestHandle, BalancedRequest> m_requests;
-    std::vector<BrokenRunEntry> m_brokenRuns; ///< For the next digest.
+    std::vector<BrokenRunEntry> m_interruptedRequests; ///< For the next digest.
     RandomEngine m_random;
     TimePoint m_lastArrival {};
     bool m_wasFull = false;
-    bool m_isClosed = false;
+    bool m_isRejectingNewRequests = false;
 };
 
 } // namespace berylridge
--- a/lib/Balancer/RequestStory.cpp
+++ b/lib/Balancer/RequestTrace.cpp
@@ -1,4 +1,4 @@
-#include "RequestStory.h"
+#include "RequestTrace.h"
 
 #include <cmath>
 #include <utility>
@@ -13,10 +13,10 @@
     return Json::Int64(std::llround(value));
 }
 
-void describe(const PlacedStep &step, Json::Value &out)
+void describe(const PlacementStep &step, Json::Value &out)
 {
-    const BoardChoice &choice = step.choice;
-    out["step"] = step.isTaken ? "placed" : "turned away";
+    const TargetChoice &choice = step.choice;
+    out["step"] = step.isAccepted ? "placed" : "turned away";
     out["target"] = choice.target.str();
     out["candidates"] = Json::UInt64(choice.candidates);
     out["waitMs"] = rounded(choice.waitMs);
@@ -24,7 +24,7 @@
     out["readTokens"] = choice.tokens;
     out["aheadTokens"] = Json::UInt64(choice.aheadTokens);
     out["running"] = choice.running;
-    out["targetHeardMs"] = toMilliseconds(choice.heardAge);
+    out["targetHeardMs"] = toMilliseconds(choice.recordAge);
     if (step.allowedMs <= 0)
         return;
     out["allowedMs"] = rounded(step.allowedMs);
@@ -41,13 +41,13 @@
     out["step"] = "no target";
 }
 
-void describe(const AnswerBegunStep &step, Json::Value &out)
+void describe(const ResponseStartedStep &step, Json::Value &out)
 {
     out["step"] = "answer begun";
     out["status"] = step.status;
 }
 
-void describe(const FailedStep &step, Json::Value &out)
+void describe(const AttemptFailedStep &step, Json::Value &out)
 {
     out["step"] = "attempt failed";
     out["target"] = step.target.str();
@@ -57,13 +57,13 @@
 
 } // namespace
 
-void RequestStory::add(Duration at, StoryStep step)
+void RequestTrace::add(Duration at, RequestTraceStep step)
 {
-    if (m_entries.size() < limit)
+    if (m_entries.size() < maxSteps)
         m_entries.push_back({at, std::move(step)});
 }
 
-Json::Value RequestStory::details() const
+Json::Value RequestTrace::details() const
 {
     Json::Value list(Json::arrayValue);
     for (const Entry &entry : m_entries) {
--- a/lib/Balancer/RequestStory.h
+++ b/lib/Balancer/RequestTrace.h
@@ -2,7 +2,7 @@
 // only one line in the log; where one was refused, failed or late, its steps go into that line too.
 #pragma once
 
-#include "TargetBoard.h"
+#include "TargetSelector.h"
 
 #include "berylridge/Policy/WorkspaceShares.h"
 
@@ -14,10 +14,10 @@
 namespace berylridge {
 
 /// A target was chosen; the request went there, or was turned away as the wait is too long.
-struct PlacedStep
+struct PlacementStep
 {
-    BoardChoice choice;
-    bool isTaken = false;
+    TargetChoice choice;
+    bool isAccepted = false;
     bool isWithinShare = true;
     double allowedMs = 0; ///< Longest wait that is accepted; 0 where none is set.
     WorkspaceShares::Standing standing;
@@ -29,26 +29,27 @@
 };
 
 /// The target's answer began.
-struct AnswerBegunStep
+struct ResponseStartedStep
 {
     unsigned status = 0;
 };
 
 /// The attempt ended without a whole answer.
-struct FailedStep
+struct AttemptFailedStep
 {
     TargetId target;
     const char *failure = "";
     bool isSent = false; ///< A byte of the request left this node.
 };
 
-using StoryStep = std::variant<PlacedStep, NoTargetStep, AnswerBegunStep, FailedStep>;
+using RequestTraceStep
+    = std::variant<PlacementStep, NoTargetStep, ResponseStartedStep, AttemptFailedStep>;
 
-class RequestStory
+class RequestTrace
 {
 public:
     /// `at` counts from the request's arrival.
-    void add(Duration at, StoryStep step);
+    void add(Duration at, RequestTraceStep step);
 
     /// The steps as a list of objects, for the log.
     Json::Value details() const;
@@ -57,11 +58,11 @@
     struct Entry
     {
         Duration at;
-        StoryStep step;
+        RequestTraceStep step;
     };
 
     /// Attempts are few; this bounds a request that is refused by one target after the other.
-    static constexpr std::size_t limit = 16;
+    static constexpr std::size_t maxSteps = 16;
 
     std::vector<Entry> m_entries;
 };
--- a/lib/Balancer/TargetBoard.cpp
+++ b/lib/Balancer/TargetSelector.cpp
@@ -1,4 +1,4 @@
-#include "TargetBoard.h"
+#include "TargetSelector.h"
 
 #include "berylridge/Support/Hash.h"
 
@@ -11,29 +11,29 @@
 
 /// Before the first sample. Engines in use today read 100 to 160 tokens a ms, and less while they
 /// generate.
-constexpr double assumedTokensPerMs = 90;
-constexpr double slowestTokensPerMs = 20;
-constexpr double fastestTokensPerMs = 400;
+constexpr double initialTokensPerMs = 90;
+constexpr double minTokensPerMs = 20;
+constexpr double maxTokensPerMs = 400;
 /// Weight of one sample; a target's speed changes over seconds.
 constexpr double sampleWeight = 0.08;
 /// A shorter prompt's time says more of the network than of the target.
-constexpr std::uint64_t leastSampleTokens = 3000;
+constexpr std::uint64_t minSampleTokens = 3000;
 /// Time to a first event that is not reading.
-constexpr double baseMs = 20;
-constexpr double assumedServiceMs = 30;
+constexpr double fixedOverheadMs = 20;
+constexpr double initialServiceMs = 30;
 constexpr double serviceSampleWeight = 0.1;
 /// Tokens that a target read for this node before others are told: a percent of an engine's memory.
-constexpr std::uint32_t readNewsTokens = 8192;
+constexpr std::uint32_t minReportedReadTokens = 8192;
 /// Nodes that may send to the same cold target. Each may send one request at any moment beside its
 /// part of the rate, so 74 of them overran a rate of 16 a second; eight stay within it.
-constexpr std::size_t coldSenderLimit = 8;
+constexpr std::size_t maxColdSenders = 8;
 /// How long it stands which nodes these are; working it out hashes the names of all nodes.
-constexpr Duration coldSenderTerm = std::chrono::milliseconds(500);
+constexpr Duration coldSenderCacheTime = std::chrono::milliseconds(500);
 /// After a target's connections broke, until the platform's word of a new start would be here: two
 /// of its reports and the news' way.
-constexpr Duration restartNewsLimit = std::chrono::milliseconds(2500);
+constexpr Duration restartReportDelay = std::chrono::milliseconds(2500);
 
-std::uint64_t bootOf(const TargetRecord &record)
+std::uint64_t bootHash(const TargetRecord &record)
 {
     return hash64(record.id, static_cast<std::uint64_t>(record.startedAtMs));
 }
@@ -47,14 +47,14 @@
 
 } // namespace
 
-std::size_t TargetBoard::coldSenders() const
+std::size_t TargetSelector::coldSenderCount() const
 {
-    return std::min(coldSenderLimit, m_context.peers.counted(m_context.now));
+    return std::min(maxColdSenders, m_context.peers.counted(m_context.now));
 }
 
-bool TargetBoard::isColdSender(Target &target, TargetKey key) const
+bool TargetSelector::isColdSender(Target &target, TargetKey key) const
 {
-    if (m_context.now < target.coldSenderUntil)
+    if (m_context.now < target.coldSenderValidUntil)
         return target.isColdSender;
     const std::uint64_t own = hash64(m_context.options.node.str(), key);
     std::size_t before = 0;
@@ -62,15 +62,15 @@
         const bool isCounted = m_context.peers.isCounted(peer, m_context.now);
         before += isCounted && hash64(node.str(), key) < own ? 1 : 0;
     });
-    target.isColdSender = before < coldSenderLimit;
-    target.coldSenderUntil = m_context.now + coldSenderTerm;
+    target.isColdSender = before < maxColdSenders;
+    target.coldSenderValidUntil = m_context.now + coldSenderCacheTime;
     return target.isColdSender;
 }
 
-bool TargetBoard::isCold(const TargetDirectory::Entry &entry, const Target &target,
-                         const ServiceSpec &service) const
+bool TargetSelector::isCold(const TargetDirectory::Entry &entry, const Target &target,
+                            const ServiceSpec &service) const
 {
-    if (service.coldPerSecond <= 0)
+    if (service.coldRequestsPerSecond <= 0)
         return false;
     const TimePoint now = m_context.now;
     if (m_context.directory.isCold(entry, now) || target.coldUntil > now)
@@ -78,20 +78,21 @@
     // A target that broke off may have started anew and be cold without anybody having said so:
     // sent its usual load it would fall over again. The platform's next word on it ends the doubt.
     const TimePoint broken = target.health.brokenAt();
-    const bool isDoubtful = broken > TimePoint {} && entry.heardAt < broken;
-    return isDoubtful && now - broken < restartNewsLimit + fromMilliseconds(service.coldMs);
+    const bool mayHaveRestarted = broken > TimePoint {} && entry.updatedAt < broken;
+    return mayHaveRestarted && now - broken < restartReportDelay + fromMilliseconds(service.coldMs);
 }
 
-PlacementCandidate TargetBoard::candidate(const TargetDirectory::Entry &entry, const Target &target,
-                                          TargetKey key, const ServiceSpec &service,
-                                          const PromptChain *chain) const
+PlacementCandidate TargetSelector::candidate(const TargetDirectory::Entry &entry,
+                                             const Target &target, TargetKey key,
+                                             const ServiceSpec &service,
+                                             const PromptChain *chain) const
 {
     const TimePoint now = m_context.now;
     PlacementCandidate candidate;
     candidate.load = m_loads.total(key);
     const std::uint32_t slots = entry.record.slots > 0 ? entry.record.slots : service.engineSlots;
     candidate.slots = std::max(1U, slots);
-    candidate.tokensPerMs = target.tokensPerMs > 0 ? target.tokensPerMs : assumedTokensPerMs;
+    candidate.tokensPerMs = target.tokensPerMs > 0 ? target.tokensPerMs : initialTokensPerMs;
     candidate.failureShare = target.health.failureShare(now);
     candidate.isOtherZone = entry.record.zone != m_context.options.zone.str();
     candidate.isZoneSilent = m_context.peers.isZoneSilent(entry.record.zone, now);
@@ -103,8 +104,9 @@
     return candidate;
 }
 
-std::optional<BoardChoice> TargetBoard::choose(const ServiceSpec &service, const PromptChain *chain,
-                                               const std::vector<TargetKey> &avoided)
+std::optional<TargetChoice> TargetSelector::choose(const ServiceSpec &service,
+                                                   const PromptChain *chain,
+                                                   const std::vector<TargetKey> &excludedTargets)
 {
     const TimePoint now = m_context.now;
     std::vector<PlacementCandidate> candidates;
@@ -113,16 +115,16 @@
         if (entry.record.service != service.name || !m_context.directory.isUsable(entry, now))
             continue;
         const TargetKey key = shortHash(id);
-        if (std::find(avoided.begin(), avoided.end(), key) != avoided.end())
+        if (std::find(excludedTargets.begin(), excludedTargets.end(), key) != excludedTargets.end())
             continue;
         Target &target = m_targets[key];
         if (target.boot == 0)
-            target.boot = bootOf(entry.record);
+            target.boot = bootHash(entry.record);
         if (!target.health.isReachable(now))
             continue;
         if (isCold(entry, target, service)
             && (!isColdSender(target, key)
-                || !target.cold.hasPlace(service.coldPerSecond, coldSenders(), now)))
+                || !target.cold.hasPlace(service.coldRequestsPerSecond, coldSenderCount(), now)))
             continue;
         candidates.push_back(candidate(entry, target, key, service, chain));
         entries.emplace_back(&entry, key);
@@ -132,35 +134,35 @@
         need.inputTokens = std::max(1U, chain->inputTokens);
         need.parts = m_prompts.sharedParts(*chain, now);
     }
-    const auto learnt = m_serviceMs.find(service.name);
-    need.serviceMs = learnt == m_serviceMs.end() ? assumedServiceMs : learnt->second;
+    const auto measured = m_serviceMs.find(service.name);
+    need.serviceMs = measured == m_serviceMs.end() ? initialServiceMs : measured->second;
     const auto placed = choosePlacement(candidates, need);
     if (!placed)
         return std::nullopt;
     const auto &[entry, key] = entries[placed->index];
-    BoardChoice choice;
+    TargetChoice choice;
     choice.key = key;
     choice.target = TargetId(entry->record.id);
     choice.endpoint = {entry->record.address, entry->record.port};
-    choice.boot = bootOf(entry->record);
+    choice.boot = bootHash(entry->record);
     choice.waitMs = placed->waitMs;
     choice.readMs = placed->readMs;
     choice.tokens = placed->tokens;
     choice.aheadTokens = candidates[placed->index].load.tokens;
     choice.running = candidates[placed->index].load.running;
     choice.candidates = candidates.size();
-    choice.heardAge = now - entry->heardAt;
+    choice.recordAge = now - entry->updatedAt;
     return choice;
 }
 
-bool TargetBoard::take(const BoardChoice &choice, const ServiceSpec &service,
-                       const PromptChain *chain)
+bool TargetSelector::reserve(const TargetChoice &choice, const ServiceSpec &service,
+                             const PromptChain *chain)
 {
     const TimePoint now = m_context.now;
     Target &target = m_targets[choice.key];
     const TargetDirectory::Entry *entry = m_context.directory.find(choice.target.str());
     if (entry && isCold(*entry, target, service)
-        && !target.cold.tryTake(service.coldPerSecond, coldSenders(), now))
+        && !target.cold.tryTake(service.coldRequestsPerSecond, coldSenderCount(), now))
         return false;
     if (target.health.isOnTrial())
         target.health.onTrial(now);
@@ -174,57 +176,57 @@
     // Nobody else can use the request's own part.
     for (std::size_t i = 0; i < sharedLinks(*chain); ++i) {
         m_prompts.onPlaced(chain->links[i].key, choice.key, now);
-        m_placed.push_back({chain->links[i].key, choice.key});
+        m_newPlacements.push_back({chain->links[i].key, choice.key});
     }
     return true;
 }
 
-void TargetBoard::onFirstEvent(const BoardChoice &choice, Duration since)
+void TargetSelector::onFirstEvent(const TargetChoice &choice, Duration since)
 {
     m_loads.promptRead(choice.key, choice.tokens);
     const std::uint64_t tokens = choice.aheadTokens + choice.tokens;
-    if (tokens < leastSampleTokens)
+    if (tokens < minSampleTokens)
         return;
-    const double ms = std::max(1.0, toSeconds(since) * 1000 - baseMs);
+    const double ms = std::max(1.0, toSeconds(since) * 1000 - fixedOverheadMs);
     const double sample
-        = std::clamp(static_cast<double>(tokens) / ms, slowestTokensPerMs, fastestTokensPerMs);
+        = std::clamp(static_cast<double>(tokens) / ms, minTokensPerMs, maxTokensPerMs);
     double &speed = m_targets[choice.key].tokensPerMs;
     speed = speed > 0 ? speed + (sample - speed) * sampleWeight
-                      : assumedTokensPerMs + (sample - assumedTokensPerMs) * sampleWeight;
+                      : initialTokensPerMs + (sample - initialTokensPerMs) * sampleWeight;
 }
 
-void TargetBoard::onEnd(const BoardChoice &choice, bool wasRead)
+void TargetSelector::onAttemptEnded(const TargetChoice &choice, bool hadResponseStarted)
 {
-    if (!wasRead)
+    if (!hadResponseStarted)
         m_loads.promptRead(choice.key, choice.tokens);
     m_loads.end(choice.key);
 }
 
-void TargetBoard::onColdWord(TargetKey key, Duration coldFor)
+void TargetSelector::onColdReported(TargetKey key, Duration coldFor)
 {
     m_targets[key].coldUntil = m_context.now + coldFor;
 }
 
-void TargetBoard::onServed(const std::string &service, Duration took)
+void TargetSelector::onResponseCompleted(const std::string &service, Duration duration)
 {
-    const auto [found, isNew] = m_serviceMs.try_emplace(service, assumedServiceMs);
-    found->second += (toSeconds(took) * 1000 - found->second) * serviceSampleWeight;
+    const auto [found, isNew] = m_serviceMs.try_emplace(service, initialServiceMs);
+    found->second += (toSeconds(duration) * 1000 - found->second) * serviceSampleWeight;
 }
 
-std::vector<TargetReadEntry> TargetBoard::takeReads()
+std::vector<TargetReadEntry> TargetSelector::takeReads()
 {
     std::vector<TargetReadEntry> reads;
     for (auto &[key, target] : m_targets) {
-        if (target.entered - target.enteredTold < readNewsTokens)
+        if (target.entered - target.writtenTokensReported < minReportedReadTokens)
             continue;
-        target.enteredTold = target.entered;
+        target.writtenTokensReported = target.entered;
         reads.push_back({key, target.entered});
     }
     return reads;
 }
 
-void TargetBoard::onRemoteRead(const NodeId &node, Incarnation incarnation,
-                               const TargetReadEntry &entry)
+void TargetSelector::onRemoteRead(const NodeId &node, Incarnation incarnation,
+                                  const TargetReadEntry &entry)
 {
     RemoteRead &known = m_remoteReads[{node, entry.target}];
     const bool isSame = known.incarnation == incarnation;
@@ -234,27 +236,27 @@
     m_prompts.onRead(entry.target, since, m_context.now);
 }
 
-void TargetBoard::onRemotePlacement(ChainKey part, TargetKey target)
+void TargetSelector::onRemotePlacement(ChainKey part, TargetKey target)
 {
     m_prompts.onPlaced(part, target, m_context.now);
 }
 
-void TargetBoard::onDirectory()
+void TargetSelector::onDirectory()
 {
     for (const auto &[id, entry] : m_context.directory.entries()) {
         const TargetKey key = shortHash(id);
         const auto found = m_targets.find(key);
         if (found == m_targets.end())
             continue;
-        const std::uint64_t boot = bootOf(entry.record);
-        const bool isOther = found->second.boot != 0 && found->second.boot != boot;
+        const std::uint64_t boot = bootHash(entry.record);
+        const bool isNewBoot = found->second.boot != 0 && found->second.boot != boot;
         found->second.boot = boot;
-        if (isOther || entry.record.isRemoved)
+        if (isNewBoot || entry.record.isRemoved)
             m_prompts.forgetTarget(key);
     }
 }
 
-void TargetBoard::expire()
+void TargetSelector::expire()
 {
     m_prompts.expire(m_context.now);
     m_loads.expire(m_context.now);
--- a/lib/Balancer/TargetBoard.h
+++ b/lib/Balancer/TargetSelector.h
@@ -19,7 +19,7 @@
 namespace berylridge {
 
 /// A target that was chosen for an attempt.
-struct BoardChoice
+struct TargetChoice
 {
     TargetKey key = 0;
     TargetId target;
@@ -31,30 +31,30 @@
     std::uint64_t aheadTokens = 0; ///< Of requests before it.
     std::uint32_t running = 0;     ///< Requests at the target, of all nodes.
     std::size_t candidates = 0;    ///< Targets that it was chosen from.
-    Duration heardAge {0};         ///< Of the platform's last word on the target.
+    Duration recordAge {0};        ///< Of the platform's last word on the target.
 };
 
-class TargetBoard
+class TargetSelector
 {
 public:
-    explicit TargetBoard(BalancerContext &context)
+    explicit TargetSelector(BalancerContext &context)
         : m_context(context)
     {
     }
 
     /// The best target of the service that may get the request now. Takes nothing.
-    std::optional<BoardChoice> choose(const ServiceSpec &service, const PromptChain *chain,
-                                      const std::vector<TargetKey> &avoided);
+    std::optional<TargetChoice> choose(const ServiceSpec &service, const PromptChain *chain,
+                                       const std::vector<TargetKey> &excludedTargets);
     /// The request goes there: counts it, and a cold target's part of its rate. False where that
     /// part is used up.
-    bool take(const BoardChoice &choice, const ServiceSpec &service, const PromptChain *chain);
+    bool reserve(const TargetChoice &choice, const ServiceSpec &service, const PromptChain *chain);
 
-    void onFirstEvent(const BoardChoice &choice, Duration since);
-    void onEnd(const BoardChoice &choice, bool wasRead);
+    void onFirstEvent(const TargetChoice &choice, Duration since);
+    void onAttemptEnded(const TargetChoice &choice, bool hadResponseStarted);
     TargetHealth &health(TargetKey key) { return m_targets[key].health; }
-    void onColdWord(TargetKey key, Duration coldFor);
+    void onColdReported(TargetKey key, Duration coldFor);
     /// A request without a prompt was answered whole.
-    void onServed(const std::string &service, Duration took);
+    void onResponseCompleted(const std::string &service, Duration duration);
 
     void onRemotePlacement(ChainKey part, TargetKey target);
     void onRemoteRead(const NodeId &node, Incarnation incarnation, const TargetReadEntry &entry);
@@ -64,7 +64,7 @@
 
     TargetLoads &loads() { return m_loads; }
     /// Shared parts that this node placed since the last call, for the other nodes.
-    std::vector<PlacementEntry> takePlacements() { return std::exchange(m_placed, {}); }
+    std::vector<PlacementEntry> takePlacements() { return std::exchange(m_newPlacements, {}); }
     /// How much targets have read for this node, where it is news for the other nodes.
     std::vector<TargetReadEntry> takeReads();
 
@@ -75,11 +75,11 @@
         ColdShare cold;
         TimePoint coldUntil {};    ///< By its own answers.
         bool isColdSender = false; ///< This node is one of those that may send to it while cold.
-        TimePoint coldSenderUntil {};
+        TimePoint coldSenderValidUntil {};
         double tokensPerMs = 0; ///< Learnt; 0 before the first sample.
         std::uint64_t boot = 0;
-        std::uint32_t entered = 0;     ///< Tokens that this node sent it to read and generate.
-        std::uint32_t enteredTold = 0; ///< Of these, what others were told of.
+        std::uint32_t entered = 0; ///< Tokens that this node sent it to read and generate.
+        std::uint32_t writtenTokensReported = 0; ///< Of these, what others were told of.
     };
     struct RemoteRead
     {
@@ -88,7 +88,7 @@
     };
 
     /// Nodes that share a cold target's rate.
-    std::size_t coldSenders() const;
+    std::size_t coldSenderCount() const;
     bool isColdSender(Target &target, TargetKey key) const;
     bool isCold(const TargetDirectory::Entry &entry, const Target &target,
                 const ServiceSpec &service) const;
@@ -101,7 +101,7 @@
     TargetLoads m_loads;
     PromptDirectory m_prompts;
     std::unordered_map<std::string, double> m_serviceMs; ///< Smoothed, by service.
-    std::vector<PlacementEntry> m_placed;
+    std::vector<PlacementEntry> m_newPlacements;
     std::map<std::pair<NodeId, TargetKey>, RemoteRead> m_remoteReads;
 };
 
--- a/lib/Balancer/Repeater.h
+++ b/lib/Balancer/TransmitLimitedQueue.h
@@ -14,22 +14,25 @@
 /// Receivers have their turn in a fixed order, so news that go out for as many periods as a whole
 /// turn takes reach each of them.
 template <typename Entry>
-class Repeater
+class TransmitLimitedQueue
 {
 public:
-    /// The entry goes out so many times.
-    void add(Entry entry, unsigned times) { m_items.push_back({std::move(entry), times}); }
+    /// The entry goes out so many transmissions.
+    void add(Entry entry, unsigned transmissions)
+    {
+        m_items.push_back({std::move(entry), transmissions});
+    }
 
-    /// What goes out in this period: the oldest first, `most` at the most.
-    std::vector<Entry> take(std::size_t most)
+    /// What goes out in this period: the oldest first, `maxEntries` at the maxEntries.
+    std::vector<Entry> take(std::size_t maxEntries)
     {
         std::vector<Entry> taken;
-        const std::size_t count = std::min(most, m_items.size());
+        const std::size_t count = std::min(maxEntries, m_items.size());
         for (std::size_t i = 0; i < count; ++i) {
             taken.push_back(m_items[i].entry);
-            --m_items[i].left;
+            --m_items[i].transmissionsLeft;
         }
-        std::erase_if(m_items, [](const Item &item) { return item.left == 0; });
+        std::erase_if(m_items, [](const Item &item) { return item.transmissionsLeft == 0; });
         return taken;
     }
 
@@ -37,7 +40,7 @@
     struct Item
     {
         Entry entry;
-        unsigned left = 0;
+        unsigned transmissionsLeft = 0;
     };
 
     std::deque<Item> m_items;
--- a/lib/Balancer/WorkspaceTally.cpp
+++ b/lib/Balancer/WorkspaceTally.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-constexpr Duration tellPeriod = std::chrono::seconds(1);
+constexpr Duration logPeriod = std::chrono::seconds(1);
 /// Workspaces of one line, those that asked most; the line stays under a few kilobytes.
-constexpr std::size_t workspaceLimit = 24;
+constexpr std::size_t maxLoggedWorkspaces = 24;
 
 Json::Value counts(const std::map<std::string, std::uint64_t> &byName)
 {
@@ -21,7 +21,7 @@
     return out;
 }
 
-Json::Value wholeTokens(double tokens)
+Json::Value roundedTokens(double tokens)
 {
     return Json::Int64(std::llround(tokens));
 }
@@ -54,8 +54,9 @@
 void WorkspaceTally::turnedAway(std::span<const ShedCount> counts)
 {
     for (const ShedCount &each : counts) {
-        const WorkspaceSpec *workspace
-            = m_context.table ? m_context.table->workspaceOfHash(each.credential) : nullptr;
+        const WorkspaceSpec *workspace = m_context.routeTable
+            ? m_context.routeTable->workspaceForCredentialHash(each.credential)
+            : nullptr;
         m_entries[workspace ? workspace->name : std::string()].turnedAway += each.requests;
         m_hasRefusals = true;
     }
@@ -75,9 +76,9 @@
 
 void WorkspaceTally::tick(const WorkspaceShares::FleetView &fleet)
 {
-    if (m_context.now - m_toldAt < tellPeriod)
+    if (m_context.now - m_lastLoggedAt < logPeriod)
         return;
-    m_toldAt = m_context.now;
+    m_lastLoggedAt = m_context.now;
     const auto entries = std::exchange(m_entries, {});
     if (!std::exchange(m_hasRefusals, false))
         return;
@@ -88,14 +89,14 @@
     std::sort(order.begin(), order.end(), [](const auto *left, const auto *right) {
         return left->second.askedTokens > right->second.askedTokens;
     });
-    order.resize(std::min(order.size(), workspaceLimit));
+    order.resize(std::min(order.size(), maxLoggedWorkspaces));
     Json::Value workspaces(Json::objectValue);
     for (const auto *named : order) {
         const Entry &entry = named->second;
         Json::Value &out = workspaces[named->first];
         out["requests"] = Json::UInt64(entry.requests);
-        out["askedTokens"] = wholeTokens(entry.askedTokens);
-        out["admittedTokens"] = wholeTokens(entry.admittedTokens);
+        out["askedTokens"] = roundedTokens(entry.askedTokens);
+        out["admittedTokens"] = roundedTokens(entry.admittedTokens);
         out["begun"] = Json::UInt64(entry.begun);
         out["late"] = Json::UInt64(entry.late);
         out["turnedAway"] = Json::UInt64(entry.turnedAway);
@@ -106,11 +107,11 @@
     Json::Value fields;
     fields["named"] = Json::UInt64(order.size());
     fields["known"] = Json::UInt64(entries.size());
-    fields["fleetServed"] = wholeTokens(fleet.servedPerSecond);
-    fields["fleetTurnedAway"] = wholeTokens(fleet.turnedAwayPerSecond);
-    fields["fleetCapacity"] = wholeTokens(fleet.capacity);
+    fields["fleetServed"] = roundedTokens(fleet.servedPerSecond);
+    fields["fleetTurnedAway"] = roundedTokens(fleet.turnedAwayPerSecond);
+    fields["fleetCapacity"] = roundedTokens(fleet.capacity);
     if (std::isfinite(fleet.level))
-        fields["shareLevel"] = wholeTokens(fleet.level);
+        fields["shareLevel"] = roundedTokens(fleet.level);
     fields["workspaces"] = std::move(workspaces);
     m_context.log(LogEventId::WorkspaceTally, "", std::move(fields));
 }
--- a/lib/Balancer/WorkspaceTally.h
+++ b/lib/Balancer/WorkspaceTally.h
@@ -53,7 +53,7 @@
     BalancerContext &m_context;
     std::map<std::string, Entry> m_entries; ///< By workspace.
     bool m_hasRefusals = false;
-    TimePoint m_toldAt {};
+    TimePoint m_lastLoggedAt {};
 };
 
 } // namespace berylridge
--- a/lib/Catalog/RouteTable.cpp
+++ b/lib/Catalog/RouteTable.cpp
@@ -18,7 +18,7 @@
 }
 
 template <typename Key, typename Value>
-const Value *valueOf(const std::unordered_map<Key, const Value *> &map, const Key &key)
+const Value *findValue(const std::unordered_map<Key, const Value *> &map, const Key &key)
 {
     const auto found = map.find(key);
     return found == map.end() ? nullptr : found->second;
@@ -50,25 +50,25 @@
     for (std::size_t end = key.rfind('/'); end != std::string::npos && end >= hostSize;
          end = end == 0 ? std::string::npos : key.rfind('/', end - 1)) {
         key.resize(end + 1);
-        if (const RouteSpec *route = valueOf(m_routes, key))
+        if (const RouteSpec *route = findValue(m_routes, key))
             return route;
     }
     return nullptr;
 }
 
-const WorkspaceSpec *RouteTable::workspaceOf(const std::string &credential) const
+const WorkspaceSpec *RouteTable::workspaceForCredential(const std::string &credential) const
 {
-    return valueOf(m_workspaces, credential);
+    return findValue(m_workspaces, credential);
 }
 
-const WorkspaceSpec *RouteTable::workspaceOfHash(std::uint32_t credentialHash) const
+const WorkspaceSpec *RouteTable::workspaceForCredentialHash(std::uint32_t credentialHash) const
 {
-    return valueOf(m_workspacesByHash, credentialHash);
+    return findValue(m_workspacesByHash, credentialHash);
 }
 
 const ServiceSpec *RouteTable::service(const std::string &name) const
 {
-    return valueOf(m_services, name);
+    return findValue(m_services, name);
 }
 
 } // namespace berylridge
--- a/unittests/Balancer/BalancerCoreTest.cpp
+++ b/unittests/Balancer/BalancerCoreTest.cpp
@@ -15,121 +15,121 @@
 } // namespace
 
 // A node that knows no configuration can't tell what is allowed: it says 503, not 404.
-TEST_F(BalancerCoreTest, BeforeACatalogRequestsAreToldToComeBack)
+TEST_F(BalancerCoreTest, RequestsBeforeTheFirstCatalogGetRetryAfter)
 {
-    ask("/read/1");
-    ASSERT_TRUE(find<Refuse>());
-    EXPECT_EQ(find<Refuse>()->status, 503U);
-    EXPECT_TRUE(find<Refuse>()->retryAfter);
-    EXPECT_EQ(find<Refuse>()->verdict, Verdict::NotRun);
+    sendRequest("/read/1");
+    ASSERT_TRUE(findAction<Refuse>());
+    EXPECT_EQ(findAction<Refuse>()->status, 503U);
+    EXPECT_TRUE(findAction<Refuse>()->retryAfter);
+    EXPECT_EQ(findAction<Refuse>()->verdict, Verdict::NotRun);
 }
 
 TEST_F(BalancerCoreTest, ReadyOnceCatalogAndTargetsAreKnown)
 {
-    giveCatalog();
-    EXPECT_FALSE(find<Readiness>());
-    giveTargets({"t1"});
-    ASSERT_TRUE(find<Readiness>());
-    EXPECT_TRUE(find<Readiness>()->isReady);
+    installCatalog();
+    EXPECT_FALSE(findAction<Readiness>());
+    installTargets({"t1"});
+    ASSERT_TRUE(findAction<Readiness>());
+    EXPECT_TRUE(findAction<Readiness>()->isReady);
 }
 
 TEST_F(BalancerCoreTest, RoutesAndCredentialsAreChecked)
 {
-    giveCatalog();
-    giveTargets({"t1"});
-    ask("/nothing/1");
-    EXPECT_EQ(find<Refuse>()->status, 404U);
-    ask("/read/1", "stolen");
-    EXPECT_EQ(find<Refuse>()->status, 401U);
-    ask("/read/1");
-    ASSERT_TRUE(find<Dispatch>());
-    EXPECT_EQ(find<Dispatch>()->workspace, WorkspaceId("potters"));
-    EXPECT_EQ(find<Dispatch>()->timeLeft, Duration(4s));
+    installCatalog();
+    installTargets({"t1"});
+    sendRequest("/nothing/1");
+    EXPECT_EQ(findAction<Refuse>()->status, 404U);
+    sendRequest("/read/1", "stolen");
+    EXPECT_EQ(findAction<Refuse>()->status, 401U);
+    sendRequest("/read/1");
+    ASSERT_TRUE(findAction<Dispatch>());
+    EXPECT_EQ(findAction<Dispatch>()->workspace, WorkspaceId("potters"));
+    EXPECT_EQ(findAction<Dispatch>()->timeLeft, Duration(4s));
 }
 
 // An older configuration comes in late, from a node that was cut off. It must not return.
-TEST_F(BalancerCoreTest, AnOlderCatalogNeverReturns)
+TEST_F(BalancerCoreTest, OlderCatalogIsIgnored)
 {
-    giveCatalog(7);
-    giveTargets({"t1"});
+    installCatalog(7);
+    installTargets({"t1"});
     Catalog old;
     old.version = 6;
     handle(NodeMessage {NodeId("n2"), 1, BalancerMessage(CatalogNews {old})});
-    ask("/read/1");
-    EXPECT_TRUE(find<Dispatch>());
+    sendRequest("/read/1");
+    EXPECT_TRUE(findAction<Dispatch>());
 }
 
 // A purchase was sent and its connection broke. It may have run: no second target gets it, and the
 // caller isn't told that it has not run.
-TEST_F(BalancerCoreTest, APurchaseThatMayHaveRunIsNotRepeated)
+TEST_F(BalancerCoreTest, NonIdempotentRequestThatMayHaveRunIsNotRetried)
 {
-    giveCatalog();
-    giveTargets({"t1", "t2"});
-    ask("/buy/1");
-    const Dispatch sent = *find<Dispatch>();
-    handle(failure(sent, AttemptFailure::Reset));
-    EXPECT_FALSE(find<Dispatch>());
-    ASSERT_TRUE(find<Refuse>());
-    EXPECT_EQ(find<Refuse>()->status, 502U);
-    EXPECT_EQ(find<Refuse>()->verdict, Verdict::MayHaveRun);
+    installCatalog();
+    installTargets({"t1", "t2"});
+    sendRequest("/buy/1");
+    const Dispatch sent = *findAction<Dispatch>();
+    handle(makeFailure(sent, AttemptFailure::Reset));
+    EXPECT_FALSE(findAction<Dispatch>());
+    ASSERT_TRUE(findAction<Refuse>());
+    EXPECT_EQ(findAction<Refuse>()->status, 502U);
+    EXPECT_EQ(findAction<Refuse>()->verdict, Verdict::MayHaveRun);
 }
 
-TEST_F(BalancerCoreTest, APurchaseThatNeverLeftGoesElsewhere)
+TEST_F(BalancerCoreTest, UnsentNonIdempotentRequestIsRetriedAtAnotherTarget)
 {
-    giveCatalog();
-    giveTargets({"t1", "t2"});
-    ask("/buy/1");
-    const Dispatch sent = *find<Dispatch>();
-    handle(failure(sent, AttemptFailure::ConnectRefused, false));
-    ASSERT_TRUE(find<Dispatch>());
-    EXPECT_NE(find<Dispatch>()->target, sent.target);
+    installCatalog();
+    installTargets({"t1", "t2"});
+    sendRequest("/buy/1");
+    const Dispatch sent = *findAction<Dispatch>();
+    handle(makeFailure(sent, AttemptFailure::ConnectRefused, false));
+    ASSERT_TRUE(findAction<Dispatch>());
+    EXPECT_NE(findAction<Dispatch>()->target, sent.target);
 }
 
 // The only target says that it has not run the purchase: so does the answer.
-TEST_F(BalancerCoreTest, ARefusalByTheTargetIsARefusal)
+TEST_F(BalancerCoreTest, TargetRejectionIsReportedAsNotRun)
 {
-    giveCatalog();
-    giveTargets({"t1"});
-    ask("/buy/1");
-    handle(failure(*find<Dispatch>(), AttemptFailure::NotRun));
-    ASSERT_TRUE(find<Refuse>());
-    EXPECT_EQ(find<Refuse>()->status, 503U);
-    EXPECT_EQ(find<Refuse>()->verdict, Verdict::NotRun);
+    installCatalog();
+    installTargets({"t1"});
+    sendRequest("/buy/1");
+    handle(makeFailure(*findAction<Dispatch>(), AttemptFailure::NotRun));
+    ASSERT_TRUE(findAction<Refuse>());
+    EXPECT_EQ(findAction<Refuse>()->status, 503U);
+    EXPECT_EQ(findAction<Refuse>()->verdict, Verdict::NotRun);
 }
 
-// A lookup fails at its first target and is repeated once; the second failure is passed on.
-TEST_F(BalancerCoreTest, ALookupIsRepeatedWithinItsAttempts)
+// A lookup fails at its first target and is repeated once; the second makeFailure is passed on.
+TEST_F(BalancerCoreTest, IdempotentRequestIsRetriedUpToTheRoutesAttempts)
 {
-    giveCatalog();
-    giveTargets({"t1", "t2", "t3"});
-    ask("/read/1");
-    const Dispatch first = *find<Dispatch>();
-    handle(failure(first, AttemptFailure::TargetError));
-    ASSERT_TRUE(find<Dispatch>());
-    const Dispatch second = *find<Dispatch>();
+    installCatalog();
+    installTargets({"t1", "t2", "t3"});
+    sendRequest("/read/1");
+    const Dispatch first = *findAction<Dispatch>();
+    handle(makeFailure(first, AttemptFailure::TargetError));
+    ASSERT_TRUE(findAction<Dispatch>());
+    const Dispatch second = *findAction<Dispatch>();
     EXPECT_NE(first.target, second.target);
-    AttemptFailed again = failure(second, AttemptFailure::TargetError);
+    AttemptFailed again = makeFailure(second, AttemptFailure::TargetError);
     again.holdsAnswer = true;
     handle(again);
-    EXPECT_FALSE(find<Dispatch>());
-    EXPECT_TRUE(find<PassAnswer>());
+    EXPECT_FALSE(findAction<Dispatch>());
+    EXPECT_TRUE(findAction<PassAnswer>());
 }
 
 // Every target fails everything: repeats end at the fleet's budget, not at two for each request.
-TEST_F(BalancerCoreTest, RepeatsEndAtTheBudget)
+TEST_F(BalancerCoreTest, RetriesAreLimitedByTheBudget)
 {
-    giveCatalog();
-    giveTargets({"t1", "t2", "t3"});
+    installCatalog();
+    installTargets({"t1", "t2", "t3"});
     int repeats = 0;
     for (int i = 0; i < 200; ++i) {
-        ask("/read/" + std::to_string(i));
-        const auto *first = find<Dispatch>();
+        sendRequest("/read/" + std::to_string(i));
+        const auto *first = findAction<Dispatch>();
         if (!first)
             continue;
-        handle(failure(*first, AttemptFailure::BadAnswer));
-        if (const auto *second = find<Dispatch>()) {
+        handle(makeFailure(*first, AttemptFailure::BadAnswer));
+        if (const auto *second = findAction<Dispatch>()) {
             ++repeats;
-            handle(failure(*second, AttemptFailure::BadAnswer));
+            handle(makeFailure(*second, AttemptFailure::BadAnswer));
         }
     }
     EXPECT_GT(repeats, 5);
@@ -138,67 +138,67 @@
 
 // One request ends each target that runs it, and its caller sends it again. After two targets it is
 // refused here.
-TEST_F(BalancerCoreTest, ARequestThatCrashesTargetsIsRefusedAfterTwo)
+TEST_F(BalancerCoreTest, RequestThatCrashesTwoTargetsIsRejected)
 {
-    giveCatalog();
-    giveTargets({"t1", "t2", "t3"});
-    body = 77;
-    ask("/buy/1");
-    handle(failure(*find<Dispatch>(), AttemptFailure::Reset));
-    ask("/buy/1");
-    ASSERT_TRUE(find<Dispatch>());
-    const Dispatch second = *find<Dispatch>();
-    handle(failure(second, AttemptFailure::Reset));
-    ask("/buy/1");
-    EXPECT_FALSE(find<Dispatch>());
-    EXPECT_EQ(find<Refuse>()->type, "crashing-request");
+    installCatalog();
+    installTargets({"t1", "t2", "t3"});
+    requestBodyHash = 77;
+    sendRequest("/buy/1");
+    handle(makeFailure(*findAction<Dispatch>(), AttemptFailure::Reset));
+    sendRequest("/buy/1");
+    ASSERT_TRUE(findAction<Dispatch>());
+    const Dispatch second = *findAction<Dispatch>();
+    handle(makeFailure(second, AttemptFailure::Reset));
+    sendRequest("/buy/1");
+    EXPECT_FALSE(findAction<Dispatch>());
+    EXPECT_EQ(findAction<Refuse>()->type, "crashing-request");
 }
 
 // Its caller has left: the target must stop working on it at once.
-TEST_F(BalancerCoreTest, ALeavingCallerEndsTheAttempt)
+TEST_F(BalancerCoreTest, CallerDisconnectAbortsTheAttempt)
 {
-    giveCatalog();
-    giveTargets({"t1"});
-    ask("/read/1");
-    const Dispatch sent = *find<Dispatch>();
+    installCatalog();
+    installTargets({"t1"});
+    sendRequest("/read/1");
+    const Dispatch sent = *findAction<Dispatch>();
     handle(CallerGone {sent.handle});
-    ASSERT_TRUE(find<AbortAttempt>());
-    handle(failure(sent, AttemptFailure::Reset));
+    ASSERT_TRUE(findAction<AbortAttempt>());
+    handle(makeFailure(sent, AttemptFailure::Reset));
     EXPECT_TRUE(actions.empty());
 }
 
 // A stream breaks in its middle; the route lets it go on at another target.
-TEST_F(BalancerCoreTest, AStreamIsResumedElsewhereOnce)
+TEST_F(BalancerCoreTest, StreamIsResumedOnceAtAnotherTarget)
 {
-    giveCatalog();
-    giveTargets({"t1", "t2", "t3"});
-    ask("/stream/1");
-    const Dispatch first = *find<Dispatch>();
+    installCatalog();
+    installTargets({"t1", "t2", "t3"});
+    sendRequest("/stream/1");
+    const Dispatch first = *findAction<Dispatch>();
     handle(AttemptHead {first.handle, first.attempt, 200, ""});
-    AttemptFailed cut = failure(first, AttemptFailure::CutShort);
+    AttemptFailed cut = makeFailure(first, AttemptFailure::CutShort);
     cut.answerBegun = true;
     handle(cut);
-    ASSERT_TRUE(find<Dispatch>());
-    EXPECT_TRUE(find<Dispatch>()->isResumed);
-    AttemptFailed again = failure(*find<Dispatch>(), AttemptFailure::CutShort);
+    ASSERT_TRUE(findAction<Dispatch>());
+    EXPECT_TRUE(findAction<Dispatch>()->isResumed);
+    AttemptFailed again = makeFailure(*findAction<Dispatch>(), AttemptFailure::CutShort);
     again.answerBegun = true;
     handle(again);
-    EXPECT_FALSE(find<Dispatch>());
-    EXPECT_TRUE(find<Refuse>());
+    EXPECT_FALSE(findAction<Dispatch>());
+    EXPECT_TRUE(findAction<Refuse>());
 }
 
 // A target has just started and bears one request a second of each of two nodes.
-TEST_F(BalancerCoreTest, AColdTargetGetsThisNodesPartOfItsRate)
+TEST_F(BalancerCoreTest, ColdTargetReceivesOnlyThisNodesShareOfItsRate)
 {
-    coldPerSecond = 4;
-    coldLeftMs = 3000;
-    giveCatalog();
-    giveTargets({"t1"});
+    coldRequestsPerSecond = 4;
+    coldRemainingMs = 3000;
+    installCatalog();
+    installTargets({"t1"});
     int sent = 0;
     for (int i = 0; i < 100; ++i) {
-        ask("/read/" + std::to_string(i));
-        sent += find<Dispatch>() ? 1 : 0;
-        pass(10ms);
+        sendRequest("/read/" + std::to_string(i));
+        sent += findAction<Dispatch>() ? 1 : 0;
+        advanceTime(10ms);
     }
     EXPECT_GE(sent, 2);
     EXPECT_LE(sent, 3); // Half of 4 a second, and one at once.
@@ -206,34 +206,34 @@
 
 // All engines have more to read than can begin in time. The caller is told so at once, and to come
 // back when the queue is shorter.
-TEST_F(BalancerCoreTest, AFullFleetRefusesAtOnce)
+TEST_F(BalancerCoreTest, FullFleetRejectsImmediately)
 {
     isEngine = true;
-    giveCatalog();
-    giveTargets({"t1"});
+    installCatalog();
+    installTargets({"t1"});
     int sent = 0;
     for (int i = 0; i < 50; ++i) {
-        ask("/stream/" + std::to_string(i));
-        sent += find<Dispatch>() ? 1 : 0;
+        sendRequest("/stream/" + std::to_string(i));
+        sent += findAction<Dispatch>() ? 1 : 0;
     }
     EXPECT_GT(sent, 2);
     EXPECT_LT(sent, 15);
-    ASSERT_TRUE(find<Refuse>());
-    EXPECT_EQ(find<Refuse>()->verdict, Verdict::NotRun);
-    ASSERT_TRUE(find<Refuse>()->retryAfter);
-    EXPECT_LT(*find<Refuse>()->retryAfter, Duration(1s));
+    ASSERT_TRUE(findAction<Refuse>());
+    EXPECT_EQ(findAction<Refuse>()->verdict, Verdict::NotRun);
+    ASSERT_TRUE(findAction<Refuse>()->retryAfter);
+    EXPECT_LT(*findAction<Refuse>()->retryAfter, Duration(1s));
 }
 
 // The request's shared part lies at the target that read it before; the next one goes there too.
-TEST_F(BalancerCoreTest, RequestsFollowTheirSharedPart)
+TEST_F(BalancerCoreTest, RequestsWithASharedPrefixGoToTheSameTarget)
 {
     isEngine = true;
-    giveCatalog();
-    giveTargets({"t1", "t2", "t3", "t4"});
+    installCatalog();
+    installTargets({"t1", "t2", "t3", "t4"});
     std::set<TargetId> targets;
     for (int i = 0; i < 10; ++i) {
-        ask("/stream/" + std::to_string(i));
-        const Dispatch sent = *find<Dispatch>();
+        sendRequest("/stream/" + std::to_string(i));
+        const Dispatch sent = *findAction<Dispatch>();
         targets.insert(sent.target);
         clock.advance(100ms);
         handle(AttemptHead {sent.handle, sent.attempt, 200, ""});
@@ -244,22 +244,22 @@
 
 // Seventy nodes and a cold target. One request from each at the same moment would be four times
 // what it bears, and it would fall over: only a few nodes send to it at all.
-TEST_F(BalancerCoreTest, AFewNodesOfALargeFleetSendToAColdTarget)
+TEST_F(BalancerCoreTest, OnlyAFewNodesOfALargeFleetSendToAColdTarget)
 {
-    coldPerSecond = 16;
-    coldLeftMs = 3000;
-    giveCatalog();
+    coldRequestsPerSecond = 16;
+    coldRemainingMs = 3000;
+    installCatalog();
     int sent = 0;
     for (int target = 0; target < 100; ++target) {
         const std::string id = "t" + std::to_string(target);
-        giveTargets({id});
+        installTargets({id});
         for (int node = 0; node < 70; ++node) {
             LoadDigest digest;
             digest.zone = "b";
             handle(NodeMessage {NodeId("m" + std::to_string(node)), 1, BalancerMessage(digest)});
         }
-        ask("/read/1");
-        sent += find<Dispatch>() ? 1 : 0;
+        sendRequest("/read/1");
+        sent += findAction<Dispatch>() ? 1 : 0;
     }
     EXPECT_GT(sent, 3); // Eight of 71 nodes a target.
     EXPECT_LT(sent, 25);
@@ -267,27 +267,27 @@
 
 // A planned stop: callers are still sent here for a while. A stream that began late would be cut at
 // the end, so late ones are turned away, and the process ends in time whatever still runs.
-TEST_F(BalancerCoreTest, APlannedStopServesOnThenTurnsAwayThenEnds)
+TEST_F(BalancerCoreTest, PlannedStopServesThenRejectsThenTerminates)
 {
-    giveCatalog();
-    giveTargets({"t1"});
+    installCatalog();
+    installTargets({"t1"});
     handle(LeaveOrdered {"SIGTERM"});
-    ASSERT_TRUE(find<Readiness>());
-    EXPECT_FALSE(find<Readiness>()->isReady);
-    pass(2s);
-    ask("/read/1");
-    EXPECT_TRUE(find<Dispatch>());
-    pass(1s);
-    ask("/read/2");
-    EXPECT_FALSE(find<Dispatch>());
-    EXPECT_EQ(find<Refuse>()->type, "leaving");
-    pass(5s);
-    EXPECT_TRUE(find<Stopped>());
-    EXPECT_TRUE(find<AbortAttempt>());
+    ASSERT_TRUE(findAction<Readiness>());
+    EXPECT_FALSE(findAction<Readiness>()->isReady);
+    advanceTime(2s);
+    sendRequest("/read/1");
+    EXPECT_TRUE(findAction<Dispatch>());
+    advanceTime(1s);
+    sendRequest("/read/2");
+    EXPECT_FALSE(findAction<Dispatch>());
+    EXPECT_EQ(findAction<Refuse>()->type, "leaving");
+    advanceTime(5s);
+    EXPECT_TRUE(findAction<Stopped>());
+    EXPECT_TRUE(findAction<AbortAttempt>());
 }
 
 // The platform turns this node away. Another node's digest shows newer state, and it is asked.
-TEST_F(BalancerCoreTest, NewerStateIsAskedOfPeers)
+TEST_F(BalancerCoreTest, NewerStateIsRequestedFromPeers)
 {
     LoadDigest digest;
     digest.zone = "b";
@@ -295,13 +295,13 @@
     digest.port = 7400;
     digest.catalogVersion = 3;
     handle(NodeMessage {NodeId("n2"), 1, BalancerMessage(digest)});
-    const auto *sent = find<SendToNode>();
+    const auto *sent = findAction<SendToNode>();
     ASSERT_TRUE(sent);
     const auto &message = std::get<BalancerMessage>(sent->message);
     EXPECT_TRUE(std::holds_alternative<StateRequest>(message)
                 || std::holds_alternative<LoadDigest>(message));
-    giveCatalog(4);
-    giveTargets({"t1"});
+    installCatalog(4);
+    installTargets({"t1"});
     handle(NodeMessage {NodeId("n2"), 1, BalancerMessage(StateRequest {3, 0})});
     bool hasCatalog = false;
     for (const Action &action : actions) {
--- a/unittests/Balancer/BalancerFixture.h
+++ b/unittests/Balancer/BalancerFixture.h
@@ -15,9 +15,9 @@
 class BalancerFixture : public testing::Test
 {
 protected:
-    BalancerFixture() { start(); }
+    BalancerFixture() { createCore(); }
 
-    void start()
+    void createCore()
     {
         BalancerOptions options;
         options.node = NodeId("n1");
@@ -36,8 +36,8 @@
         core->handle(event, clock.now(), clock.wallNow(), actions);
     }
 
-    /// Lets time pass as the shell does: the core's timers are kept.
-    void pass(Duration time)
+    /// Lets time advanceTime as the shell does: the core's timers are kept.
+    void advanceTime(Duration time)
     {
         const TimePoint end = clock.now() + time;
         Actions all;
@@ -51,7 +51,7 @@
     }
 
     template <typename T>
-    const T *find() const
+    const T *findAction() const
     {
         for (const Action &action : actions) {
             if (const auto *found = std::get_if<T>(&action))
@@ -73,7 +73,7 @@
         return spec;
     }
 
-    void giveCatalog(std::uint64_t version = 1)
+    void installCatalog(std::uint64_t version = 1)
     {
         Catalog catalog;
         catalog.version = version;
@@ -81,16 +81,16 @@
                           route("/buy/", RequestKind::NonIdempotent, 1),
                           route("/stream/", RequestKind::Stream, 2)};
         catalog.routes[2].isResumable = true;
-        catalog.services = {{"s", 100, 3000, coldPerSecond, isEngine, 128, 1000000}};
+        catalog.services = {{"s", 100, 3000, coldRequestsPerSecond, isEngine, 128, 1000000}};
         catalog.workspaces = {{"potters", {"key"}}};
         handle(CatalogArrived {std::make_shared<const Catalog>(catalog)});
     }
 
-    void giveTargets(const std::vector<std::string> &ids)
+    void installTargets(const std::vector<std::string> &ids)
     {
-        DirectoryNews news;
-        news.revision = ++revision;
-        news.isWhole = true;
+        DirectoryUpdate update;
+        update.revision = ++revision;
+        update.isFullSnapshot = true;
         for (const std::string &id : ids) {
             TargetRecord record;
             record.id = id;
@@ -100,40 +100,41 @@
             record.port = 80;
             record.zone = "a";
             record.slots = 6;
-            record.coldLeftMs = coldLeftMs;
-            news.targets.push_back(record);
+            record.coldRemainingMs = coldRemainingMs;
+            update.targets.push_back(record);
         }
-        handle(DirectoryArrived {news});
+        handle(DirectoryArrived {update});
     }
 
-    void ask(const std::string &path, const std::string &credential = "key")
+    void sendRequest(const std::string &path, const std::string &credential = "key")
     {
         RequestArrived request;
-        request.handle = ++handles;
-        request.requestId = "r" + std::to_string(handles);
+        request.handle = ++lastHandle;
+        request.requestId = "r" + std::to_string(lastHandle);
         request.host = "h";
         request.path = path;
         request.credential = credential;
         request.deadline = 4s;
-        request.bodyHash = body;
+        request.bodyHash = requestBodyHash;
         if (isEngine)
-            request.prompt = Prompt {"m", {{1, 10000}, {handles + 100, 4000}}, 14000, 100};
+            request.prompt = Prompt {"m", {{1, 10000}, {lastHandle + 100, 4000}}, 14000, 100};
         handle(request);
     }
 
-    AttemptFailed failure(const Dispatch &dispatch, AttemptFailure what, bool sentAny = true) const
+    AttemptFailed makeFailure(const Dispatch &dispatch, AttemptFailure failureKind,
+                              bool sentAny = true) const
     {
-        return {dispatch.handle, dispatch.attempt, what, sentAny, false};
+        return {dispatch.handle, dispatch.attempt, failureKind, sentAny, false};
     }
 
     PausedClock clock;
     std::unique_ptr<BalancerCore> core;
     Actions actions;
-    RequestHandle handles = 0;
+    RequestHandle lastHandle = 0;
     std::uint64_t revision = 0;
-    std::uint64_t body = 0;
-    double coldPerSecond = 0;
-    std::uint32_t coldLeftMs = 0;
+    std::uint64_t requestBodyHash = 0;
+    double coldRequestsPerSecond = 0;
+    std::uint32_t coldRemainingMs = 0;
     bool isEngine = false;
 };
 
--- a/unittests/Catalog/RouteTableTest.cpp
+++ b/unittests/Catalog/RouteTableTest.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-RouteSpec routeAt(const char *host, const char *prefix)
+RouteSpec makeRoute(const char *host, const char *prefix)
 {
     RouteSpec route;
     route.name = std::string(host) + prefix;
@@ -15,19 +15,19 @@
     return route;
 }
 
-RouteTable tableOf(Catalog catalog)
+RouteTable makeTable(Catalog catalog)
 {
     return RouteTable(std::make_shared<const Catalog>(std::move(catalog)));
 }
 
 } // namespace
 
-TEST(RouteTable, TheLongestPrefixOfTheHostWins)
+TEST(RouteTable, LongestMatchingPathPrefixOfTheHostIsSelected)
 {
     Catalog catalog;
-    catalog.routes
-        = {routeAt("a.example", "/x/"), routeAt("a.example", "/x/y/"), routeAt("b.example", "/")};
-    const RouteTable table = tableOf(std::move(catalog));
+    catalog.routes = {makeRoute("a.example", "/x/"), makeRoute("a.example", "/x/y/"),
+                      makeRoute("b.example", "/")};
+    const RouteTable table = makeTable(std::move(catalog));
     EXPECT_EQ(table.route("a.example", "/x/1")->pathPrefix, "/x/");
     EXPECT_EQ(table.route("A.Example", "/x/y/1?q=/z/")->pathPrefix, "/x/y/");
     EXPECT_EQ(table.route("b.example", "/anything")->pathPrefix, "/");
@@ -38,15 +38,15 @@
 }
 
 // A workspace's key is taken away while its callers are connected: the next table doesn't know it.
-TEST(RouteTable, EachCredentialNamesItsWorkspace)
+TEST(RouteTable, CredentialsResolveToTheirWorkspace)
 {
     Catalog catalog;
-    EXPECT_FALSE(tableOf(catalog).needsCredentials());
+    EXPECT_FALSE(makeTable(catalog).needsCredentials());
     catalog.workspaces = {{"potters", {"k1", "k2"}}, {"bells", {"k3"}}};
-    const RouteTable table = tableOf(std::move(catalog));
+    const RouteTable table = makeTable(std::move(catalog));
     EXPECT_TRUE(table.needsCredentials());
-    EXPECT_EQ(table.workspaceOf("k2")->name, "potters");
-    EXPECT_EQ(table.workspaceOf("k3")->name, "bells");
-    EXPECT_EQ(table.workspaceOf("k4"), nullptr);
-    EXPECT_EQ(table.workspaceOf(""), nullptr);
+    EXPECT_EQ(table.workspaceForCredential("k2")->name, "potters");
+    EXPECT_EQ(table.workspaceForCredential("k3")->name, "bells");
+    EXPECT_EQ(table.workspaceForCredential("k4"), nullptr);
+    EXPECT_EQ(table.workspaceForCredential(""), nullptr);
 }
--- a/unittests/Platform/StoreDecoderTest.cpp
+++ b/unittests/Platform/StoreDecoderTest.cpp
@@ -41,7 +41,7 @@
     EXPECT_EQ(record->service, "huvo11a");
     EXPECT_EQ(record->address, "10.128.0.9");
     EXPECT_EQ(record->port, 8080);
-    EXPECT_EQ(record->coldLeftMs, 250U);
+    EXPECT_EQ(record->coldRemainingMs, 250U);
     EXPECT_EQ(record->startedAtMs, 17645);
     EXPECT_FALSE(record->isDraining);
 }
@@ -71,14 +71,14 @@
     ASSERT_EQ(catalog->routes.size(), 2U);
     const RouteSpec &stream = catalog->routes[0];
     EXPECT_EQ(stream.requestKind(), RequestKind::Stream);
-    EXPECT_TRUE(stream.isRepeatable());
+    EXPECT_TRUE(stream.isRetryable());
     EXPECT_EQ(stream.services.size(), 2U);
     EXPECT_EQ(stream.latencyTargetMs, 400U);
-    EXPECT_FALSE(catalog->routes[1].isRepeatable());
+    EXPECT_FALSE(catalog->routes[1].isRetryable());
     EXPECT_EQ(catalog->routes[1].services.at(0).service, "s2");
     EXPECT_TRUE(catalog->services[0].isEngine);
     EXPECT_EQ(catalog->services[0].engineTokens, 1026424U);
-    EXPECT_DOUBLE_EQ(catalog->services[0].coldPerSecond, 19);
+    EXPECT_DOUBLE_EQ(catalog->services[0].coldRequestsPerSecond, 19);
     EXPECT_EQ(catalog->services[0].coldMs, 3000U);
     EXPECT_EQ(catalog->workspaces.at(0).credentials.size(), 2U);
     EXPECT_DOUBLE_EQ(catalog->tokensPerSecond, 720000);
@@ -90,7 +90,7 @@
     std::string text = recordedCatalog;
     const std::string from = R"("type":"stream")";
     text.replace(text.find(from), from.size(), R"("type":"newer")");
-    EXPECT_FALSE(readCatalog(text)->routes[0].isRepeatable());
+    EXPECT_FALSE(readCatalog(text)->routes[0].isRetryable());
 }
 
 TEST(StoreDecoder, ReadsAListing)
@@ -106,7 +106,7 @@
     ASSERT_EQ(answer->items.size(), 4U);
     EXPECT_TRUE(std::holds_alternative<Catalog>(answer->items[0]));
     EXPECT_EQ(std::get<TargetRecord>(answer->items[1]).id, "i-1");
-    EXPECT_TRUE(std::get<ZoneRecord>(answer->items[2]).isOut);
+    EXPECT_TRUE(std::get<ZoneRecord>(answer->items[2]).isEvacuated);
     EXPECT_TRUE(answer->unreadable.empty());
 }
 
@@ -119,7 +119,7 @@
     ASSERT_TRUE(answer) << answer.lastReason();
     ASSERT_EQ(answer->items.size(), 3U);
     EXPECT_TRUE(std::get<TargetRecord>(answer->items[0]).isRemoved);
-    EXPECT_FALSE(std::get<ZoneRecord>(answer->items[1]).isOut);
+    EXPECT_FALSE(std::get<ZoneRecord>(answer->items[1]).isEvacuated);
     // What can't be read takes the place of whatever the same id said before.
     EXPECT_TRUE(std::get<TargetRecord>(answer->items[2]).isRemoved);
     EXPECT_EQ(answer->unreadable.size(), 1U);
