--- a/include/berylridge/Balancer/BalancerCore.h
+++ b/include/berylridge/Balancer/BalancerCore.h
@@ -1,6 +1,6 @@
-// The decision core for fleets whose targets are found at run time: events in, actions out, like
-// Router/Core.h, but with placement by prompt over the whole fleet instead of leases of slots
-// (docs/design/platform.md). It opens no socket, starts no thread and reads no clock.
+// Defines the decision core for fleets that discover their targets at run time. Like Router/Core.h
+// it maps events to actions, but it places requests by prompt over the whole fleet instead of
+// leasing slots (docs/design/platform.md). It opens no socket, starts no thread and reads no clock.
 #pragma once
 
 #include "berylridge/Policy/FleetShare.h"
@@ -15,44 +15,46 @@
 
 namespace berylridge {
 
-/// What a balancer is built with.
+/// Configures a BalancerCore.
 struct BalancerOptions
 {
     NodeId node;
     ZoneId zone;
-    Endpoint endpoint;           ///< Where other nodes reach this one.
-    Incarnation incarnation = 0; ///< Must be higher than in any earlier run of this node.
-    std::vector<Endpoint> seeds; ///< A few other nodes; stale or down ones do no harm.
+    Endpoint endpoint;           ///< Address at which other nodes reach this one.
+    Incarnation incarnation = 0; ///< Must be higher than in any earlier process run of this node.
+    /// Some other nodes for discovery; stale or unreachable ones are harmless.
+    std::vector<Endpoint> seeds;
     std::string chartDirectory;
     std::uint64_t seed = 1;
-    /// Half as long gave 1 % more of what callers get for twice the messages, twice as long 5 %
-    /// less (mean over 16 days under load at 7 and 9 nodes).
+    /// Interval between digests. Half the period served callers 1 % more for twice the messages;
+    /// twice the period served them 5 % less (mean over 16 days under load at 7 and 9 nodes).
     Duration digestPeriod = std::chrono::milliseconds(100);
     RetryShare::Limits retries;
-    /// In a planned stop new requests are served this long: callers are still sent here until the
-    /// balancer in front has asked twice, a second apart, whether the node is ready. Later ones are
-    /// turned away, since stopLimit would cut their answers.
+    /// Time from the start of a planned stop during which new requests are still served. The
+    /// balancer in front polls this node's readiness once a second and keeps sending callers until
+    /// it has polled twice. Later requests are rejected, because stopLimit would truncate their
+    /// responses.
     Duration rejectNewRequestsAfter = std::chrono::milliseconds(2800);
-    /// A planned stop goes on at least this long, for callers who are sent here all the same.
+    /// Minimum duration of a planned stop, for callers that are still sent to this node.
     Duration minStopTime = std::chrono::milliseconds(3500);
-    Duration stopLimit = std::chrono::milliseconds(7200); ///< Longest planned stop.
+    Duration stopLimit = std::chrono::milliseconds(7200); ///< Maximum duration of a planned stop.
 };
 
-/// One node's decisions. Not safe for use by two threads at once: the control thread owns it.
+/// Makes the decisions of one node. Not thread-safe: the control thread owns it.
 class BalancerCore
 {
 public:
-    /// Fails when a chart file is missing or wrong.
+    /// Fails if a state chart file is missing or invalid.
     static Expected<std::unique_ptr<BalancerCore>> create(BalancerOptions options, TimePoint now,
                                                           WallTime wall);
     ~BalancerCore();
     BalancerCore(const BalancerCore &) = delete;
     BalancerCore &operator=(const BalancerCore &) = delete;
 
-    /// Takes in one event and appends what is to be done. Times must not step back.
+    /// Processes one event and appends the resulting actions. Times must be monotonic.
     void handle(const Event &event, TimePoint now, WallTime wall, Actions &actions);
 
-    /// When to send TimerDue next.
+    /// Returns the time at which the next TimerDue event is due.
     TimePoint nextTimer() const;
 
 private:
--- a/include/berylridge/Catalog/Catalog.h
+++ b/include/berylridge/Catalog/Catalog.h
@@ -1,4 +1,5 @@
-// What operators put into force: routes, services, workspaces and limits, as one versioned whole.
+// Defines the configuration that operators publish: routes, services, workspaces and limits,
+// versioned as one unit.
 #pragma once
 
 #include "berylridge/Support/Id.h"
@@ -11,42 +12,44 @@
 
 namespace berylridge {
 
-/// What may be done with a request whose outcome is unknown.
+/// Determines whether a request whose outcome is unknown may be sent again.
 enum class RequestKind : std::uint8_t {
     Idempotent,    ///< May run more than once.
-    NonIdempotent, ///< Runs once at most.
-    Stream,        ///< A stream of events; runs once at most unless the route is resumable.
+    NonIdempotent, ///< Runs at most once.
+    Stream,        ///< Stream of events; runs at most once unless the route is resumable.
 };
 
-/// A service that gets part of a route's requests.
+/// Assigns a share of a route's requests to a service.
 struct WeightedService
 {
     std::string service;
-    double weight = 1; ///< Relative to the other services of the route.
+    double weight = 1; ///< Weight relative to the route's other services.
     MSGPACK_DEFINE(service, weight)
 };
 
-/// Which requests go to which services, and how they are treated.
+/// Determines which requests go to which services, and how they are handled.
 struct RouteSpec
 {
     std::string name;
     std::string host;
-    std::string pathPrefix;             ///< Begins and ends with a slash.
-    std::uint8_t kind = 0;              ///< A RequestKind.
-    std::uint32_t timeoutMs = 0;        ///< Longest time that a request is kept without an end.
-    std::uint32_t latencyTargetMs = 0;  ///< To the whole answer, or to a stream's first event.
-    std::uint32_t eventGapTargetMs = 0; ///< Longest pause between events that still is on time.
-    std::uint32_t attempts = 1;         ///< Targets that one request may be sent to.
-    std::uint32_t priority = 0;         ///< 0 is the highest.
-    bool isPublic = false;              ///< Needs no credential.
-    bool hasPrompts = false;            ///< Its requests tell of their prompts.
-    bool isResumable = false;           ///< A stream may go on at another target.
+    std::string pathPrefix;      ///< Begins and ends with a slash.
+    std::uint8_t kind = 0;       ///< Holds a RequestKind.
+    std::uint32_t timeoutMs = 0; ///< Maximum time until a request is complete.
+    /// Limit for the whole response, or for a stream's first event.
+    std::uint32_t latencyTargetMs = 0;
+    /// Maximum pause between events of a stream that is on time.
+    std::uint32_t eventGapTargetMs = 0;
+    std::uint32_t attempts = 1; ///< Maximum number of targets that one request is sent to.
+    std::uint32_t priority = 0; ///< 0 is the highest.
+    bool isPublic = false;      ///< Requests need no credential.
+    bool hasPrompts = false;    ///< Requests describe their prompts.
+    bool isResumable = false;   ///< An interrupted stream may continue at another target.
     std::vector<WeightedService> services;
     MSGPACK_DEFINE(name, host, pathPrefix, kind, timeoutMs, latencyTargetMs, eventGapTargetMs,
                    attempts, priority, isPublic, hasPrompts, isResumable, services)
 
     RequestKind requestKind() const { return static_cast<RequestKind>(kind); }
-    /// Whether a request whose outcome is unknown may be sent to another target.
+    /// Returns whether a request whose outcome is unknown may be sent to another target.
     bool isRetryable() const
     {
         return requestKind() == RequestKind::Idempotent
@@ -54,21 +57,23 @@
     }
 };
 
-/// A group of targets that do the same work.
+/// Describes a group of interchangeable targets.
 struct ServiceSpec
 {
     std::string name;
-    std::uint32_t connectionLimit = 0; ///< Of one target, over all nodes; 0 where none is known.
-    std::uint32_t coldMs = 0;          ///< How long a target stays cold after its start.
-    double coldRequestsPerSecond = 0;  ///< Requests a second that a cold target bears; 0: not cold.
-    bool isEngine = false;             ///< A model engine, with memory for prompts.
-    std::uint32_t engineSlots = 0;     ///< Requests that an engine runs at once.
-    std::uint64_t engineTokens = 0;    ///< Tokens that an engine's memory holds.
+    /// Limit of each target for connections from all nodes; 0 if unknown.
+    std::uint32_t connectionLimit = 0;
+    std::uint32_t coldMs = 0; ///< Time for which a target stays cold after its start.
+    /// Request rate that a cold target can handle; with 0, targets are never treated as cold.
+    double coldRequestsPerSecond = 0;
+    bool isEngine = false;          ///< Targets are model engines, which cache prompts in memory.
+    std::uint32_t engineSlots = 0;  ///< Number of requests that an engine runs concurrently.
+    std::uint64_t engineTokens = 0; ///< Number of tokens that an engine's memory holds.
     MSGPACK_DEFINE(name, connectionLimit, coldMs, coldRequestsPerSecond, isEngine, engineSlots,
                    engineTokens)
 };
 
-/// A workspace and the credentials by which its callers are known.
+/// Describes a workspace and the credentials that identify its callers.
 struct WorkspaceSpec
 {
     std::string name;
@@ -78,11 +83,12 @@
 
 struct Catalog
 {
-    std::uint64_t version = 0; ///< Rises with each change.
+    std::uint64_t version = 0; ///< Increases with each change.
     std::vector<RouteSpec> routes;
     std::vector<ServiceSpec> services;
-    std::vector<WorkspaceSpec> workspaces; ///< Empty where callers need no credential.
-    double tokensPerSecond = 0; ///< What all engines read and generate together; 0: not known.
+    std::vector<WorkspaceSpec> workspaces; ///< Empty if callers need no credential.
+    /// Tokens that all engines together read and generate per second; 0 if unknown.
+    double tokensPerSecond = 0;
     MSGPACK_DEFINE(version, routes, services, workspaces, tokensPerSecond)
 };
 
--- a/include/berylridge/Catalog/TargetDirectory.h
+++ b/include/berylridge/Catalog/TargetDirectory.h
@@ -1,5 +1,5 @@
-// Which targets there are and which zones are taken out: update of the platform and of other nodes
-// merged entry by entry, the newest revision first.
+// Tracks the known targets and the evacuated zones. Merges updates from the platform and from other
+// nodes entry by entry; the newest revision of an entry wins.
 #pragma once
 
 #include "berylridge/Catalog/TargetRecord.h"
@@ -13,39 +13,41 @@
 
 namespace berylridge {
 
-/// One change that a merge made, for the log.
+/// Describes one change that a merge made, for the log.
 struct DirectoryChange
 {
-    std::string subject; ///< Id of a target, or name of a zone.
+    std::string subject; ///< Id of a target or name of a zone.
     std::string description;
 };
 
-/// Not safe for use by two threads at once.
+/// Not thread-safe.
 class TargetDirectory
 {
 public:
-    /// A target as it is known.
+    /// Holds what is known about a target.
     struct Entry
     {
-        TargetRecord record; ///< The newest; where it was removed, the fields of the last one.
-        TimePoint updatedAt; ///< When the newest record came.
-        TimePoint coldUntil; ///< By the target's own word.
-        /// An entry that lapsed while the platform was away is used until then: its target is back
-        /// within about two seconds if it lives.
+        /// Newest record; a removed target keeps the fields of its last record.
+        TargetRecord record;
+        TimePoint updatedAt; ///< Time at which the newest record was received.
+        TimePoint coldUntil; ///< End of the cold state as the target reported it.
+        /// Time until which an entry that lapsed during a platform outage is still used. If the
+        /// target is alive, the platform lists it again within about two seconds.
         std::optional<TimePoint> usableUntil;
     };
 
-    /// How long an entry that lapsed during an outage of the platform is still used after its end:
-    /// the platform's own bound of about two seconds, and half a second for the update to come.
+    /// Time for which entries that lapsed during a platform outage are used after its end: the
+    /// platform lists live targets again within about two seconds, and the update takes up to half
+    /// a second to arrive.
     static constexpr Duration lapsedEntryGracePeriod = std::chrono::milliseconds(2500);
 
-    /// Takes in update; true where anything changed.
+    /// Merges an update. Returns true if anything changed.
     bool apply(const DirectoryUpdate &update, TimePoint now);
-    /// The platform answers this node again after an outage: removals that it tells of in the next
-    /// moments may be entries that lapsed.
+    /// Handles the platform answering this node again after an outage. Removals that it reports
+    /// within the grace period may be entries that lapsed during the outage.
     void onPlatformReconnected(TimePoint now) { m_lapseGraceEnd = now + lapsedEntryGracePeriod; }
 
-    /// Whether new work may be sent to the target.
+    /// Returns whether new requests may be sent to the target.
     bool isUsable(const Entry &entry, TimePoint now) const;
     bool isZoneEvacuated(const std::string &zone) const;
     bool isCold(const Entry &entry, TimePoint now) const { return entry.coldUntil > now; }
@@ -53,10 +55,11 @@
     const std::map<std::string, Entry> &entries() const { return m_entries; }
     const Entry *find(const std::string &id) const;
 
-    /// Everything up to this revision of the platform is known; 0 before the first whole listing.
+    /// Returns the platform revision up to which every change is known; 0 before the first full
+    /// snapshot.
     std::uint64_t revision() const { return m_revision; }
 
-    /// What a node lacks that knows everything up to a revision.
+    /// Returns the changes that a node with the given revision is missing.
     DirectoryUpdate updateSince(std::uint64_t revision, TimePoint now) const;
 
     std::vector<DirectoryChange> takeChanges() { return std::exchange(m_changes, {}); }
@@ -68,11 +71,12 @@
     void markRemoved(Entry &entry, std::uint64_t revision, TimePoint now);
     void recordChange(std::string subject, std::string description);
 
-    std::map<std::string, Entry> m_entries; ///< Removed ones too: their revisions must not return.
+    /// Includes removed entries, so that older revisions of them are ignored.
+    std::map<std::string, Entry> m_entries;
     std::map<std::string, ZoneRecord> m_zones;
     std::vector<DirectoryChange> m_changes;
     std::uint64_t m_revision = 0;
-    std::uint64_t m_removalsKnownSince = 0; ///< Removals before this revision are not known.
+    std::uint64_t m_removalsKnownSince = 0; ///< Removals before this revision are unknown.
     TimePoint m_lapseGraceEnd {};
 };
 
--- a/include/berylridge/Catalog/TargetRecord.h
+++ b/include/berylridge/Catalog/TargetRecord.h
@@ -1,5 +1,5 @@
-// What the platform lists of targets and zones: each entry bears the platform's revision of its
-// last change, and a newer revision of an entry always wins, whoever passes it on.
+// Defines the platform's records of targets and zones. Each entry carries the platform's revision
+// of its last change; a newer revision always replaces an older one, whichever node relays it.
 #pragma once
 
 #include <cstdint>
@@ -12,23 +12,26 @@
 struct TargetRecord
 {
     std::string id;
-    std::uint64_t revision = 0; ///< The platform's, of this entry's last change.
-    bool isRemoved = false;     ///< The entry is gone; the fields below say nothing.
+    std::uint64_t revision = 0; ///< Platform revision of this entry's last change.
+    bool isRemoved = false;     ///< The entry was removed; the fields below are not set.
     std::string service;
-    std::string address; ///< IP number.
+    std::string address; ///< IP address.
     std::uint16_t port = 0;
     std::string zone;
-    std::uint32_t slots = 0;           ///< Requests that it runs at once.
-    bool isDraining = false;           ///< It leaves: no new work.
-    std::uint32_t coldRemainingMs = 0; ///< How much longer it was cold when the entry was written.
-    std::int64_t startedAtMs = 0;      ///< Unix time of its start; tells one start from the next.
-    /// Removed while the platform was away, and to be used for so much longer: it may be well.
+    std::uint32_t slots = 0; ///< Number of requests that the target runs concurrently.
+    bool isDraining = false; ///< The target is shutting down and receives no new requests.
+    /// Remaining time in the cold state when the record was written.
+    std::uint32_t coldRemainingMs = 0;
+    /// Unix time of the target's start; distinguishes one boot from the next.
+    std::int64_t startedAtMs = 0;
+    /// Time for which a target that was removed during a platform outage is still used, because it
+    /// may be healthy.
     std::uint32_t usableForMs = 0;
     MSGPACK_DEFINE(id, revision, isRemoved, service, address, port, zone, slots, isDraining,
                    coldRemainingMs, startedAtMs, usableForMs)
 };
 
-/// An operator's order that a zone's targets get nothing new.
+/// Records whether an operator has evacuated a zone, whose targets then receive no new requests.
 struct ZoneRecord
 {
     std::string zone;
@@ -37,13 +40,14 @@
     MSGPACK_DEFINE(zone, revision, isEvacuated)
 };
 
-/// Changes of the directory, or all of it.
+/// Carries some or all entries of the directory.
 struct DirectoryUpdate
 {
-    std::uint64_t revision = 0;  ///< The platform's revision up to which these are complete.
-    bool isFullSnapshot = false; ///< Entries that are not listed and not newer are gone.
-    bool isComplete
-        = true; ///< With all earlier update, the receiver knows everything up to revision.
+    std::uint64_t revision = 0; ///< Platform revision up to which the update is complete.
+    /// Entries that are neither listed nor newer than the snapshot have been removed.
+    bool isFullSnapshot = false;
+    /// A receiver of all earlier updates knows everything up to `revision`.
+    bool isComplete = true;
     std::vector<TargetRecord> targets;
     std::vector<ZoneRecord> zones;
     MSGPACK_DEFINE(revision, isFullSnapshot, isComplete, targets, zones)
--- a/lib/Balancer/BalancedRequest.h
+++ b/lib/Balancer/BalancedRequest.h
@@ -1,4 +1,4 @@
-// What the balancer keeps of one request while it runs, and what it is refused with.
+// Holds the balancer's state of one request while it runs, and the reason for a refusal.
 #pragma once
 
 #include "RequestTrace.h"
@@ -18,39 +18,41 @@
 
 namespace berylridge {
 
-/// One caller's request, from its arrival to its one final answer.
+/// Tracks one caller's request from its arrival to its single final response.
 struct BalancedRequest
 {
     RequestHandle handle = 0;
     std::string id;
-    std::shared_ptr<const RouteTable> routeTable; ///< Under which it was admitted.
+    std::shared_ptr<const RouteTable> routeTable; ///< Table under which the request was admitted.
     const RouteSpec *route = nullptr;
     const ServiceSpec *service = nullptr;
     WorkspaceId workspace;
     std::uint64_t fingerprint = 0;
     std::optional<PromptChain> chain;
     TimePoint arrivedAt;
-    TimePoint deadline; ///< Its caller's, or its route's time limit if that ends sooner.
+    TimePoint deadline; ///< Earlier of the caller's deadline and the route's timeout.
     RequestState state = RequestState::Arrived;
     Verdict verdict = Verdict::NotRun;
 
-    AttemptNumber attempts = 0;             ///< Begun, of whatever end.
+    AttemptNumber attempts = 0;             ///< Started attempts, whatever their outcome.
     std::uint32_t sentAttempts = 0;         ///< Attempts of which a byte may have reached a target.
-    std::vector<TargetKey> excludedTargets; ///< Targets at which it failed.
-    bool isPartlyDelivered = false;         ///< The caller has part of the answer.
+    std::vector<TargetKey> excludedTargets; ///< Targets at which the request failed.
+    bool isPartlyDelivered = false;         ///< The caller has received part of the response.
 
-    // Of the attempt that runs.
+    // State of the current attempt.
     bool isRunning = false;
     TargetChoice choice;
     TimePoint dispatchedAt;
     Verdict verdictBeforeAttempt = Verdict::NotRun;
-    bool hasResponseStarted = false; ///< The target's answer has begun.
+    bool hasResponseStarted = false; ///< The target has started its response.
 
     RequestTrace trace;
-    std::optional<Duration> firstResponseDelay; ///< From arrival to the answer's begin.
+    /// Time from the request's arrival to the start of the response.
+    std::optional<Duration> firstResponseDelay;
 
     WorkspaceKey workspaceKey() const { return shortHash(workspace.str()); }
-    /// Whether the answer began, or hasn't begun until now, beyond the route's latency target.
+    /// Returns whether the response started, or has still not started, after the route's latency
+    /// target.
     bool isLate(TimePoint now) const
     {
         const Duration since = firstResponseDelay.value_or(now - arrivedAt);
@@ -58,7 +60,7 @@
     }
 };
 
-/// Why a request is not served, as its caller is told.
+/// Explains to the caller why its request was refused.
 struct Refusal
 {
     unsigned status;
--- a/lib/Balancer/BalancerContext.h
+++ b/lib/Balancer/BalancerContext.h
@@ -1,5 +1,5 @@
-// What the parts of the balancer share: options, charts, the present moment, the catalog in force,
-// and where actions go.
+// Holds the state that the parts of the balancer share: options, state charts, current time, active
+// catalog, and the list of actions to perform.
 #pragma once
 
 #include "berylridge/Balancer/BalancerCore.h"
--- a/lib/Balancer/BalancerCore.cpp
+++ b/lib/Balancer/BalancerCore.cpp
@@ -15,10 +15,10 @@
 
 namespace {
 
-/// Digests are due far more often than this. A longer gap means that the process was paused, and
-/// that description it knows of others is as old as the gap.
+/// Digests are due far more often than this. A longer gap between events means that the process was
+/// paused and that its knowledge of other nodes is as old as the gap.
 constexpr Duration maxEventGap = std::chrono::milliseconds(800);
-/// A request that is on its way when the last one has ended.
+/// A planned stop waits this long after the last arrival, in case another request is on its way.
 constexpr Duration idleTimeBeforeStop = std::chrono::milliseconds(500);
 
 } // namespace
@@ -103,7 +103,7 @@
                    [&](const LeaveOrdered &e) { onLeave(e.who); },
                    [&](const TrafficLag &e) { m_requests.onLag(e); },
                    [&](const SeedsChanged &e) { m_context.peers.setSeeds(e.seeds); },
-                   // Events of the core that shares by leases (lib/Router).
+                   // These events belong to the core that leases slots (lib/Router).
                    [](const KeyIssueAsked &) {},
                    [](const TargetReport &) {},
                    [](const TargetPollFailed &) {},
@@ -139,7 +139,7 @@
 void BalancerCore::Impl::onCatalog(std::shared_ptr<const Catalog> catalog,
                                    const std::string &source)
 {
-    // Whoever brings it: an older version must never come back into force in this run.
+    // An older version must never become active again in this run, whichever node relays it.
     if (m_context.routeTable && catalog->version <= m_context.routeTable->catalog().version)
         return;
     m_context.log(LogEventId::DocumentAccepted,
@@ -206,9 +206,11 @@
     const bool wasReading = m_reader.isReading();
     if (m_reader.update() == wasReading)
         return;
-    m_context.log(LogEventId::ReaderRole, wasReading ? "ceases to read" : "begins to read");
+    m_context.log(LogEventId::ReaderRole,
+                  wasReading ? "ceases to read the platform's state"
+                             : "begins to read the platform's state");
     m_context.emit(WatchPlatform {!wasReading});
-    // Whoever doesn't call the platform can't tell that it is silent.
+    // A node that doesn't call the platform can't detect that it is unreachable.
     m_isPlatformReachable = true;
 }
 
@@ -229,7 +231,7 @@
         return;
     if (m_requests.size() > 0)
         m_context.log(LogEventId::StopLimitReached,
-                      std::to_string(m_requests.size()) + " requests");
+                      std::to_string(m_requests.size()) + " requests aborted");
     m_requests.abortAll();
     stop(NodeSign::LimitReached);
 }
--- a/lib/Balancer/GossipExchange.cpp
+++ b/lib/Balancer/GossipExchange.cpp
@@ -10,18 +10,19 @@
 
 namespace {
 
-/// A list of live nodes goes with each fifth digest: a new node needs one, the others none.
+/// Every fifth digest carries a list of live nodes. A new node needs one; the others need none.
 constexpr std::uint64_t digestsPerPeerList = 5;
-/// Entries of one message, so that it fits a datagram.
+/// Limits on the entries of one message, so that it fits into a datagram.
 constexpr std::size_t maxPeersPerDigest = 16;
 constexpr std::size_t maxInterruptedRequestsPerDigest = 16;
 constexpr std::size_t maxPlacementsPerMessage = 80;
 constexpr std::size_t maxReadsPerMessage = 20;
-/// Messages of placements in one period; the rest follow with the next.
+/// Placement messages that are sent per period; the rest are sent in later periods.
 constexpr int maxPlacementMessagesPerPeriod = 2;
-/// A broken run goes out twice to each peer: missed, it lets the request end one target more.
+/// Each peer receives an interrupted request twice, because a peer that misses it lets the request
+/// crash one more target.
 constexpr unsigned interruptedRequestRounds = 2;
-/// Newer state is on its way for so long before it is asked for again.
+/// Time for which a request for newer state is considered pending before it is repeated.
 constexpr Duration stateRequestRetryDelay = std::chrono::milliseconds(400);
 
 std::uint32_t clampToUint32(double value)
@@ -135,7 +136,7 @@
     const PeerTable::Peer *peer = m_context.peers.find(from);
     if (peer && peer->incarnation > incarnation)
         return;
-    // Reads go first: what was placed with them is newer.
+    // Applies the read counters first, because the placements of the same message are newer.
     for (const TargetReadEntry &entry : update.reads)
         m_targetSelector.onRemoteRead(from, incarnation, entry);
     for (const PlacementEntry &entry : update.placements)
--- a/lib/Balancer/GossipExchange.h
+++ b/lib/Balancer/GossipExchange.h
@@ -1,5 +1,5 @@
-// What this node tells the others and takes from them: loads, demands, broken runs, and whatever of
-// the platform's state one of them lacks.
+// Exchanges state with the other nodes: loads, demands, interrupted requests, and the platform's
+// state where a node is behind.
 #pragma once
 
 #include "BalancerContext.h"
@@ -25,7 +25,8 @@
     {
     }
 
-    /// Sends this period's digests. isReading: this node reads the platform's state with success.
+    /// Sends this period's digests. `isReading` states that this node reads the platform's state
+    /// and that the platform answers.
     void sendDigests(bool isLeaving, bool isReading);
 
     void onDigest(const NodeId &from, Incarnation incarnation, const LoadDigest &digest);
@@ -43,11 +44,12 @@
     TargetSelector &m_targetSelector;
     RequestProcessor &m_requests;
     ReaderRole &m_reader;
-    std::uint64_t m_digestsSent = 0; ///< Sent so far.
+    std::uint64_t m_digestsSent = 0; ///< Number of digests built so far.
     TransmitLimitedQueue<PlacementEntry> m_placements;
     TransmitLimitedQueue<TargetReadEntry> m_reads;
     TransmitLimitedQueue<BrokenRunEntry> m_interruptedRequests;
-    std::map<NodeId, TimePoint> m_stateRequestedAt; ///< When state was last asked for.
+    /// Time at which each node was last asked for state.
+    std::map<NodeId, TimePoint> m_stateRequestedAt;
 };
 
 } // namespace berylridge
--- a/lib/Balancer/OverloadLog.h
+++ b/lib/Balancer/OverloadLog.h
@@ -1,4 +1,4 @@
-// One line a second while the node's traffic threads run late.
+// Logs one line per second while the node's traffic threads are late.
 #pragma once
 
 #include "BalancerContext.h"
@@ -19,13 +19,14 @@
 
     void onLag(const TrafficLag &event);
 
-    /// Logs and begins anew, once a second at most; so many requests run.
+    /// Logs and resets the totals, at most once per second. `running` is the number of running
+    /// requests.
     void tick(std::size_t running);
 
 private:
     BalancerContext &m_context;
-    TrafficLag m_accumulated {Duration(0)}; ///< Since the last line; the lag is the worst.
-    std::uint64_t m_shedRequests = 0;       ///< Requests turned away since then.
+    TrafficLag m_accumulated {Duration(0)}; ///< Totals since the last line, and the largest lag.
+    std::uint64_t m_shedRequests = 0;       ///< Requests rejected since the last line.
     TimePoint m_lastLoggedAt {};
 };
 
--- a/lib/Balancer/ReaderRole.cpp
+++ b/lib/Balancer/ReaderRole.cpp
@@ -6,24 +6,25 @@
 
 namespace {
 
-/// One may be lost at any moment, and news must not wait for the next to notice.
+/// A reader may fail at any moment, and updates must not wait until another node detects the
+/// failure.
 constexpr std::size_t readersPerZone = 2;
-/// A node that starts and hears of a state asks for it, and is answered within two digests; after
-/// this it reads by itself.
+/// A starting node that learns from a digest that newer state exists requests it and is answered
+/// within two digests. After this time it reads from the platform itself.
 constexpr Duration peerStateTimeout = std::chrono::milliseconds(700);
-/// News reach a node through its peers within three digests. One that lags for longer is not
-/// reached by them, as behind a cut in one direction, and has to read by itself, for so long at
-/// least.
+/// Updates reach a node through its peers within three digests. A node that is behind for longer is
+/// not reached by its peers, for example because of a one-way network partition, and reads from the
+/// platform itself for at least minReadTime.
 constexpr Duration maxTimeBehind = std::chrono::milliseconds(600);
 constexpr Duration minReadTime = std::chrono::seconds(5);
-/// A reader whose digests have been missing for so long is not counted. In a fleet of 300 a node
-/// hears another of its zone every 1.6 s.
+/// A reader whose digests have been missing for this long is not counted. In a fleet of 300 nodes,
+/// a node receives a digest from a given other node of its zone every 1.6 s.
 constexpr Duration readerDigestTimeout = std::chrono::milliseconds(3000);
-/// Nodes further back in the order wait so much longer each before they read, so that an outage of
-/// the platform, which silences all readers, does not make all nodes call it at once.
+/// Each further rank delays the start of reading by this much. An outage of the platform stops all
+/// readers at once; the delay keeps the other nodes from calling the platform simultaneously.
 constexpr Duration takeoverDelayPerRank = std::chrono::milliseconds(500);
-/// A reader too many goes on so long, so that lost digests don't make nodes begin and cease by
-/// turns.
+/// A surplus reader continues for this long, so that lost digests don't make nodes switch roles
+/// back and forth.
 constexpr Duration surplusReaderTimeout = std::chrono::seconds(2);
 
 } // namespace
@@ -60,9 +61,9 @@
 {
     const TimePoint now = m_context.now;
     const bool knowsState = m_context.routeTable && m_context.directory.revision() > 0;
-    // After all nodes were killed nobody knows a state. Callers come as soon as a node is up, and
-    // those whom it turns away as it waits for its peers come back together, more than the targets
-    // bear at once.
+    // After all nodes were killed, no node knows any state. Callers arrive as soon as a node is up.
+    // If nodes rejected them while waiting for peers, the callers would retry at the same time and
+    // overload the targets.
     const bool isStateKnownToPeers = m_newestPeerVersion > 0 && m_newestPeerRevision > 0;
     if (!knowsState)
         return !isStateKnownToPeers || m_isReading || now - m_startedAt >= peerStateTimeout;
--- a/lib/Balancer/ReaderRole.h
+++ b/lib/Balancer/ReaderRole.h
@@ -1,8 +1,8 @@
-// Which nodes read the platform's state. A few in each zone do; the others updateTargetHealth from
-// them by digests and relays.
+// Decides which nodes read the platform's state. A few nodes of each zone do; the others receive it
+// through digests and relays.
 //
-// Load it answers: the platform bounds and counts all calls. With a watch on each of 74 nodes the
-// fleet made 630 calls a second on a calm day, and ten times as many nodes would be turned away.
+// The platform counts and limits all calls. With a watch on each of 74 nodes, the fleet made 630
+// calls a second on a calm day; a fleet with ten times as many nodes would be rejected.
 #pragma once
 
 #include "BalancerContext.h"
@@ -20,17 +20,17 @@
     {
     }
 
-    /// A peer told which state it has.
+    /// Records the state that a peer reports to have.
     void onPeerState(std::uint64_t catalogVersion, std::uint64_t directoryRevision);
 
-    /// Whether this node is to read from now on; called each period.
+    /// Returns whether this node reads the platform's state from now on. Called once per period.
     bool update();
     bool isReading() const { return m_isReading; }
 
 private:
     bool shouldRead();
     bool isPersistentlyBehind();
-    /// Nodes of this zone that were heard lately, come first in the order, and match.
+    /// Counts the live nodes of this zone that precede this one in the order of node ids and match.
     template <typename Matches>
     std::size_t countPreceding(Matches matches) const;
     std::size_t precedingReaders() const;
@@ -38,12 +38,15 @@
 
     BalancerContext &m_context;
     const TimePoint m_startedAt;
-    std::uint64_t m_newestPeerVersion = 0;  ///< Highest of any peer's catalog.
-    std::uint64_t m_newestPeerRevision = 0; ///< Highest of any peer's directory.
-    std::uint64_t m_ownVersion = 0;         ///< When it was looked at last.
+    std::uint64_t m_newestPeerVersion = 0;  ///< Highest catalog version of any peer.
+    std::uint64_t m_newestPeerRevision = 0; ///< Highest directory revision of any peer.
+    std::uint64_t m_ownVersion = 0; ///< Version and revision of this node at the last check.
     std::uint64_t m_ownRevision = 0;
-    std::optional<TimePoint> m_behindSince;        ///< Without any progress.
-    std::optional<TimePoint> m_tooFewReadersSince; ///< Too few readers precede this node.
+    /// Time since which this node is behind its peers without any progress.
+    std::optional<TimePoint> m_behindSince;
+    /// Time since which too few readers precede this node.
+    std::optional<TimePoint> m_tooFewReadersSince;
+    /// Time since which enough readers precede this node.
     std::optional<TimePoint> m_enoughReadersSince;
     TimePoint m_mustReadUntil {};
     bool m_isReading = false;
--- a/lib/Balancer/RequestLog.cpp
+++ b/lib/Balancer/RequestLog.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-/// One request in so many has its steps logged though nothing went wrong.
+/// One in this many requests is logged with its steps even if nothing went wrong.
 constexpr std::uint64_t requestsPerSample = 100;
-/// Twice what a node of the size to come has in requests a second.
+/// Twice the request rate of a node in a fleet of the planned size.
 constexpr double maxLinesPerSecond = 200;
-/// Of these, with steps.
+/// Part of the lines that include steps.
 constexpr double maxDetailedLinesPerSecond = 50;
 constexpr Duration logPeriod = std::chrono::seconds(1);
 
--- a/lib/Balancer/RequestLog.h
+++ b/lib/Balancer/RequestLog.h
@@ -1,8 +1,8 @@
-// One line in the log for each request that ended; with its steps where something went wrong.
+// Logs one line for each completed request, including its steps if something went wrong.
 //
-// Load it answers: a flood of a thousand requests a second at one node, each refused. Building a
-// line takes some 10 us of the control thread, which the refusals need; beyond a budget they are
-// counted.
+// Protects the control thread against a flood, for example of a thousand refused requests a second
+// at one node. Building a line takes about 10 us of the control thread, which also has to send the
+// refusals. Requests beyond the line budget are only counted.
 #pragma once
 
 #include "BalancedRequest.h"
@@ -22,10 +22,10 @@
     void answered(const BalancedRequest &request, unsigned status);
     void refused(const BalancedRequest &request, const Refusal &refusal);
     void callerGone(const BalancedRequest &request);
-    /// Refused before anything was worked out for it.
+    /// Logs a request that was refused before its route and service were resolved.
     void refusedEarly(const RequestArrived &event, const Refusal &refusal);
 
-    /// Tells now and then how many had no line.
+    /// Periodically logs the number of requests without a line.
     void tick();
 
 private:
@@ -37,7 +37,7 @@
     LogBudget m_lineBudget;
     LogBudget m_detailBudget;
     std::uint64_t m_answered = 0;
-    std::uint64_t m_unlogged = 0; ///< Since it was last told.
+    std::uint64_t m_unlogged = 0; ///< Requests without a line since the last report.
     TimePoint m_lastLoggedAt {};
 };
 
--- a/lib/Balancer/RequestProcessor.cpp
+++ b/lib/Balancer/RequestProcessor.cpp
@@ -11,24 +11,25 @@
 
 namespace {
 
-/// For a caller whose route names none and who names none itself.
+/// Applies if neither the caller nor the route sets a time limit.
 constexpr Duration defaultDeadline = std::chrono::seconds(30);
-/// Where no catalog is known yet; a node learns it within a second of its start.
+/// Applies while no catalog is known; a node receives one within a second of its start.
 constexpr Duration startingRetryAfter = std::chrono::milliseconds(300);
-/// The next connection of the caller reaches another node.
+/// The caller's next connection reaches another node.
 constexpr Duration leavingRetryAfter = std::chrono::milliseconds(20);
-/// Where no target can be reached: maxTimeout faults pass in a few seconds, and a target is tried
-/// again within two.
+/// Applies if no target is reachable. Most faults last a few seconds, and a failed target is tried
+/// again within two seconds.
 constexpr Duration noTargetRetryAfter = std::chrono::milliseconds(500);
 constexpr Duration fullRetryAfter = std::chrono::milliseconds(60);
-constexpr double generatedTokenCost = 2; ///< What a generated token weighs against one read.
+/// Cost of a generated token relative to a token that is read.
+constexpr double generatedTokenCost = 2;
 
 std::uint64_t fingerprintOf(const RequestArrived &event, const WorkspaceId &workspace)
 {
     return hash64(event.path, hash64(workspace.str(), event.bodyHash));
 }
 
-/// By weight, the same for each sending of the request.
+/// Selects a service by weight; the result is the same each time the request is sent.
 const std::string *selectService(const RouteSpec &route, const std::string &requestId)
 {
     double total = 0;
@@ -118,7 +119,7 @@
                                                         const RequestArrived &event)
 {
     if (m_isRejectingNewRequests)
-        return Refusal {503, "leaving", "the router stops", leavingRetryAfter};
+        return Refusal {503, "leaving", "the router is shutting down", leavingRetryAfter};
     request.routeTable = m_context.routeTable;
     if (!request.routeTable)
         return Refusal {503, "starting", "the router has no catalog yet", startingRetryAfter};
@@ -135,7 +136,7 @@
     }
     request.fingerprint = fingerprintOf(event, request.workspace);
     if (m_crashes.blockedFor(request.fingerprint, m_context.now))
-        return Refusal {502, "crashing-request", "the request ended the targets that ran it", {}};
+        return Refusal {502, "crashing-request", "the request crashed the targets that ran it", {}};
     const std::string *service = selectService(*request.route, event.requestId);
     request.service = service ? request.routeTable->service(*service) : nullptr;
     if (!request.service)
@@ -156,7 +157,7 @@
     const Duration at = m_context.now - request.arrivedAt;
     if (!choice) {
         request.trace.add(at, NoTargetStep {});
-        return Refusal {503, "no-target", "no target can take the request now",
+        return Refusal {503, "no-target", "no target can accept the request now",
                         spreadRetry(noTargetRetryAfter, m_random)};
     }
     PlacementStep step;
@@ -164,8 +165,9 @@
     std::optional<Refusal> refusal
         = isFirst ? checkAdmission(request, *choice, step) : std::nullopt;
     if (!refusal && !m_targetSelector.reserve(*choice, *request.service, chain))
-        refusal = Refusal {503, "target-cold", "the targets are cold",
-                           spreadRetry(noTargetRetryAfter, m_random)};
+        refusal
+            = Refusal {503, "target-cold", "the cold targets have reached their request rate limit",
+                       spreadRetry(noTargetRetryAfter, m_random)};
     step.isAccepted = !refusal;
     request.trace.add(at, std::move(step));
     if (refusal)
@@ -201,11 +203,12 @@
     m_shares.onTurnedAway(demandOf(request), m_context.now);
     if (!step.isWithinShare && choice.waitMs <= allowedWaitMs({target, choice.readMs, 0}))
         m_tally.heldBack(request);
-    // The queue is shorter by the excess after that time, if callers stay away until then.
+    // The queue shrinks by the excess in this time, provided that callers don't retry earlier.
     const auto excess = fromSeconds((choice.waitMs - allowed) / 1000);
-    return Refusal {503, step.isWithinShare ? "full" : "beyond-share",
-                    "the targets have more to do than would be done in time",
-                    spreadRetry(std::max(excess, fullRetryAfter), m_random)};
+    return Refusal {
+        503, step.isWithinShare ? "full" : "beyond-share",
+        "the expected wait at the targets is too long for the request to be done in time",
+        spreadRetry(std::max(excess, fullRetryAfter), m_random)};
 }
 
 void RequestProcessor::start(BalancedRequest &request, const TargetChoice &choice)
@@ -215,8 +218,8 @@
     request.isRunning = true;
     request.hasResponseStarted = false;
     request.dispatchedAt = m_context.now;
-    // From here on a byte may leave at any moment; only the shell's word that none did, or the
-    // target's own, takes it back.
+    // From here on a byte may be sent at any moment. Only a report of the event loop that none was
+    // sent, or of the target that the request has not run, reverts the verdict.
     request.verdictBeforeAttempt = request.verdict;
     request.verdict = Verdict::MayHaveRun;
     step(request, RequestSign::Dispatched);
@@ -243,7 +246,8 @@
     m_context.emit(std::move(dispatch));
 }
 
-/// A silent target is left for another one after this, where the request may be repeated.
+/// Returns the time after which a silent target is abandoned for another one. Applies only if the
+/// request may be retried.
 Duration RequestProcessor::firstByteLimit(const BalancedRequest &request) const
 {
     const Duration left = request.deadline - m_context.now;
@@ -256,7 +260,8 @@
     return std::clamp(std::max(expected, latencyBound), minTimeout, maxTimeout);
 }
 
-/// Whether one more attempt would be allowed if the one that begins now ends without a word.
+/// Returns whether a further attempt would be allowed if the attempt that is starting fails without
+/// a response.
 bool RequestProcessor::allowsAnotherAttempt(const BalancedRequest &request) const
 {
     return request.route->isRetryable() && request.sentAttempts + 1 < request.route->attempts;
@@ -330,7 +335,7 @@
     switch (event.failure) {
     case AttemptFailure::ConnectRefused:
     case AttemptFailure::ConnectTimeout:
-    case AttemptFailure::OtherTarget: // The listed target is gone from this address.
+    case AttemptFailure::OtherTarget: // The listed target is no longer at this address.
         health.onConnectFailed(now);
         return;
     case AttemptFailure::Timeout:
@@ -365,7 +370,7 @@
     if (m_crashes.blockedFor(request.fingerprint, m_context.now))
         return false;
     if (!event.sentAny)
-        return true; // Nothing reached a target, so nothing is repeated.
+        return true; // Nothing reached a target, so a retry repeats nothing.
     return m_retries[request.service->name].tryTake(
         m_context.options.retries, m_context.peers.counted(m_context.now), m_context.now);
 }
@@ -380,7 +385,7 @@
     }
     if (request.verdict == Verdict::NotRun) {
         refuse(request,
-               {503, "target-refused", "no target took the request",
+               {503, "target-refused", "no target accepted the request",
                 spreadRetry(fullRetryAfter, m_random)});
         return;
     }
@@ -454,7 +459,9 @@
             m_context.emit(AbortAttempt {handle, request.attempts});
             endAttempt(request);
         }
-        refuse(request, {502, "stopping", "the router stops and can't wait for the answer", {}});
+        refuse(
+            request,
+            {502, "stopping", "the router is shutting down before the response is complete", {}});
     }
 }
 
@@ -478,7 +485,7 @@
 
 void RequestProcessor::endAttempt(BalancedRequest &request)
 {
-    assert(request.isRunning && "an attempt ends once");
+    assert(request.isRunning && "an attempt must end only once");
     request.isRunning = false;
     m_targetSelector.onAttemptEnded(request.choice, request.hasResponseStarted);
 }
--- a/lib/Balancer/RequestProcessor.h
+++ b/lib/Balancer/RequestProcessor.h
@@ -1,5 +1,4 @@
-// The life of callers' requests in the balancer: route, admission, attempts, retries and the one
-// final answer.
+// Processes callers' requests: routing, admission, attempts, retries and the single final response.
 #pragma once
 
 #include "BalancedRequest.h"
@@ -26,20 +25,22 @@
     RequestProcessor(BalancerContext &context, TargetSelector &targetSelector);
 
     void onArrived(const RequestArrived &event);
-    /// How late a traffic thread runs.
+    /// Records how late a traffic thread is.
     void onLag(const TrafficLag &event);
     void onCallerGone(const CallerGone &event);
     void onHead(const AttemptHead &event);
     void onDone(const AttemptDone &event);
     void onFailed(const AttemptFailed &event);
-    /// Another node lost a target while it ran a request with this fingerprint.
+    /// Records that another node lost a target while the target ran a request with this
+    /// fingerprint.
     void onRemoteInterruptedRequest(const BrokenRunEntry &entry);
 
-    /// Periodic work: shares and what is remembered for a while.
+    /// Does the periodic work: updates shares and logs, and removes expired entries.
     void tick();
-    /// From now on new requests are refused: a planned stop could not wait for their answers.
+    /// Rejects all new requests from now on, because a planned stop could not wait for their
+    /// responses.
     void rejectNewRequests() { m_isRejectingNewRequests = true; }
-    /// Ends all requests at the limit of a planned stop.
+    /// Aborts all requests when a planned stop reaches its time limit.
     void abortAll();
 
     WorkspaceShares &shares() { return m_shares; }
@@ -73,9 +74,9 @@
     OverloadLog m_overloadLog;
     WorkspaceShares m_shares;
     CrashRecord m_crashes;
-    std::map<std::string, RetryShare> m_retries; ///< By service.
+    std::map<std::string, RetryShare> m_retries; ///< Keyed by service.
     std::unordered_map<RequestHandle, BalancedRequest> m_requests;
-    std::vector<BrokenRunEntry> m_interruptedRequests; ///< For the next digest.
+    std::vector<BrokenRunEntry> m_interruptedRequests; ///< Entries to be sent with the next digest.
     RandomEngine m_random;
     TimePoint m_lastArrival {};
     bool m_wasFull = false;
--- a/lib/Balancer/RequestTrace.cpp
+++ b/lib/Balancer/RequestTrace.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-/// Whole numbers are enough for milliseconds and tokens, and half as long.
+/// Rounds to whole numbers, which are precise enough for milliseconds and tokens and half as long
+/// in the log.
 Json::Value rounded(double value)
 {
     return Json::Int64(std::llround(value));
--- a/lib/Balancer/RequestTrace.h
+++ b/lib/Balancer/RequestTrace.h
@@ -1,5 +1,5 @@
-// What was decided about one request and on which inputs, kept until its end. Most requests need
-// only one line in the log; where one was refused, failed or late, its steps go into that line too.
+// Records the decisions about one request and their inputs until the request ends. Most requests
+// need only one log line; if a request was refused, failed or late, the line includes its steps.
 #pragma once
 
 #include "TargetSelector.h"
@@ -13,33 +13,34 @@
 
 namespace berylridge {
 
-/// A target was chosen; the request went there, or was turned away as the wait is too long.
+/// Records that a target was chosen, and whether the request was sent there or rejected because the
+/// wait is too long.
 struct PlacementStep
 {
     TargetChoice choice;
     bool isAccepted = false;
     bool isWithinShare = true;
-    double allowedMs = 0; ///< Longest wait that is accepted; 0 where none is set.
+    double allowedMs = 0; ///< Maximum accepted wait; 0 if there is no limit.
     WorkspaceShares::Standing standing;
 };
 
-/// No target could be chosen.
+/// Records that no target could be chosen.
 struct NoTargetStep
 {
 };
 
-/// The target's answer began.
+/// Records that the target started its response.
 struct ResponseStartedStep
 {
     unsigned status = 0;
 };
 
-/// The attempt ended without a whole answer.
+/// Records that the attempt ended without a complete response.
 struct AttemptFailedStep
 {
     TargetId target;
     const char *failure = "";
-    bool isSent = false; ///< A byte of the request left this node.
+    bool isSent = false; ///< A byte of the request has left this node.
 };
 
 using RequestTraceStep
@@ -48,10 +49,10 @@
 class RequestTrace
 {
 public:
-    /// `at` counts from the request's arrival.
+    /// Appends a step. `at` is the time since the request's arrival.
     void add(Duration at, RequestTraceStep step);
 
-    /// The steps as a list of objects, for the log.
+    /// Returns the steps as a list of objects for the log.
     Json::Value details() const;
 
 private:
@@ -61,7 +62,8 @@
         RequestTraceStep step;
     };
 
-    /// Attempts are few; this bounds a request that is refused by one target after the other.
+    /// Bounds the steps of a request that one target after the other rejects; other requests have
+    /// few attempts.
     static constexpr std::size_t maxSteps = 16;
 
     std::vector<Entry> m_entries;
--- a/lib/Balancer/TargetSelector.cpp
+++ b/lib/Balancer/TargetSelector.cpp
@@ -9,28 +9,30 @@
 
 namespace {
 
-/// Before the first sample. Engines in use today read 100 to 160 tokens a ms, and less while they
-/// generate.
+/// Applies before the first sample. Current engines read 100 to 160 tokens per ms, and fewer while
+/// they generate.
 constexpr double initialTokensPerMs = 90;
 constexpr double minTokensPerMs = 20;
 constexpr double maxTokensPerMs = 400;
-/// Weight of one sample; a target's speed changes over seconds.
+/// Weight of one sample in the moving average; a target's speed changes over seconds.
 constexpr double sampleWeight = 0.08;
-/// A shorter prompt's time says more of the network than of the target.
+/// The time of a shorter prompt depends more on the network than on the target.
 constexpr std::uint64_t minSampleTokens = 3000;
-/// Time to a first event that is not reading.
+/// Part of the time to the first event that is not spent on reading the prompt.
 constexpr double fixedOverheadMs = 20;
 constexpr double initialServiceMs = 30;
 constexpr double serviceSampleWeight = 0.1;
-/// Tokens that a target read for this node before others are told: a percent of an engine's memory.
+/// Minimum number of tokens that a target read for this node before it is reported to the other
+/// nodes: about one percent of an engine's memory.
 constexpr std::uint32_t minReportedReadTokens = 8192;
-/// Nodes that may send to the same cold target. Each may send one request at any moment beside its
-/// part of the rate, so 74 of them overran a rate of 16 a second; eight stay within it.
+/// Maximum number of nodes that may send to the same cold target. Besides its part of the rate,
+/// each node may send one request at any moment: 74 nodes exceeded a rate of 16 requests a second,
+/// eight nodes stay below it.
 constexpr std::size_t maxColdSenders = 8;
-/// How long it stands which nodes these are; working it out hashes the names of all nodes.
+/// Time for which the choice of these nodes is cached, because it hashes the ids of all nodes.
 constexpr Duration coldSenderCacheTime = std::chrono::milliseconds(500);
-/// After a target's connections broke, until the platform's word of a new start would be here: two
-/// of its reports and the news' way.
+/// Time after a broken connection within which the platform reports a restart of the target: two of
+/// its report periods and the transmission of the update.
 constexpr Duration restartReportDelay = std::chrono::milliseconds(2500);
 
 std::uint64_t bootHash(const TargetRecord &record)
@@ -75,8 +77,9 @@
     const TimePoint now = m_context.now;
     if (m_context.directory.isCold(entry, now) || target.coldUntil > now)
         return true;
-    // A target that broke off may have started anew and be cold without anybody having said so:
-    // sent its usual load it would fall over again. The platform's next word on it ends the doubt.
+    // A target whose connections broke may have restarted and be cold before any report says so;
+    // its usual load would crash it again. The platform's next report on the target resolves the
+    // doubt.
     const TimePoint broken = target.health.brokenAt();
     const bool mayHaveRestarted = broken > TimePoint {} && entry.updatedAt < broken;
     return mayHaveRestarted && now - broken < restartReportDelay + fromMilliseconds(service.coldMs);
@@ -173,7 +176,7 @@
     m_prompts.setCapacity(choice.key, service.engineTokens);
     m_prompts.onRead(choice.key, entered, now);
     target.entered += entered;
-    // Nobody else can use the request's own part.
+    // Skips the last part, which belongs to this request alone and can't be reused by others.
     for (std::size_t i = 0; i < sharedLinks(*chain); ++i) {
         m_prompts.onPlaced(chain->links[i].key, choice.key, now);
         m_newPlacements.push_back({chain->links[i].key, choice.key});
@@ -230,7 +233,7 @@
 {
     RemoteRead &known = m_remoteReads[{node, entry.target}];
     const bool isSame = known.incarnation == incarnation;
-    // Numbers wrap around; the difference does not.
+    // The counters wrap around; their unsigned difference stays correct.
     const std::uint32_t since = isSame ? entry.entered - known.entered : entry.entered;
     known = {incarnation, entry.entered};
     m_prompts.onRead(entry.target, since, m_context.now);
--- a/lib/Balancer/TargetSelector.h
+++ b/lib/Balancer/TargetSelector.h
@@ -1,4 +1,4 @@
-// Everything that this node knows of the targets, put together for the choice of one.
+// Combines all that this node knows of the targets, and selects a target for each attempt.
 #pragma once
 
 #include "BalancerContext.h"
@@ -18,20 +18,20 @@
 
 namespace berylridge {
 
-/// A target that was chosen for an attempt.
+/// Describes the target that was selected for an attempt.
 struct TargetChoice
 {
     TargetKey key = 0;
     TargetId target;
     Endpoint endpoint;
-    std::uint64_t boot = 0;        ///< Tells this run of the target from others.
-    double waitMs = 0;             ///< Expected before the target turns to the request.
-    double readMs = 0;             ///< Expected for reading the prompt.
-    std::uint32_t tokens = 0;      ///< Of the prompt, still to be read there.
-    std::uint64_t aheadTokens = 0; ///< Of requests before it.
-    std::uint32_t running = 0;     ///< Requests at the target, of all nodes.
-    std::size_t candidates = 0;    ///< Targets that it was chosen from.
-    Duration recordAge {0};        ///< Of the platform's last word on the target.
+    std::uint64_t boot = 0;   ///< Distinguishes this boot of the target from others.
+    double waitMs = 0;        ///< Expected wait before the target starts to process the request.
+    double readMs = 0;        ///< Expected time to read the prompt.
+    std::uint32_t tokens = 0; ///< Tokens of the prompt that the target still has to read.
+    std::uint64_t aheadTokens = 0; ///< Tokens of the requests ahead in the target's queue.
+    std::uint32_t running = 0;     ///< Requests of all nodes that run at the target.
+    std::size_t candidates = 0;    ///< Number of targets that were considered.
+    Duration recordAge {0};        ///< Time since the platform last reported the target.
 };
 
 class TargetSelector
@@ -42,30 +42,33 @@
     {
     }
 
-    /// The best target of the service that may get the request now. Takes nothing.
+    /// Returns the best target of the service that can accept the request now, without reserving
+    /// capacity.
     std::optional<TargetChoice> choose(const ServiceSpec &service, const PromptChain *chain,
                                        const std::vector<TargetKey> &excludedTargets);
-    /// The request goes there: counts it, and a cold target's part of its rate. False where that
-    /// part is used up.
+    /// Counts the request at the target. At a cold target it also consumes one request of this
+    /// node's part of the rate; returns false if that part is used up.
     bool reserve(const TargetChoice &choice, const ServiceSpec &service, const PromptChain *chain);
 
     void onFirstEvent(const TargetChoice &choice, Duration since);
     void onAttemptEnded(const TargetChoice &choice, bool hadResponseStarted);
     TargetHealth &health(TargetKey key) { return m_targets[key].health; }
     void onColdReported(TargetKey key, Duration coldFor);
-    /// A request without a prompt was answered whole.
+    /// Records the duration of a request without a prompt that was answered completely.
     void onResponseCompleted(const std::string &service, Duration duration);
 
     void onRemotePlacement(ChainKey part, TargetKey target);
     void onRemoteRead(const NodeId &node, Incarnation incarnation, const TargetReadEntry &entry);
-    /// The directory has changed: targets that started anew keep nothing.
+    /// Discards the cached prompts of targets that have restarted or been removed.
     void onDirectory();
     void expire();
 
     TargetLoads &loads() { return m_loads; }
-    /// Shared parts that this node placed since the last call, for the other nodes.
+    /// Returns the shared prompt parts that this node placed since the last call, for the other
+    /// nodes.
     std::vector<PlacementEntry> takePlacements() { return std::exchange(m_newPlacements, {}); }
-    /// How much targets have read for this node, where it is news for the other nodes.
+    /// Returns the counters of tokens that targets read for this node where they have grown enough
+    /// to be reported to the other nodes.
     std::vector<TargetReadEntry> takeReads();
 
 private:
@@ -73,13 +76,15 @@
     {
         TargetHealth health;
         ColdShare cold;
-        TimePoint coldUntil {};    ///< By its own answers.
-        bool isColdSender = false; ///< This node is one of those that may send to it while cold.
+        TimePoint coldUntil {}; ///< End of the cold state as reported in the target's responses.
+        /// This node is among those that may send to the target while it is cold.
+        bool isColdSender = false;
         TimePoint coldSenderValidUntil {};
-        double tokensPerMs = 0; ///< Learnt; 0 before the first sample.
+        double tokensPerMs = 0; ///< Measured speed; 0 before the first sample.
         std::uint64_t boot = 0;
-        std::uint32_t entered = 0; ///< Tokens that this node sent it to read and generate.
-        std::uint32_t writtenTokensReported = 0; ///< Of these, what others were told of.
+        std::uint32_t entered = 0; ///< Tokens that this node had the target read or generate.
+        /// Value of `entered` last reported to the other nodes.
+        std::uint32_t writtenTokensReported = 0;
     };
     struct RemoteRead
     {
@@ -87,7 +92,7 @@
         std::uint32_t entered = 0;
     };
 
-    /// Nodes that share a cold target's rate.
+    /// Returns the number of nodes that share a cold target's rate.
     std::size_t coldSenderCount() const;
     bool isColdSender(Target &target, TargetKey key) const;
     bool isCold(const TargetDirectory::Entry &entry, const Target &target,
@@ -100,7 +105,7 @@
     std::unordered_map<TargetKey, Target> m_targets;
     TargetLoads m_loads;
     PromptDirectory m_prompts;
-    std::unordered_map<std::string, double> m_serviceMs; ///< Smoothed, by service.
+    std::unordered_map<std::string, double> m_serviceMs; ///< Moving average by service.
     std::vector<PlacementEntry> m_newPlacements;
     std::map<std::pair<NodeId, TargetKey>, RemoteRead> m_remoteReads;
 };
--- a/lib/Balancer/TransmitLimitedQueue.h
+++ b/lib/Balancer/TransmitLimitedQueue.h
@@ -1,7 +1,7 @@
-// News that must reach every peer though each digest goes to some of them alone.
+// Queues updates that must reach every peer although each digest goes to only some of them.
 //
-// Load it answers: with 73 peers and 12 receivers a period, news that went out once were missed by
-// five nodes of six, which then made targets read again what others kept.
+// With 73 peers and 12 receivers per period, five of six nodes missed an update that was sent once,
+// and then made targets read prompts again that other targets had cached.
 #pragma once
 
 #include <algorithm>
@@ -11,19 +11,19 @@
 
 namespace berylridge {
 
-/// Receivers have their turn in a fixed order, so news that go out for as many periods as a whole
-/// turn takes reach each of them.
+/// Sends each entry a limited number of times. Peers receive digests in a fixed rotation, so an
+/// entry that is sent for as many periods as one full round takes reaches every peer.
 template <typename Entry>
 class TransmitLimitedQueue
 {
 public:
-    /// The entry goes out so many transmissions.
+    /// Queues the entry to be sent `transmissions` times.
     void add(Entry entry, unsigned transmissions)
     {
         m_items.push_back({std::move(entry), transmissions});
     }
 
-    /// What goes out in this period: the oldest first, `maxEntries` at the maxEntries.
+    /// Returns the entries to send in this period, the oldest first and at most `maxEntries`.
     std::vector<Entry> take(std::size_t maxEntries)
     {
         std::vector<Entry> taken;
--- a/lib/Balancer/WorkspaceTally.cpp
+++ b/lib/Balancer/WorkspaceTally.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr Duration logPeriod = std::chrono::seconds(1);
-/// Workspaces of one line, those that asked most; the line stays under a few kilobytes.
+/// Limits a line to the workspaces with the highest demand, which keeps it below a few kilobytes.
 constexpr std::size_t maxLoggedWorkspaces = 24;
 
 Json::Value counts(const std::map<std::string, std::uint64_t> &byName)
--- a/lib/Balancer/WorkspaceTally.h
+++ b/lib/Balancer/WorkspaceTally.h
@@ -1,7 +1,8 @@
-// One line a second of what workspaces asked for and got while some of it is refused.
+// Logs one line per second with each workspace's demand and what it was granted, while requests are
+// being refused.
 //
-// Load it answers: one workspace is refused a thousand times a second, and its lines in the log
-// leave no room for those of the others, of whom an operator asks who got what.
+// A workspace that is refused a thousand times a second uses up the line budget of the request log.
+// This line still shows an operator what the other workspaces demanded and received.
 #pragma once
 
 #include "BalancedRequest.h"
@@ -25,15 +26,16 @@
     void asked(const BalancedRequest &request, double tokens);
     void admitted(const BalancedRequest &request, double tokens);
     void refused(const BalancedRequest &request, const char *type);
-    /// Refused for being beyond its share, though the targets had room for one within it.
+    /// Counts a request that was refused for exceeding its workspace's share although the targets
+    /// had room for a request within its share.
     void heldBack(const BalancedRequest &request);
-    /// The node's traffic threads turned requests away before the core was asked.
+    /// Counts requests that the node's traffic threads rejected before they reached the core.
     void turnedAway(std::span<const ShedCount> counts);
-    /// The answer began.
+    /// Counts a response that has started.
     void begun(const BalancedRequest &request, bool isLate);
     void attemptFailed(const BalancedRequest &request, const char *failure);
 
-    /// Logs and begins anew, once a second at most.
+    /// Logs and resets the totals, at most once per second.
     void tick(const WorkspaceShares::FleetView &fleet);
 
 private:
@@ -43,15 +45,16 @@
         double askedTokens = 0;
         double admittedTokens = 0;
         std::uint64_t begun = 0;
-        std::uint64_t late = 0;                           ///< Of those begun.
-        std::uint64_t turnedAway = 0;                     ///< Before the core.
-        std::uint64_t heldBack = 0;                       ///< Of the refusals.
-        std::map<std::string, std::uint64_t> refusals {}; ///< By type.
-        std::map<std::string, std::uint64_t> failures {}; ///< Of attempts, by kind.
+        std::uint64_t late = 0;       ///< Part of `begun` that started late.
+        std::uint64_t turnedAway = 0; ///< Requests rejected before they reached the core.
+        std::uint64_t heldBack = 0;   ///< Part of the refusals.
+        std::map<std::string, std::uint64_t> refusals {}; ///< Keyed by refusal type.
+        /// Failed attempts, keyed by kind of failure.
+        std::map<std::string, std::uint64_t> failures {};
     };
 
     BalancerContext &m_context;
-    std::map<std::string, Entry> m_entries; ///< By workspace.
+    std::map<std::string, Entry> m_entries; ///< Keyed by workspace.
     bool m_hasRefusals = false;
     TimePoint m_lastLoggedAt {};
 };
--- a/lib/Catalog/TargetDirectory.cpp
+++ b/lib/Catalog/TargetDirectory.cpp
@@ -30,7 +30,8 @@
         if (isNew)
             entry.record = record;
         markRemoved(entry, record.revision, now);
-        // A node that saw the outage tells of the grace; this one may read nothing itself.
+        // A node that detected the outage relays the grace period, because this node may not read
+        // from the platform itself.
         if (record.usableForMs > 0)
             entry.usableUntil = now + fromMilliseconds(record.usableForMs);
         return true;
@@ -54,7 +55,8 @@
     entry.record.revision = revision;
     if (wasRemoved)
         return;
-    // A target that said that it leaves is gone; one that lapsed with the platform may be well.
+    // A draining target is gone; an entry that lapsed during the outage may belong to a healthy
+    // target.
     if (!wasDraining && now < m_lapseGraceEnd)
         entry.usableUntil = m_lapseGraceEnd;
     recordChange(entry.record.id, entry.usableUntil ? "lapsed" : "removed");
@@ -68,7 +70,8 @@
     const bool wasEvacuated = !isNew && found->second.isEvacuated;
     found->second = record;
     if (wasEvacuated != record.isEvacuated)
-        recordChange(record.zone, record.isEvacuated ? "zone taken out" : "zone taken back");
+        recordChange(record.zone,
+                     record.isEvacuated ? "zone taken out of service" : "zone returned to service");
     return true;
 }
 
@@ -121,8 +124,8 @@
     DirectoryUpdate update;
     update.revision = m_revision;
     update.isComplete = m_revision > 0;
-    // A receiver that is older than this node's first listing may hold targets that were removed
-    // before it, of which this node never heard: only a whole listing tells of those.
+    // A receiver whose revision precedes this node's first snapshot may hold targets whose removal
+    // this node never received. Only a full snapshot removes them.
     update.isFullSnapshot = revision < m_removalsKnownSince && m_revision > 0;
     for (const auto &[id, entry] : m_entries) {
         if (entry.record.revision <= revision && !update.isFullSnapshot)
--- a/unittests/Balancer/BalancerCoreTest.cpp
+++ b/unittests/Balancer/BalancerCoreTest.cpp
@@ -1,4 +1,4 @@
-// The balancer as a whole: events in, actions out, under a paused clock.
+// Tests the whole balancer under a simulated clock: sends events and checks the resulting actions.
 #include "BalancerFixture.h"
 
 #include <set>
@@ -14,7 +14,7 @@
 
 } // namespace
 
-// A node that knows no configuration can't tell what is allowed: it says 503, not 404.
+// A node without a catalog can't know which routes exist, so it must respond with 503, not 404.
 TEST_F(BalancerCoreTest, RequestsBeforeTheFirstCatalogGetRetryAfter)
 {
     sendRequest("/read/1");
@@ -47,7 +47,7 @@
     EXPECT_EQ(findAction<Dispatch>()->timeLeft, Duration(4s));
 }
 
-// An older configuration comes in late, from a node that was cut off. It must not return.
+// A node that was partitioned relays an older catalog late. It must not become active again.
 TEST_F(BalancerCoreTest, OlderCatalogIsIgnored)
 {
     installCatalog(7);
@@ -59,8 +59,8 @@
     EXPECT_TRUE(findAction<Dispatch>());
 }
 
-// A purchase was sent and its connection broke. It may have run: no second target gets it, and the
-// caller isn't told that it has not run.
+// A non-idempotent request was sent and its connection broke, so it may have run. It must not be
+// sent to a second target, and the response must not state that it has not run.
 TEST_F(BalancerCoreTest, NonIdempotentRequestThatMayHaveRunIsNotRetried)
 {
     installCatalog();
@@ -85,7 +85,8 @@
     EXPECT_NE(findAction<Dispatch>()->target, sent.target);
 }
 
-// The only target says that it has not run the purchase: so does the answer.
+// The only target reports that it has not run the non-idempotent request. The response must report
+// the same.
 TEST_F(BalancerCoreTest, TargetRejectionIsReportedAsNotRun)
 {
     installCatalog();
@@ -97,7 +98,8 @@
     EXPECT_EQ(findAction<Refuse>()->verdict, Verdict::NotRun);
 }
 
-// A lookup fails at its first target and is repeated once; the second makeFailure is passed on.
+// An idempotent request fails at its first target and is retried once. The second failure is passed
+// on.
 TEST_F(BalancerCoreTest, IdempotentRequestIsRetriedUpToTheRoutesAttempts)
 {
     installCatalog();
@@ -115,7 +117,8 @@
     EXPECT_TRUE(findAction<PassAnswer>());
 }
 
-// Every target fails everything: repeats end at the fleet's budget, not at two for each request.
+// Every target fails every request. Retries must stop at the fleet's budget instead of two attempts
+// per request.
 TEST_F(BalancerCoreTest, RetriesAreLimitedByTheBudget)
 {
     installCatalog();
@@ -133,11 +136,11 @@
         }
     }
     EXPECT_GT(repeats, 5);
-    EXPECT_LE(repeats, 30); // 0.1 of 200 and half of the slack of 10.
+    EXPECT_LE(repeats, 30); // 0.1 of 200, and half of the slack of 10.
 }
 
-// One request ends each target that runs it, and its caller sends it again. After two targets it is
-// refused here.
+// A request crashes each target that runs it, and its caller sends it again. After two targets the
+// node must reject it.
 TEST_F(BalancerCoreTest, RequestThatCrashesTwoTargetsIsRejected)
 {
     installCatalog();
@@ -154,7 +157,7 @@
     EXPECT_EQ(findAction<Refuse>()->type, "crashing-request");
 }
 
-// Its caller has left: the target must stop working on it at once.
+// The caller disconnected, so the target must stop working on the request at once.
 TEST_F(BalancerCoreTest, CallerDisconnectAbortsTheAttempt)
 {
     installCatalog();
@@ -167,7 +170,7 @@
     EXPECT_TRUE(actions.empty());
 }
 
-// A stream breaks in its middle; the route lets it go on at another target.
+// A stream is truncated in the middle, and its route allows it to be resumed at another target.
 TEST_F(BalancerCoreTest, StreamIsResumedOnceAtAnotherTarget)
 {
     installCatalog();
@@ -187,7 +190,7 @@
     EXPECT_TRUE(findAction<Refuse>());
 }
 
-// A target has just started and bears one request a second of each of two nodes.
+// A target has just started and accepts a limited request rate, which is shared by two nodes.
 TEST_F(BalancerCoreTest, ColdTargetReceivesOnlyThisNodesShareOfItsRate)
 {
     coldRequestsPerSecond = 4;
@@ -204,8 +207,8 @@
     EXPECT_LE(sent, 3); // Half of 4 a second, and one at once.
 }
 
-// All engines have more to read than can begin in time. The caller is told so at once, and to come
-// back when the queue is shorter.
+// All engines have more to read than they can start in time. The caller must be refused at once,
+// with a delay after which the queue is shorter.
 TEST_F(BalancerCoreTest, FullFleetRejectsImmediately)
 {
     isEngine = true;
@@ -224,7 +227,8 @@
     EXPECT_LT(*findAction<Refuse>()->retryAfter, Duration(1s));
 }
 
-// The request's shared part lies at the target that read it before; the next one goes there too.
+// The target that read a shared prompt prefix has it cached, so the next request with that prefix
+// must go to the same target.
 TEST_F(BalancerCoreTest, RequestsWithASharedPrefixGoToTheSameTarget)
 {
     isEngine = true;
@@ -242,8 +246,8 @@
     EXPECT_EQ(targets.size(), 1U);
 }
 
-// Seventy nodes and a cold target. One request from each at the same moment would be four times
-// what it bears, and it would fall over: only a few nodes send to it at all.
+// Seventy nodes know a cold target. One request from each at the same moment would be four times
+// what it can handle and would crash it, so only a few of the nodes may send to it.
 TEST_F(BalancerCoreTest, OnlyAFewNodesOfALargeFleetSendToAColdTarget)
 {
     coldRequestsPerSecond = 16;
@@ -261,12 +265,13 @@
         sendRequest("/read/1");
         sent += findAction<Dispatch>() ? 1 : 0;
     }
-    EXPECT_GT(sent, 3); // Eight of 71 nodes a target.
+    EXPECT_GT(sent, 3); // Eight of 71 nodes send to each target.
     EXPECT_LT(sent, 25);
 }
 
-// A planned stop: callers are still sent here for a while. A stream that began late would be cut at
-// the end, so late ones are turned away, and the process ends in time whatever still runs.
+// During a planned stop callers are still sent to the node for a while. A stream that starts late
+// would be truncated at the end, so late requests are rejected. The process terminates in time even
+// if requests are still running.
 TEST_F(BalancerCoreTest, PlannedStopServesThenRejectsThenTerminates)
 {
     installCatalog();
@@ -286,7 +291,8 @@
     EXPECT_TRUE(findAction<AbortAttempt>());
 }
 
-// The platform turns this node away. Another node's digest shows newer state, and it is asked.
+// The platform rejects this node's calls. The digest of another node reports newer state, so the
+// node must request it from there.
 TEST_F(BalancerCoreTest, NewerStateIsRequestedFromPeers)
 {
     LoadDigest digest;
--- a/unittests/Balancer/BalancerFixture.h
+++ b/unittests/Balancer/BalancerFixture.h
@@ -1,4 +1,4 @@
-// One balancer under a paused clock: events in, actions out.
+// Runs one balancer under a simulated clock: sends events and records the resulting actions.
 #pragma once
 
 #include "berylridge/Balancer/BalancerCore.h"
@@ -36,7 +36,7 @@
         core->handle(event, clock.now(), clock.wallNow(), actions);
     }
 
-    /// Lets time advanceTime as the shell does: the core's timers are kept.
+    /// Advances the clock and fires the core's timers when they are due, as the event loop does.
     void advanceTime(Duration time)
     {
         const TimePoint end = clock.now() + time;
--- a/unittests/Balancer/ReaderRoleTest.cpp
+++ b/unittests/Balancer/ReaderRoleTest.cpp
@@ -1,4 +1,4 @@
-// Which nodes read the platform's state, and that the others are not left behind.
+// Tests which nodes read the platform's state, and that the other nodes don't fall behind.
 #include "BalancerFixture.h"
 
 using namespace berylridge;
@@ -22,7 +22,7 @@
         recordWatchActions();
     }
 
-    /// Lets time advanceTime while the named nodes go on talking.
+    /// Advances the clock while the given nodes keep sending digests as readers.
     void advanceWithReaders(Duration time, const std::vector<const char *> &readers)
     {
         for (Duration elapsed {0}; elapsed < time; elapsed += 100ms) {
@@ -41,14 +41,14 @@
         }
     }
 
-    bool isWatching = false; ///< By the orders so far.
+    bool isWatching = false; ///< Follows the latest WatchPlatform action.
 };
 
 } // namespace
 
-// A new node knows nothing, and a peer tells of a state. The peer's answer comes sooner than the
-// platform's turn; where it doesn't, as behind a cut in one direction, the node isWatching by
-// itself.
+// A new node has no state, and a peer reports to have one. The peer usually answers sooner than the
+// platform. If it doesn't, for example because of a one-way network partition, the node must read
+// from the platform itself.
 TEST_F(ReaderRoleTest, NewNodeWaitsForStateFromAPeer)
 {
     receiveDigest("m1", true, 1);
@@ -58,9 +58,9 @@
     EXPECT_TRUE(isWatching);
 }
 
-// All nodes were killed and start again, and callers come at once. Waiting for peers that know as
-// little would turn them all away for as long: the node isWatching the platform in its first
-// period.
+// All nodes were killed and restart, and callers arrive at once. Waiting for peers that have no
+// state either would reject the callers for that time, so the node must read from the platform in
+// its first period.
 TEST_F(ReaderRoleTest, NewNodeReadsAtOnceIfNoPeerHasState)
 {
     receiveDigest("m1", false, 0);
@@ -68,12 +68,13 @@
     EXPECT_TRUE(isWatching);
 }
 
-// Every node of a large fleet watches the platform, which turns calls away beyond its rate. Two
-// readers that precede a node are enough for its zone; when they fall silent it takes over.
+// If every node of a large fleet watched the platform, the platform would reject calls beyond its
+// rate limit. Two preceding readers are enough for a zone; when they fall silent, this node must
+// take over.
 TEST_F(ReaderRoleTest, TwoReadersPerZoneAreEnough)
 {
     installCatalog();
-    recordWatchActions(); // It isWatching from its first period on.
+    recordWatchActions(); // The node reads from its first period on.
     installTargets({"t1"});
     advanceWithReaders(1s, {});
     EXPECT_TRUE(isWatching);
@@ -83,8 +84,9 @@
     EXPECT_TRUE(isWatching);
 }
 
-// Peers receiveDigest this node not, as behind a cut in one direction: it hears of newer state,
-// asks, and gets nothing. Callers would be sent to a target that has left. It isWatching by itself.
+// Peers don't receive this node's messages, for example because of a one-way network partition: it
+// learns of newer state and requests it, but gets no response. Callers would be sent to a target
+// that has shut down, so the node must read from the platform itself.
 TEST_F(ReaderRoleTest, NodeThatStaysBehindStartsReading)
 {
     installCatalog();
@@ -99,8 +101,8 @@
     EXPECT_TRUE(isWatching);
 }
 
-// The platform falls silent for all readers. A node further back in its zone waits before it calls
-// too, so that an outage is not met by calls of the whole fleet.
+// The platform becomes unreachable for all readers. A node with a lower rank in its zone waits
+// before it calls the platform, so that the whole fleet doesn't call it during an outage.
 TEST_F(ReaderRoleTest, LowerRankedNodesWaitLongerInAnOutage)
 {
     installCatalog();
--- a/unittests/Catalog/RouteTableTest.cpp
+++ b/unittests/Catalog/RouteTableTest.cpp
@@ -37,7 +37,7 @@
     EXPECT_EQ(table.route("a.example", ""), nullptr);
 }
 
-// A workspace's key is taken away while its callers are connected: the next table doesn't know it.
+// A credential is revoked while its callers are connected. The next table must not resolve it.
 TEST(RouteTable, CredentialsResolveToTheirWorkspace)
 {
     Catalog catalog;
--- a/unittests/Catalog/TargetDirectoryTest.cpp
+++ b/unittests/Catalog/TargetDirectoryTest.cpp
@@ -52,7 +52,7 @@
 
 } // namespace
 
-// A node that was cut off passes on what it knew: a target that has left since must not come back.
+// A node that was partitioned relays old records. A target that was removed since must not return.
 TEST_F(TargetDirectoryTest, OlderRevisionIsIgnored)
 {
     apply(5, {makeRecord("t", 5)}, true);
@@ -73,8 +73,8 @@
     EXPECT_FALSE(isUsable("t"));
 }
 
-// History was lost: the next listing is whole, and what it doesn't name is gone, but for entries
-// that are newer than the listing.
+// The platform has lost its history, so its next listing is a full snapshot. Unlisted targets are
+// removed unless their entries are newer than the snapshot.
 TEST_F(TargetDirectoryTest, FullSnapshotRemovesUnlistedTargets)
 {
     apply(5, {makeRecord("t", 5), makeRecord("u", 4)}, true);
@@ -85,8 +85,8 @@
     EXPECT_TRUE(isUsable("w"));
 }
 
-// The platform was away and entries lapsed meanwhile, though their targets live. They are used
-// until the platform has had time to hear of them again; one that is missing then is gone.
+// Entries lapsed during a platform outage although their targets are alive. They stay usable until
+// the platform has had time to list them again; those still missing then are removed.
 TEST_F(TargetDirectoryTest, EntriesLapsedInAnOutageStayUsableForTheGracePeriod)
 {
     TargetRecord draining = makeRecord("leaving", 4);
@@ -121,7 +121,8 @@
     EXPECT_TRUE(isUsable("t"));
 }
 
-// A listing after lost history names no order for the zone any more: it was taken back meanwhile.
+// A full snapshot after lost history doesn't list the evacuated zone any more: it was restored in
+// the meantime.
 TEST_F(TargetDirectoryTest, FullSnapshotRestoresUnlistedZones)
 {
     apply(5, {makeRecord("t", 5)}, true, {{"a", 4, true}});
@@ -130,7 +131,7 @@
     EXPECT_TRUE(isUsable("t"));
 }
 
-// A node that the platform turns away learns from another one, removals included.
+// A node whose calls the platform rejects receives updates from another node, including removals.
 TEST_F(TargetDirectoryTest, UpdateForAStalePeerIncludesRemovals)
 {
     apply(5, {makeRecord("t", 5)}, true);
@@ -156,8 +157,9 @@
     EXPECT_FALSE(directory.isCold(*directory.find("t"), clock.now()));
 }
 
-// A node that doesn't read the platform itself hears from a reader that an entry lapsed in an
-// outage. Taken for gone at once, all its targets would be out of use until they are back.
+// A node that doesn't read the platform learns from a reader that an entry lapsed in an outage. If
+// it removed such entries at once, all its targets would be unusable until the platform lists them
+// again.
 TEST_F(TargetDirectoryTest, RelayIncludesGraceOfLapsedEntries)
 {
     apply(5, {makeRecord("t1", 5)}, true);
