--- a/benchmarks/LoneNode.cpp
+++ b/benchmarks/LoneNode.cpp
@@ -210,7 +210,7 @@
         return;
     if (const auto *key = std::get_if<KeyMessage>(&send.message)) {
         if (const auto *proposal = std::get_if<RosterProposal>(key)) {
-            KeyMessage consent = RosterConsent {makeRoster(proposal->roster).id, true, {}};
+            KeyMessage consent = RosterProposalReply {makeRoster(proposal->roster).id, true, {}};
             m_due.push({m_clock.now() + std::chrono::milliseconds(1),
                         NodeMessage {send.to, peerRun, std::move(consent)}});
         }
--- a/include/berylridge/Idempotency/KeyTime.h
+++ b/include/berylridge/Idempotency/KeyFormat.h
@@ -11,15 +11,15 @@
 namespace berylridge {
 
 enum class KeyKind : std::uint8_t {
-    Timed,  ///< A UUIDv7 (RFC 9562): tells when it was made.
-    Opaque, ///< Any other text of the caller's: tells nothing.
-    Issued, ///< Made by a node, whose memory alone admits it.
+    Timestamped, ///< A UUIDv7 (RFC 9562): tells when it was made.
+    Opaque,      ///< Any other text of the caller's: tells nothing.
+    Issued,      ///< Made by a node, whose memory alone admits it.
 };
 
-struct KeyText
+struct ParsedKey
 {
     KeyKind kind = KeyKind::Opaque;
-    WallTime madeAt; ///< Of timed and issued keys.
+    WallTime createdAt; ///< Of timed and issued keys.
     NodeId issuer;
     Incarnation issuerIncarnation = 0;
     std::uint64_t sequence = 0; ///< Counts the issuer's keys from 1.
@@ -31,9 +31,9 @@
                       std::string_view callerKey);
 
 /// Reads the caller's part of a scoped key. Any text is a key: what can't be read is opaque.
-KeyText parseKey(std::string_view scopedKey);
+ParsedKey parseKey(std::string_view scopedKey);
 
 /// The text of an issued key, as the caller gets it.
-std::string issuedKeyText(const KeyText &text);
+std::string formatIssuedKey(const ParsedKey &text);
 
 } // namespace berylridge
--- a/include/berylridge/Idempotency/KeyOutput.h
+++ b/include/berylridge/Idempotency/KeyOutput.h
@@ -15,19 +15,19 @@
 namespace berylridge {
 
 /// The core's number for the request that a decision is about.
-using KeyRequest = std::uint64_t;
+using KeyRequestId = std::uint64_t;
 
 /// The request may be dispatched: no other process may run its key.
 struct KeyAdmitted
 {
-    KeyRequest request = 0;
+    KeyRequestId request = 0;
     std::string key;
 };
 
 /// The request is answered with a refusal, now.
 struct KeyRefused
 {
-    KeyRequest request = 0;
+    KeyRequestId request = 0;
     std::string key;
     unsigned status = 503;
     Verdict verdict = Verdict::MayHaveRun; ///< Of the operation that the key names.
@@ -37,18 +37,18 @@
 };
 
 /// The request is answered with the kept answer of the run of its key.
-struct KeyAnswered
+struct KeyReplayed
 {
-    KeyRequest request = 0;
+    KeyRequestId request = 0;
     std::string key;
     unsigned status = 200;
     std::vector<KeyHeader> headers;
     std::string body;
 };
 
-using KeyDecision = std::variant<KeyAdmitted, KeyRefused, KeyAnswered>;
+using KeyDecision = std::variant<KeyAdmitted, KeyRefused, KeyReplayed>;
 
-struct KeySend
+struct OutgoingKeyMessage
 {
     NodeId to;
     KeyMessage message;
@@ -56,7 +56,7 @@
 
 struct KeyOutput
 {
-    std::vector<KeySend> sends;
+    std::vector<OutgoingKeyMessage> sends;
     std::vector<KeyDecision> decisions;
 };
 
--- a/include/berylridge/Idempotency/Messages.h
+++ b/include/berylridge/Idempotency/Messages.h
@@ -26,10 +26,10 @@
     std::uint64_t roster = 0;
     std::uint64_t claim = 0;
     std::uint8_t vote = 0; ///< Idempotency/Witness.h, Vote.
-    std::string holder;    ///< Who holds the key, where it is not the asker.
+    std::string holder;    ///< Who holds the key, where it is not the claimant.
     std::uint64_t holderIncarnation = 0;
-    std::uint64_t askerIncarnation = 0; ///< The run whose claim this answers.
-    MSGPACK_DEFINE(key, roster, claim, vote, holder, holderIncarnation, askerIncarnation)
+    std::uint64_t requesterIncarnation = 0; ///< The run whose claim this answers.
+    MSGPACK_DEFINE(key, roster, claim, vote, holder, holderIncarnation, requesterIncarnation)
 };
 
 /// The sender has not run the key under any of its claims up to this one, and never will.
@@ -64,9 +64,9 @@
     std::uint32_t status = 0;
     std::vector<KeyHeader> headers;
     std::string body;
-    std::uint64_t bodyHash = 0;         ///< Of the request that the holder took.
-    std::uint64_t askerIncarnation = 0; ///< The run whose query this answers.
-    MSGPACK_DEFINE(key, query, state, status, headers, body, bodyHash, askerIncarnation)
+    std::uint64_t bodyHash = 0;             ///< Of the request that the holder took.
+    std::uint64_t requesterIncarnation = 0; ///< The run whose query this answers.
+    MSGPACK_DEFINE(key, query, state, status, headers, body, bodyHash, requesterIncarnation)
 };
 
 struct RosterMemberMessage
@@ -94,17 +94,18 @@
 struct RosterProposal
 {
     RosterMessage roster;
-    std::vector<std::uint64_t> basis; ///< The rosters whose members the proposer asks as well.
-    MSGPACK_DEFINE(roster, basis)
+    std::vector<std::uint64_t>
+        baseRosters; ///< The rosters whose members the proposer asks as well.
+    MSGPACK_DEFINE(roster, baseRosters)
 };
 
 /// Consent, or a refusal with what the proposal left out.
-struct RosterConsent
+struct RosterProposalReply
 {
     std::uint64_t roster = 0;
-    bool isGiven = false;
+    bool isGranted = false;
     std::vector<RosterMessage> known;
-    MSGPACK_DEFINE(roster, isGiven, known)
+    MSGPACK_DEFINE(roster, isGranted, known)
 };
 
 /// From the proposer alone: the roster is active, or never will be.
@@ -116,16 +117,16 @@
 };
 
 /// A sign of life with the sender's latest active roster. The rosters themselves follow where the
-/// receiver has another; proposed ones are sent to their proposer, to ask how they ended.
-struct RosterNews
+/// receiver has another; proposed ones are sent to their proposer, to ask how they terminated.
+struct RosterUpdate
 {
     std::uint64_t latest = 0;
     std::vector<RosterMessage> rosters;
-    std::vector<RosterMemberMessage> ended; ///< Members that the sender has a proof against.
-    MSGPACK_DEFINE(latest, rosters, ended)
+    std::vector<RosterMemberMessage> terminated; ///< Members that the sender has a proof against.
+    MSGPACK_DEFINE(latest, rosters, terminated)
 };
 
-using KeyMessage = std::variant<KeyClaim, KeyVote, KeyRelease, KeyQuery, KeyState, RosterNews,
-                                RosterProposal, RosterConsent, RosterDecision>;
+using KeyMessage = std::variant<KeyClaim, KeyVote, KeyRelease, KeyQuery, KeyState, RosterUpdate,
+                                RosterProposal, RosterProposalReply, RosterDecision>;
 
 } // namespace berylridge
--- a/include/berylridge/Idempotency/Roster.h
+++ b/include/berylridge/Idempotency/Roster.h
@@ -54,12 +54,12 @@
 {
 public:
     /// The roster of keys made at the time; null where none is known.
-    const Roster *rosterAt(WallTime madeAt) const;
+    const Roster *rosterAt(WallTime createdAt) const;
     const Roster *find(RosterId id) const;
     const Roster *lastActive() const;
     /// The last active roster and all proposed ones after it: whoever makes a new roster needs the
     /// consent of all their members.
-    std::span<const Roster> open() const;
+    std::span<const Roster> live() const;
     std::span<const Roster> all() const { return m_rosters; }
 
     /// Returns whether anything is new: the roster, or that it is active.
--- a/include/berylridge/Idempotency/Witness.h
+++ b/include/berylridge/Idempotency/Witness.h
@@ -1,7 +1,8 @@
-// The witness role: records which run of which node asked for a key first, and denies it to others.
+// The witness role: records which run of which node claimedRoster for a key first, and denies it to
+// others.
 #pragma once
 
-#include "berylridge/Idempotency/KeyTime.h"
+#include "berylridge/Idempotency/KeyFormat.h"
 #include "berylridge/Idempotency/Roster.h"
 
 #include <cstddef>
@@ -16,24 +17,24 @@
     Yes,
     Held,        ///< Another run holds the key.
     Abstain,     ///< This witness can't know whether the key was run before.
-    OtherRoster, ///< The key belongs to another roster than the one the asker named.
+    OtherRoster, ///< The key belongs to another roster than the one the claimant named.
     Expired,     ///< The key is past its lifetime, or from the future.
     Full,        ///< No memory for another key.
-    Stale,       ///< The claim is older than one that the asker made since; not answered.
+    Stale,       ///< The claim is older than one that the claimant made since; not answered.
 };
 
 /// When a key's votes may be given, by the witness's own clock.
-struct KeyLimits
+struct KeyTimeLimits
 {
     Duration lifetime {0};
     Duration futureTolerance {0};
-    Duration clockSkew {0};
+    Duration maxClockSkew {0};
 };
 
 /// A claim as a witness sees it.
-struct WitnessedClaim
+struct ReceivedClaim
 {
-    NodeRun asker;
+    NodeRun claimant;
     RosterId roster = 0;
     std::uint64_t claim = 0;
 };
@@ -45,18 +46,18 @@
 };
 
 /// A roster's id in claims for issued keys, whose only witness is the issuer.
-inline constexpr RosterId issuerRoster = 2;
+inline constexpr RosterId issuerRosterId = 2;
 
 class Witness
 {
 public:
-    Witness(NodeRun self, KeyLimits limits, std::size_t recordLimit);
+    Witness(NodeRun self, KeyTimeLimits limits, std::size_t maxRecords);
 
     /// The wall-clock time must not step back between calls.
-    VoteResult vote(const std::string &key, const WitnessedClaim &claim, const RosterChain &chain,
+    VoteResult vote(const std::string &key, const ReceivedClaim &claim, const RosterChain &chain,
                     WallTime wall);
-    /// The asker has not run the key under any of its claims up to this one.
-    void release(const std::string &key, const NodeRun &asker, std::uint64_t claim);
+    /// The claimant has not run the key under any of its claims up to this one.
+    void release(const std::string &key, const NodeRun &claimant, std::uint64_t claim);
 
     /// Makes a key that this run alone admits.
     std::string issueKey(WallTime wall);
@@ -75,17 +76,17 @@
         WallTime expiresAt;
     };
 
-    Vote eligibility(const KeyText &text, RosterId asked, const RosterChain &chain,
-                     WallTime wall) const;
-    Vote issuedEligibility(const KeyText &text, RosterId asked) const;
-    Vote opaqueEligibility(RosterId asked, const RosterChain &chain, WallTime wall) const;
-    Vote memberEligibility(const Roster *roster, RosterId asked) const;
-    WallTime expiryOf(const KeyText &text, WallTime wall) const;
+    Vote eligibilityVote(const ParsedKey &text, RosterId claimedRoster, const RosterChain &chain,
+                         WallTime wall) const;
+    Vote issuedEligibility(const ParsedKey &text, RosterId claimedRoster) const;
+    Vote opaqueEligibility(RosterId claimedRoster, const RosterChain &chain, WallTime wall) const;
+    Vote memberEligibility(const Roster *roster, RosterId claimedRoster) const;
+    WallTime expiryOf(const ParsedKey &text, WallTime wall) const;
 
     NodeRun m_self;
-    KeyLimits m_limits;
-    std::size_t m_recordLimit;
-    std::uint64_t m_issued = 0;
+    KeyTimeLimits m_limits;
+    std::size_t m_maxRecords;
+    std::uint64_t m_issuedCount = 0;
     std::unordered_map<std::string, Record> m_records;
 };
 
--- a/lib/Idempotency/KeyClaims.cpp
+++ b/lib/Idempotency/KeyClaims.cpp
@@ -8,26 +8,28 @@
 
 namespace {
 
-constexpr Duration repeatWait = std::chrono::seconds(1);
+constexpr Duration defaultRetryAfter = std::chrono::seconds(1);
 
 } // namespace
 
-std::optional<KeyRegistry::Refusal> KeyRegistry::chooseWitnesses(const KeyText &text,
+std::optional<KeyRegistry::Refusal> KeyRegistry::chooseWitnesses(const ParsedKey &text,
                                                                  Claim &claim) const
 {
     if (text.kind == KeyKind::Issued) {
-        claim.roster = issuerRoster;
+        claim.roster = issuerRosterId;
         claim.witnesses = {{text.issuer, text.issuerIncarnation}};
         claim.quorum = 1;
-        if (m_keeper.view().isGone(claim.witnesses.front(), m_keeper.view().list().revision))
+        if (m_rosterCoordinator.view().isTerminated(claim.witnesses.front(),
+                                                    m_rosterCoordinator.view().list().revision))
             return Refusal {409, "issuer-gone", "the node that issued the key is gone", {}};
         return std::nullopt;
     }
-    const RosterChain &chain = m_keeper.chain();
-    const Roster *roster = chain.rosterAt(text.kind == KeyKind::Timed ? text.madeAt : m_wall);
+    const RosterChain &chain = m_rosterCoordinator.chain();
+    const Roster *roster
+        = chain.rosterAt(text.kind == KeyKind::Timestamped ? text.createdAt : m_wall);
     if (!roster && !chain.lastActive())
         return Refusal {503, "no-witnesses", "the nodes have not yet agreed on witnesses",
-                        repeatWait};
+                        defaultRetryAfter};
     if (!roster)
         return Refusal {409, "key-too-old", "the key is older than the witnesses' memory", {}};
     claim.roster = roster->id;
@@ -35,11 +37,11 @@
     claim.quorum = roster->quorum();
     const auto reachable
         = std::count_if(claim.witnesses.begin(), claim.witnesses.end(), [&](const NodeRun &run) {
-              return run == self() || m_keeper.view().isHeard(run);
+              return run == self() || m_rosterCoordinator.view().isAlive(run);
           });
     if (static_cast<std::size_t>(reachable) < claim.quorum)
         return Refusal {503, "witnesses-unreachable", "too few witnesses can be reached",
-                        repeatWait};
+                        defaultRetryAfter};
     return std::nullopt;
 }
 
@@ -47,11 +49,11 @@
 {
     Claim claim;
     claim.deadline = held.claim ? held.claim->deadline : m_now + m_options.claimTimeout;
-    claim.number = ++m_claims;
+    claim.number = ++m_claimCount;
     const auto refusal = chooseWitnesses(parseKey(key), claim);
     held.claim = std::move(claim);
     if (refusal) {
-        giveUp(key, *refusal, out);
+        abandonClaim(key, *refusal, out);
         return;
     }
     sendClaims(key, held, out);
@@ -59,11 +61,11 @@
 
 bool KeyRegistry::isCurrent(const std::string &key, const Claim &claim) const
 {
-    const KeyText text = parseKey(key);
+    const ParsedKey text = parseKey(key);
     if (text.kind == KeyKind::Issued)
         return true;
-    const Roster *roster
-        = m_keeper.chain().rosterAt(text.kind == KeyKind::Timed ? text.madeAt : m_wall);
+    const Roster *roster = m_rosterCoordinator.chain().rosterAt(
+        text.kind == KeyKind::Timestamped ? text.createdAt : m_wall);
     return roster && roster->id == claim.roster;
 }
 
@@ -73,18 +75,18 @@
     claim.resendAt = m_now + m_options.resendPeriod;
     claim.no.clear();
     const std::uint64_t number = claim.number;
-    bool isOwnVote = false;
+    bool isSelfWitness = false;
     for (const NodeRun &witness : claim.witnesses) {
         if (witness == self())
-            isOwnVote = true;
+            isSelfWitness = true;
         else if (!claim.yes.contains(witness))
             out.sends.push_back({witness.node, KeyClaim {key, claim.roster, number}});
     }
-    if (!isOwnVote)
+    if (!isSelfWitness)
         return;
     // Last, for a vote may decide the claim and end its life here.
     const VoteResult result
-        = m_witness.vote(key, {self(), claim.roster, number}, m_keeper.chain(), m_wall);
+        = m_witness.vote(key, {self(), claim.roster, number}, m_rosterCoordinator.chain(), m_wall);
     countVote(key, self(), result, out);
 }
 
@@ -100,7 +102,7 @@
 void KeyRegistry::countVote(const std::string &key, const NodeRun &from, const VoteResult &result,
                             KeyOutput &out)
 {
-    Claim &claim = *m_held.at(key).claim;
+    Claim &claim = *m_heldKeys.at(key).claim;
     switch (result.vote) {
     case Vote::Yes:
         claim.yes.insert(from);
@@ -120,54 +122,57 @@
     case Vote::Stale:
         break;
     }
-    judge(key, out);
+    evaluateClaim(key, out);
 }
 
-void KeyRegistry::judge(const std::string &key, KeyOutput &out)
+void KeyRegistry::evaluateClaim(const std::string &key, KeyOutput &out)
 {
-    Held &held = m_held.at(key);
+    Held &held = m_heldKeys.at(key);
     Claim &claim = *held.claim;
     if (claim.yes.size() >= claim.quorum) {
         held.phase = KeyPhase::Admitted;
-        m_claiming.erase(key);
+        m_claimingKeys.erase(key);
         out.decisions.emplace_back(KeyAdmitted {held.request, key});
         return;
     }
-    if (const auto refusal = refusalOf(claim))
-        giveUp(key, *refusal, out);
+    if (const auto refusal = refusalForClaim(claim))
+        abandonClaim(key, *refusal, out);
 }
 
-std::optional<KeyRegistry::Refusal> KeyRegistry::refusalOf(const Claim &claim) const
+std::optional<KeyRegistry::Refusal> KeyRegistry::refusalForClaim(const Claim &claim) const
 {
     if (claim.holder) {
         // A holder that is gone took with it whether it ran the key.
-        if (m_keeper.view().isGone(*claim.holder, m_keeper.view().list().revision))
+        if (m_rosterCoordinator.view().isTerminated(*claim.holder,
+                                                    m_rosterCoordinator.view().list().revision))
             return Refusal {409, "holder-gone", "the node that took the operation is gone", {}};
         return std::nullopt;
     }
     if (claim.witnesses.size() - claim.no.size() < claim.quorum)
         return Refusal {503, "witnesses-abstain", "too few witnesses know of the key's time",
-                        repeatWait};
+                        defaultRetryAfter};
     return std::nullopt;
 }
 
-void KeyRegistry::giveUp(const std::string &key, const Refusal &refusal, KeyOutput &out)
+void KeyRegistry::abandonClaim(const std::string &key, const Refusal &refusal, KeyOutput &out)
 {
-    const auto it = m_held.find(key);
-    const KeyRequest request = it->second.request;
+    const auto it = m_heldKeys.find(key);
+    const KeyRequestId request = it->second.request;
     releaseClaim(key, *it->second.claim, out);
     refuse(request, key, refusal, out);
-    m_claiming.erase(key);
-    m_held.erase(it);
+    m_claimingKeys.erase(key);
+    m_heldKeys.erase(it);
 }
 
 void KeyRegistry::resendClaims(KeyOutput &out)
 {
-    const std::vector<std::string> keys(m_claiming.begin(), m_claiming.end());
+    const std::vector<std::string> keys(m_claimingKeys.begin(), m_claimingKeys.end());
     for (const std::string &key : keys) {
-        Held &held = m_held.at(key);
+        Held &held = m_heldKeys.at(key);
         if (m_now >= held.claim->deadline) {
-            giveUp(key, {503, "witnesses-silent", "too few witnesses answered", repeatWait}, out);
+            abandonClaim(key,
+                         {503, "witnesses-silent", "too few witnesses answered", defaultRetryAfter},
+                         out);
         } else if (!isCurrent(key, *held.claim)) {
             startClaim(key, held, out);
         } else if (m_now >= held.claim->resendAt) {
@@ -176,31 +181,31 @@
     }
 }
 
-void KeyRegistry::take(const NodeRun &from, const KeyClaim &claim, KeyOutput &out)
+void KeyRegistry::handle(const NodeRun &from, const KeyClaim &claim, KeyOutput &out)
 {
-    const VoteResult result
-        = m_witness.vote(claim.key, {from, claim.roster, claim.claim}, m_keeper.chain(), m_wall);
+    const VoteResult result = m_witness.vote(claim.key, {from, claim.roster, claim.claim},
+                                             m_rosterCoordinator.chain(), m_wall);
     if (result.vote == Vote::Stale)
         return;
     if (result.vote == Vote::OtherRoster)
-        m_keeper.sendNews(from.node, out);
+        m_rosterCoordinator.sendRosterUpdate(from.node, out);
     out.sends.push_back(
         {from.node,
          KeyVote {claim.key, claim.roster, claim.claim, static_cast<std::uint8_t>(result.vote),
                   result.holder.node.str(), result.holder.incarnation, from.incarnation}});
 }
 
-void KeyRegistry::take(const NodeRun &from, const KeyVote &vote, KeyOutput &out)
+void KeyRegistry::handle(const NodeRun &from, const KeyVote &vote, KeyOutput &out)
 {
-    const auto it = m_held.find(vote.key);
-    if (it == m_held.end() || it->second.phase != KeyPhase::Claiming)
+    const auto it = m_heldKeys.find(vote.key);
+    if (it == m_heldKeys.end() || it->second.phase != KeyPhase::Claiming)
         return;
     const Claim &claim = *it->second.claim;
     const bool isWitness
         = std::find(claim.witnesses.begin(), claim.witnesses.end(), from) != claim.witnesses.end();
     // A vote for an earlier run of this node is no vote for this one: that run may have dispatched
     // the key, and the witness holds it for that run alone.
-    if (vote.askerIncarnation != m_options.incarnation)
+    if (vote.requesterIncarnation != m_options.incarnation)
         return;
     // Votes of another roster, of an earlier claim or of a witness that restarted don't add up.
     if (!isWitness || vote.claim != claim.number || vote.roster != claim.roster)
@@ -209,21 +214,21 @@
               {static_cast<Vote>(vote.vote), {NodeId(vote.holder), vote.holderIncarnation}}, out);
 }
 
-void KeyRegistry::take(const NodeRun &from, const KeyRelease &release, KeyOutput &out)
+void KeyRegistry::handle(const NodeRun &from, const KeyRelease &release, KeyOutput &out)
 {
     static_cast<void>(out);
     m_witness.release(release.key, from, release.claim);
 }
 
-void KeyRegistry::take(const NodeRun &from, const KeyQuery &query, KeyOutput &out)
+void KeyRegistry::handle(const NodeRun &from, const KeyQuery &query, KeyOutput &out)
 {
     KeyState state;
     state.key = query.key;
     state.query = query.query;
-    state.askerIncarnation = from.incarnation;
+    state.requesterIncarnation = from.incarnation;
     state.state = static_cast<std::uint8_t>(KeyPhase::Unknown);
-    const auto it = m_held.find(query.key);
-    if (it != m_held.end()) {
+    const auto it = m_heldKeys.find(query.key);
+    if (it != m_heldKeys.end()) {
         const Held &held = it->second;
         state.state = static_cast<std::uint8_t>(held.phase);
         state.status = held.status;
@@ -237,21 +242,21 @@
         // A witness remembers a claim of this run that was given up: its release was lost, or came
         // before the claim. Without another release the key would be refused for its lifetime.
         Claim claim;
-        claim.number = m_claims;
+        claim.number = m_claimCount;
         static_cast<void>(chooseWitnesses(parseKey(query.key), claim));
         releaseClaim(query.key, claim, out);
     }
     out.sends.push_back({from.node, std::move(state)});
 }
 
-void KeyRegistry::take(const NodeRun &from, const KeyState &state, KeyOutput &out)
+void KeyRegistry::handle(const NodeRun &from, const KeyState &state, KeyOutput &out)
 {
-    const auto it = m_held.find(state.key);
-    if (it == m_held.end() || it->second.phase != KeyPhase::Claiming)
+    const auto it = m_heldKeys.find(state.key);
+    if (it == m_heldKeys.end() || it->second.phase != KeyPhase::Claiming)
         return;
     const Held &held = it->second;
     if (state.query != held.claim->number || held.claim->holder != from
-        || state.askerIncarnation != m_options.incarnation)
+        || state.requesterIncarnation != m_options.incarnation)
         return;
     const auto phase = static_cast<KeyPhase>(state.state);
     if (phase == KeyPhase::Unknown) {
@@ -262,38 +267,39 @@
     if (phase == KeyPhase::Claiming && self().node < from.node)
         return;
     if (state.bodyHash != held.bodyHash) {
-        giveUp(state.key, {422, "key-reused", "the key names another request", {}}, out);
+        abandonClaim(state.key, {422, "key-reused", "the key names another request", {}}, out);
     } else if (phase == KeyPhase::Finished) {
-        const KeyRequest request = held.request;
+        const KeyRequestId request = held.request;
         static_cast<void>(release(state.key, out));
         out.decisions.emplace_back(
-            KeyAnswered {request, state.key, state.status, state.headers, state.body});
+            KeyReplayed {request, state.key, state.status, state.headers, state.body});
     } else if (phase == KeyPhase::Failed) {
-        giveUp(state.key, {409, "may-have-run", "the operation may have run", {}}, out);
+        abandonClaim(state.key, {409, "may-have-run", "the operation may have run", {}}, out);
     } else {
-        giveUp(state.key, {409, "key-in-use", "the operation is in progress", repeatWait}, out);
+        abandonClaim(state.key,
+                     {409, "key-in-use", "the operation is in progress", defaultRetryAfter}, out);
     }
 }
 
-void KeyRegistry::take(const NodeRun &from, const RosterNews &news, KeyOutput &out)
+void KeyRegistry::handle(const NodeRun &from, const RosterUpdate &update, KeyOutput &out)
 {
-    m_keeper.onNews(from, news, out);
+    m_rosterCoordinator.onRosterUpdate(from, update, out);
 }
 
-void KeyRegistry::take(const NodeRun &from, const RosterProposal &proposal, KeyOutput &out)
+void KeyRegistry::handle(const NodeRun &from, const RosterProposal &proposal, KeyOutput &out)
 {
-    m_keeper.onProposal(from, proposal, m_now, m_wall, out);
+    m_rosterCoordinator.onProposal(from, proposal, m_now, m_wall, out);
 }
 
-void KeyRegistry::take(const NodeRun &from, const RosterConsent &consent, KeyOutput &out)
+void KeyRegistry::handle(const NodeRun &from, const RosterProposalReply &consent, KeyOutput &out)
 {
-    m_keeper.onConsent(from, consent, m_now, out);
+    m_rosterCoordinator.onProposalReply(from, consent, m_now, out);
 }
 
-void KeyRegistry::take(const NodeRun &from, const RosterDecision &decision, KeyOutput &out)
+void KeyRegistry::handle(const NodeRun &from, const RosterDecision &decision, KeyOutput &out)
 {
     static_cast<void>(out);
-    m_keeper.onDecision(from, decision);
+    m_rosterCoordinator.onDecision(from, decision);
 }
 
 } // namespace berylridge
--- a/lib/Idempotency/KeyTime.cpp
+++ b/lib/Idempotency/KeyFormat.cpp
@@ -1,4 +1,4 @@
-#include "berylridge/Idempotency/KeyTime.h"
+#include "berylridge/Idempotency/KeyFormat.h"
 
 #include <charconv>
 #include <optional>
@@ -9,10 +9,10 @@
 
 constexpr std::string_view issuedPrefix = "issued-";
 constexpr std::size_t uuidSize = 36;
-constexpr std::size_t uuidVersionAt = 14;
-constexpr std::size_t uuidVariantAt = 19;
+constexpr std::size_t uuidVersionIndex = 14;
+constexpr std::size_t uuidVariantIndex = 19;
 
-std::string_view callerPart(std::string_view key)
+std::string_view callerKeyPart(std::string_view key)
 {
     const auto service = key.find('\n');
     if (service == std::string_view::npos)
@@ -23,7 +23,7 @@
     return key.substr(workspace + 1);
 }
 
-std::optional<std::uint64_t> number(std::string_view text, int base)
+std::optional<std::uint64_t> parseNumber(std::string_view text, int base)
 {
     std::uint64_t value = 0;
     const char *end = text.data() + text.size();
@@ -33,32 +33,32 @@
     return value;
 }
 
-bool hasUuidShape(std::string_view text)
+bool hasUuidFormat(std::string_view text)
 {
     if (text.size() != uuidSize)
         return false;
     for (std::size_t i = 0; i < text.size(); ++i) {
         const bool isDash = i == 8 || i == 13 || i == 18 || i == 23;
-        if (isDash ? text[i] != '-' : !number(text.substr(i, 1), 16))
+        if (isDash ? text[i] != '-' : !parseNumber(text.substr(i, 1), 16))
             return false;
     }
     return true;
 }
 
-std::optional<WallTime> uuidTime(std::string_view text)
+std::optional<WallTime> uuidTimestamp(std::string_view text)
 {
-    if (!hasUuidShape(text) || text[uuidVersionAt] != '7')
+    if (!hasUuidFormat(text) || text[uuidVersionIndex] != '7')
         return std::nullopt;
     // The variant's two leading bits are 10.
-    if ((*number(text.substr(uuidVariantAt, 1), 16) & 0xC) != 0x8)
+    if ((*parseNumber(text.substr(uuidVariantIndex, 1), 16) & 0xC) != 0x8)
         return std::nullopt;
-    const auto high = *number(text.substr(0, 8), 16);
-    const auto low = *number(text.substr(9, 4), 16);
+    const auto high = *parseNumber(text.substr(0, 8), 16);
+    const auto low = *parseNumber(text.substr(9, 4), 16);
     return WallTime(std::chrono::milliseconds((high << 16) | low));
 }
 
 /// Takes the text up to the next dash.
-std::string_view takePart(std::string_view &text)
+std::string_view takeField(std::string_view &text)
 {
     const auto dash = text.find('-');
     const auto part = text.substr(0, dash);
@@ -66,19 +66,19 @@
     return part;
 }
 
-std::optional<KeyText> issuedText(std::string_view text)
+std::optional<ParsedKey> parseIssuedKey(std::string_view text)
 {
     if (!text.starts_with(issuedPrefix))
         return std::nullopt;
     text.remove_prefix(issuedPrefix.size());
-    const auto madeAt = number(takePart(text), 10);
-    const auto sequence = number(takePart(text), 10);
-    const auto incarnation = number(takePart(text), 10);
+    const auto createdAt = parseNumber(takeField(text), 10);
+    const auto sequence = parseNumber(takeField(text), 10);
+    const auto incarnation = parseNumber(takeField(text), 10);
     // Times are kept far below the limits of their type, so that sums with lifetimes stay in it.
-    if (!madeAt || *madeAt >> 48 != 0 || !sequence || !incarnation || text.empty())
+    if (!createdAt || *createdAt >> 48 != 0 || !sequence || !incarnation || text.empty())
         return std::nullopt;
-    return KeyText {KeyKind::Issued, WallTime(std::chrono::milliseconds(*madeAt)), NodeId(text),
-                    *incarnation, *sequence};
+    return ParsedKey {KeyKind::Issued, WallTime(std::chrono::milliseconds(*createdAt)),
+                      NodeId(text), *incarnation, *sequence};
 }
 
 } // namespace
@@ -89,20 +89,20 @@
     return service.str() + '\n' + workspace.str() + '\n' + std::string(callerKey);
 }
 
-KeyText parseKey(std::string_view scopedKey)
+ParsedKey parseKey(std::string_view scopedKey)
 {
-    const auto text = callerPart(scopedKey);
-    if (const auto madeAt = uuidTime(text))
-        return KeyText {KeyKind::Timed, *madeAt, {}, 0, 0};
-    if (const auto issued = issuedText(text))
+    const auto text = callerKeyPart(scopedKey);
+    if (const auto createdAt = uuidTimestamp(text))
+        return ParsedKey {KeyKind::Timestamped, *createdAt, {}, 0, 0};
+    if (const auto issued = parseIssuedKey(text))
         return *issued;
     return {};
 }
 
-std::string issuedKeyText(const KeyText &text)
+std::string formatIssuedKey(const ParsedKey &text)
 {
-    return std::string(issuedPrefix) + std::to_string(text.madeAt.time_since_epoch().count()) + '-'
-        + std::to_string(text.sequence) + '-' + std::to_string(text.issuerIncarnation) + '-'
+    return std::string(issuedPrefix) + std::to_string(text.createdAt.time_since_epoch().count())
+        + '-' + std::to_string(text.sequence) + '-' + std::to_string(text.issuerIncarnation) + '-'
         + text.issuer.str();
 }
 
--- a/lib/Idempotency/KeyRegistry.cpp
+++ b/lib/Idempotency/KeyRegistry.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-constexpr Duration repeatWait = std::chrono::seconds(1);
-/// Old keys are looked for this many times in a lifetime.
+constexpr Duration defaultRetryAfter = std::chrono::seconds(1);
+/// Old keys are searchAndCheck for this many times in a lifetime.
 constexpr int sweepsPerLifetime = 64;
 
 std::chrono::milliseconds milliseconds(Duration duration)
@@ -18,19 +18,19 @@
     return std::chrono::ceil<std::chrono::milliseconds>(duration);
 }
 
-RosterOptions rosterOptions(const KeyOptions &options)
+RosterCoordinatorOptions rosterOptions(const KeyOptions &options)
 {
-    RosterOptions roster;
+    RosterCoordinatorOptions roster;
     roster.self = {options.node, options.incarnation};
     roster.lifetime = options.lifetime;
     roster.futureTolerance = options.futureTolerance;
-    roster.clockSkew = options.clockSkew;
-    roster.decisionWindow = options.decisionWindow;
-    roster.settleTime = options.settleTime;
-    roster.silenceLimit = options.silenceLimit;
+    roster.maxClockSkew = options.maxClockSkew;
+    roster.consentTimeout = options.consentTimeout;
+    roster.membershipStablePeriod = options.membershipStablePeriod;
+    roster.livenessTimeout = options.livenessTimeout;
     roster.gossipPeriod = options.gossipPeriod;
     roster.resendPeriod = options.resendPeriod;
-    roster.rosterLimit = options.rosterLimit;
+    roster.maxRosterMembers = options.maxRosterMembers;
     return roster;
 }
 
@@ -38,73 +38,74 @@
 
 KeyRegistry::KeyRegistry(KeyOptions options)
     : m_options(std::move(options))
-    , m_keeper(rosterOptions(m_options))
-    , m_witness(self(), {m_options.lifetime, m_options.futureTolerance, m_options.clockSkew},
-                m_options.keyLimit)
+    , m_rosterCoordinator(rosterOptions(m_options))
+    , m_witness(self(), {m_options.lifetime, m_options.futureTolerance, m_options.maxClockSkew},
+                m_options.maxKeys)
 {
 }
 
-void KeyRegistry::advance(TimePoint now, WallTime wall)
+void KeyRegistry::advanceClocks(TimePoint now, WallTime wall)
 {
     m_now = std::max(m_now, now);
     m_wall = std::max(m_wall, wall);
 }
 
-std::optional<KeyRegistry::Refusal> KeyRegistry::refusalByAge(const KeyText &text) const
+std::optional<KeyRegistry::Refusal> KeyRegistry::refusalForAge(const ParsedKey &text) const
 {
     if (text.kind == KeyKind::Opaque)
         return std::nullopt;
-    if (text.madeAt + milliseconds(m_options.lifetime) < m_wall)
+    if (text.createdAt + milliseconds(m_options.lifetime) < m_wall)
         return Refusal {409, "key-expired", "the key is older than keys are remembered", {}};
-    const auto ahead = text.madeAt - m_wall;
+    const auto ahead = text.createdAt - m_wall;
     if (ahead <= milliseconds(m_options.futureTolerance))
         return std::nullopt;
     Refusal refusal {409, "key-from-future", "the key was made in the future", {}};
     refusal.retryAfter = ahead - milliseconds(m_options.futureTolerance);
     // No clock of the fleet is two skews ahead of this one, so no node can have taken the key.
-    const auto reach
-        = milliseconds(m_options.futureTolerance) + 2 * milliseconds(m_options.clockSkew);
-    if (ahead > reach)
+    const auto maxAhead
+        = milliseconds(m_options.futureTolerance) + 2 * milliseconds(m_options.maxClockSkew);
+    if (ahead > maxAhead)
         refusal.verdict = Verdict::NotRun;
     return refusal;
 }
 
-void KeyRegistry::refuse(KeyRequest request, const std::string &key, const Refusal &refusal,
+void KeyRegistry::refuse(KeyRequestId request, const std::string &key, const Refusal &refusal,
                          KeyOutput &out)
 {
     out.decisions.emplace_back(KeyRefused {request, key, refusal.status, refusal.verdict,
                                            refusal.type, refusal.title, refusal.retryAfter});
 }
 
-void KeyRegistry::begin(KeyRequest request, const std::string &key, std::uint64_t bodyHash,
+void KeyRegistry::begin(KeyRequestId request, const std::string &key, std::uint64_t bodyHash,
                         TimePoint now, WallTime wall, KeyOutput &out)
 {
-    advance(now, wall);
-    const KeyText text = parseKey(key);
-    if (const auto refusal = refusalByAge(text)) {
+    advanceClocks(now, wall);
+    const ParsedKey text = parseKey(key);
+    if (const auto refusal = refusalForAge(text)) {
         refuse(request, key, *refusal, out);
         return;
     }
-    if (const auto it = m_held.find(key); it != m_held.end()) {
-        repeat(request, key, bodyHash, it->second, out);
+    if (const auto it = m_heldKeys.find(key); it != m_heldKeys.end()) {
+        handleRepeat(request, key, bodyHash, it->second, out);
         return;
     }
-    if (m_held.size() >= m_options.keyLimit) {
-        // Forgetting an old key instead would let a repeat of that one run again.
-        refuse(request, key, {503, "too-many-keys", "no memory for another key", repeatWait}, out);
+    if (m_heldKeys.size() >= m_options.maxKeys) {
+        // Forgetting an old key instead would let a handleRepeat of that one run again.
+        refuse(request, key, {503, "too-many-keys", "no memory for another key", defaultRetryAfter},
+               out);
         return;
     }
-    Held &held = m_held[key];
+    Held &held = m_heldKeys[key];
     held.request = request;
     held.bodyHash = bodyHash;
-    held.begunAt = m_wall;
-    held.forgetAt = forgetTime(text);
-    m_claiming.insert(key);
+    held.receivedAt = m_wall;
+    held.retainUntil = retentionEnd(text);
+    m_claimingKeys.insert(key);
     startClaim(key, held, out);
 }
 
-void KeyRegistry::repeat(KeyRequest request, const std::string &key, std::uint64_t bodyHash,
-                         const Held &held, KeyOutput &out) const
+void KeyRegistry::handleRepeat(KeyRequestId request, const std::string &key, std::uint64_t bodyHash,
+                               const Held &held, KeyOutput &out) const
 {
     if (held.bodyHash != bodyHash) {
         refuse(request, key, {422, "key-reused", "the key names another request", {}}, out);
@@ -112,7 +113,7 @@
     }
     if (held.phase == KeyPhase::Finished && held.body) {
         out.decisions.emplace_back(
-            KeyAnswered {request, key, held.status, held.headers, *held.body});
+            KeyReplayed {request, key, held.status, held.headers, *held.body});
         return;
     }
     if (held.phase == KeyPhase::Finished) {
@@ -124,96 +125,97 @@
         refuse(request, key, {409, "may-have-run", "the operation may have run", {}}, out);
         return;
     }
-    refuse(request, key, {409, "key-in-use", "the operation is in progress", repeatWait}, out);
+    refuse(request, key, {409, "key-in-use", "the operation is in progress", defaultRetryAfter},
+           out);
 }
 
-WallTime KeyRegistry::forgetTime(const KeyText &text) const
+WallTime KeyRegistry::retentionEnd(const ParsedKey &text) const
 {
     const auto lifetime = milliseconds(m_options.lifetime);
     const auto margin
-        = 2 * milliseconds(m_options.clockSkew) + milliseconds(m_options.futureTolerance);
+        = 2 * milliseconds(m_options.maxClockSkew) + milliseconds(m_options.futureTolerance);
     // This node says "not run" of a key that it doesn't hold when another asks. So it must remember
     // a key until every other clock of the fleet counts the key as expired.
     if (text.kind == KeyKind::Opaque)
         return m_wall + 2 * lifetime + margin;
-    return text.madeAt + lifetime + margin;
+    return text.createdAt + lifetime + margin;
 }
 
 bool KeyRegistry::mayDispatch(const std::string &key, TimePoint now, WallTime wall) const
 {
     static_cast<void>(now);
-    const auto it = m_held.find(key);
-    if (it == m_held.end() || it->second.phase != KeyPhase::Admitted)
+    const auto it = m_heldKeys.find(key);
+    if (it == m_heldKeys.end() || it->second.phase != KeyPhase::Admitted)
         return false;
     // A process that was paused for a lifetime wakes with an admission that its witnesses have
     // forgotten.
-    const KeyText text = parseKey(key);
-    const WallTime from = text.kind == KeyKind::Opaque ? it->second.begunAt : text.madeAt;
+    const ParsedKey text = parseKey(key);
+    const WallTime from = text.kind == KeyKind::Opaque ? it->second.receivedAt : text.createdAt;
     return std::max(wall, m_wall) <= from + milliseconds(m_options.lifetime);
 }
 
 KeyPhase KeyRegistry::phase(const std::string &key) const
 {
-    const auto it = m_held.find(key);
-    return it == m_held.end() ? KeyPhase::Unknown : it->second.phase;
+    const auto it = m_heldKeys.find(key);
+    return it == m_heldKeys.end() ? KeyPhase::Unknown : it->second.phase;
 }
 
 void KeyRegistry::dispatched(const std::string &key)
 {
-    const auto it = m_held.find(key);
-    assert(it != m_held.end() && "dispatching a key that was not admitted");
+    const auto it = m_heldKeys.find(key);
+    assert(it != m_heldKeys.end() && "dispatching a key that was not admitted");
     it->second.phase = KeyPhase::Running;
 }
 
-void KeyRegistry::notSent(const std::string &key)
+void KeyRegistry::revertDispatch(const std::string &key)
 {
-    const auto it = m_held.find(key);
-    if (it != m_held.end() && it->second.phase == KeyPhase::Running)
+    const auto it = m_heldKeys.find(key);
+    if (it != m_heldKeys.end() && it->second.phase == KeyPhase::Running)
         it->second.phase = KeyPhase::Admitted;
 }
 
 Verdict KeyRegistry::release(const std::string &key, KeyOutput &out)
 {
-    const auto it = m_held.find(key);
-    if (it == m_held.end() || it->second.phase > KeyPhase::Admitted)
+    const auto it = m_heldKeys.find(key);
+    if (it == m_heldKeys.end() || it->second.phase > KeyPhase::Admitted)
         return Verdict::MayHaveRun;
     // Before a quorum has answered, another router may hold the key and have run it.
     const bool isHolder = it->second.phase == KeyPhase::Admitted;
     if (it->second.claim)
         releaseClaim(key, *it->second.claim, out);
-    m_claiming.erase(key);
-    m_held.erase(it);
+    m_claimingKeys.erase(key);
+    m_heldKeys.erase(it);
     return isHolder ? Verdict::NotRun : Verdict::MayHaveRun;
 }
 
 void KeyRegistry::finished(const std::string &key, unsigned status, std::vector<KeyHeader> headers,
                            std::optional<std::string> body)
 {
-    const auto it = m_held.find(key);
-    if (it == m_held.end())
+    const auto it = m_heldKeys.find(key);
+    if (it == m_heldKeys.end())
         return;
     Held &held = it->second;
     held.phase = KeyPhase::Finished;
     held.status = status;
     held.claim.reset();
     held.headers = std::move(headers);
-    keep(key, held, std::move(body));
+    storeResponse(key, held, std::move(body));
 }
 
-void KeyRegistry::keep(const std::string &key, Held &held, std::optional<std::string> body)
+void KeyRegistry::storeResponse(const std::string &key, Held &held, std::optional<std::string> body)
 {
-    if (!body || body->size() > m_options.keptAnswerLimit)
+    if (!body || body->size() > m_options.maxStoredResponseBodyBytes)
         return;
-    m_keptBytes += body->size();
+    m_storedResponseBytes += body->size();
     held.body = std::move(body);
-    m_kept.push_back(key);
-    while (m_keptBytes > m_options.keptBytes) {
+    m_storedResponseKeys.push_back(key);
+    while (m_storedResponseBytes > m_options.maxStoredResponseBytes) {
         // Only the answer goes; that the key was run stays known.
-        const auto oldest = m_held.find(m_kept.front());
-        m_kept.pop_front();
-        if (oldest == m_held.end() || !oldest->second.body)
+        const auto oldest = m_heldKeys.find(m_storedResponseKeys.front());
+        m_storedResponseKeys.pop_front();
+        if (oldest == m_heldKeys.end() || !oldest->second.body)
             continue;
-        m_keptBytes -= oldest->second.body->size();
+        m_storedResponseBytes -= oldest->second.body->size();
         oldest->second.body.reset();
         oldest->second.headers.clear();
     }
@@ -221,8 +223,8 @@
 
 void KeyRegistry::failed(const std::string &key)
 {
-    const auto it = m_held.find(key);
-    if (it == m_held.end() || it->second.phase == KeyPhase::Finished)
+    const auto it = m_heldKeys.find(key);
+    if (it == m_heldKeys.end() || it->second.phase == KeyPhase::Finished)
         return;
     it->second.phase = KeyPhase::Failed;
     it->second.claim.reset();
@@ -230,79 +232,80 @@
 
 std::string KeyRegistry::issueKey(TimePoint now, WallTime wall)
 {
-    advance(now, wall);
+    advanceClocks(now, wall);
     return m_witness.issueKey(m_wall);
 }
 
-void KeyRegistry::forgetOld()
+void KeyRegistry::removeExpiredKeys()
 {
-    if (m_wall < m_forgetAt)
+    if (m_wall < m_nextSweepAt)
         return;
-    m_forgetAt = m_wall + milliseconds(m_options.lifetime) / sweepsPerLifetime;
+    m_nextSweepAt = m_wall + milliseconds(m_options.lifetime) / sweepsPerLifetime;
     m_witness.prune(m_wall);
-    std::erase_if(m_held, [&](const auto &item) {
+    std::erase_if(m_heldKeys, [&](const auto &item) {
         const Held &held = item.second;
         // A running one stays until its attempt ends.
-        if (held.forgetAt >= m_wall || held.phase < KeyPhase::Finished)
+        if (held.retainUntil >= m_wall || held.phase < KeyPhase::Finished)
             return false;
-        m_keptBytes -= held.body ? held.body->size() : 0;
+        m_storedResponseBytes -= held.body ? held.body->size() : 0;
         return true;
     });
-    std::erase_if(m_kept, [&](const std::string &key) { return !m_held.contains(key); });
+    std::erase_if(m_storedResponseKeys,
+                  [&](const std::string &key) { return !m_heldKeys.contains(key); });
 }
 
 void KeyRegistry::onMessage(const NodeId &from, Incarnation incarnation, const KeyMessage &message,
                             TimePoint now, WallTime wall, KeyOutput &out)
 {
-    advance(now, wall);
+    advanceClocks(now, wall);
     const NodeRun run {from, incarnation};
-    m_keeper.onHeard(run, m_now, out);
-    std::visit([&](const auto &body) { take(run, body, out); }, message);
+    m_rosterCoordinator.onMessageFrom(run, m_now, out);
+    std::visit([&](const auto &body) { handle(run, body, out); }, message);
 }
 
 void KeyRegistry::onMembers(std::span<const KeyMember> members, TimePoint now, WallTime wall,
                             KeyOutput &out)
 {
-    advance(now, wall);
-    m_keeper.onMembers(members, m_now, out);
+    advanceClocks(now, wall);
+    m_rosterCoordinator.onMembers(members, m_now, out);
 }
 
 void KeyRegistry::onVmList(const VmList &list, TimePoint now, WallTime wall, KeyOutput &out)
 {
     static_cast<void>(out);
-    advance(now, wall);
-    m_keeper.onVmList(list, m_now);
+    advanceClocks(now, wall);
+    m_rosterCoordinator.onVmList(list, m_now);
 }
 
 void KeyRegistry::tick(TimePoint now, WallTime wall, KeyOutput &out)
 {
-    advance(now, wall);
-    m_keeper.tick(m_now, m_wall, out);
+    advanceClocks(now, wall);
+    m_rosterCoordinator.tick(m_now, m_wall, out);
     resendClaims(out);
-    forgetOld();
+    removeExpiredKeys();
 }
 
 TimePoint KeyRegistry::nextTimer() const
 {
-    TimePoint next = m_keeper.nextTimer();
-    for (const std::string &key : m_claiming) {
-        const Claim &claim = *m_held.at(key).claim;
+    TimePoint next = m_rosterCoordinator.nextTimer();
+    for (const std::string &key : m_claimingKeys) {
+        const Claim &claim = *m_heldKeys.at(key).claim;
         next = std::min({next, claim.resendAt, claim.deadline});
     }
     return next;
 }
 
-bool KeyRegistry::takesKeysMadeNow(WallTime wall) const
+bool KeyRegistry::acceptsNewKeys(WallTime wall) const
 {
-    const Roster *roster
-        = m_keeper.chain().rosterAt(std::max(wall, m_wall) - milliseconds(m_options.clockSkew));
-    return roster && m_keeper.chain().lastActive();
+    const Roster *roster = m_rosterCoordinator.chain().rosterAt(
+        std::max(wall, m_wall) - milliseconds(m_options.maxClockSkew));
+    return roster && m_rosterCoordinator.chain().lastActive();
 }
 
 std::string KeyRegistry::describe() const
 {
     std::map<std::string, std::string> sorted;
-    for (const auto &[key, held] : m_held) {
+    for (const auto &[key, held] : m_heldKeys) {
         std::string &text = sorted[key];
         text = std::to_string(static_cast<int>(held.phase)) + '/' + std::to_string(held.request);
         if (!held.claim)
@@ -316,12 +319,12 @@
         if (held.claim->holder)
             text += " ?" + held.claim->holder->node.str();
     }
-    std::string text = m_keeper.describe() + '|' + m_witness.describe() + '|';
+    std::string text = m_rosterCoordinator.describe() + '|' + m_witness.describe() + '|';
     for (const auto &[key, held] : sorted) {
         text += key;
         text += ':' + held;
     }
-    return text + std::to_string(m_claims);
+    return text + std::to_string(m_claimCount);
 }
 
 } // namespace berylridge
--- a/lib/Idempotency/Roster.cpp
+++ b/lib/Idempotency/Roster.cpp
@@ -59,11 +59,11 @@
     return message;
 }
 
-const Roster *RosterChain::rosterAt(WallTime madeAt) const
+const Roster *RosterChain::rosterAt(WallTime createdAt) const
 {
     const auto next
         = std::partition_point(m_rosters.begin(), m_rosters.end(),
-                               [&](const Roster &roster) { return roster.startsAt < madeAt; });
+                               [&](const Roster &roster) { return roster.startsAt < createdAt; });
     return next == m_rosters.begin() ? nullptr : &*std::prev(next);
 }
 
@@ -81,7 +81,7 @@
     return it == m_rosters.rend() ? nullptr : &*it;
 }
 
-std::span<const Roster> RosterChain::open() const
+std::span<const Roster> RosterChain::live() const
 {
     const std::span<const Roster> rosters = m_rosters;
     const Roster *active = lastActive();
@@ -95,9 +95,9 @@
         m_rosters.insert(it, roster);
         return true;
     }
-    const bool isNews = roster.isActive && !it->isActive;
+    const bool isChanged = roster.isActive && !it->isActive;
     it->isActive |= roster.isActive;
-    return isNews;
+    return isChanged;
 }
 
 void RosterChain::remove(RosterId id)
@@ -108,10 +108,10 @@
 
 void RosterChain::prune(WallTime before)
 {
-    const auto open = this->open();
+    const auto live = this->live();
     std::size_t count = 0;
-    const std::size_t closed = m_rosters.size() - open.size();
-    while (count < closed && m_rosters[count + 1].startsAt < before)
+    const std::size_t superseded = m_rosters.size() - live.size();
+    while (count < superseded && m_rosters[count + 1].startsAt < before)
         ++count;
     m_rosters.erase(m_rosters.begin(), m_rosters.begin() + static_cast<std::ptrdiff_t>(count));
 }
--- /dev/null
+++ b/lib/Idempotency/RosterCoordinator.cpp
@@ -0,0 +1,439 @@
+#include "berylridge/Idempotency/RosterCoordinator.h"
+
+#include "berylridge/Support/Hash.h"
+
+#include <algorithm>
+#include <map>
+#include <utility>
+
+namespace berylridge {
+
+namespace {
+
+constexpr std::size_t maxRostersPerUpdate = 6;
+/// Between a proposal that failed and the next, in settle times.
+constexpr int proposalBackoffFactor = 2;
+
+std::chrono::milliseconds milliseconds(Duration duration)
+{
+    return std::chrono::ceil<std::chrono::milliseconds>(duration);
+}
+
+} // namespace
+
+RosterCoordinator::RosterCoordinator(RosterCoordinatorOptions options)
+    : m_options(std::move(options))
+    , m_view(m_options.self, m_options.livenessTimeout)
+    , m_nextProposalAt(TimePoint::max())
+{
+}
+
+void RosterCoordinator::onMessageFrom(const NodeRun &from, TimePoint now, KeyOutput &out)
+{
+    m_view.setNow(now);
+    if (!m_view.recordMessage(from))
+        return;
+    m_nextProposalAt = now + m_options.membershipStablePeriod;
+    sendRosterUpdate(from.node, out);
+}
+
+void RosterCoordinator::onMembers(std::span<const KeyMember> members, TimePoint now, KeyOutput &out)
+{
+    m_view.setNow(now);
+    const std::vector<NodeRun> before = m_view.aliveRuns();
+    if (!m_view.setMembers(members))
+        return;
+    m_nextProposalAt = now + m_options.membershipStablePeriod;
+    for (const NodeRun &run : m_view.aliveRuns()) {
+        if (!std::binary_search(before.begin(), before.end(), run))
+            sendRosterUpdate(run.node, out);
+    }
+}
+
+void RosterCoordinator::onVmList(const VmList &list, TimePoint now)
+{
+    m_view.setNow(now);
+    if (m_view.setList(list)) {
+        m_nextProposalAt = now + m_options.membershipStablePeriod;
+        m_nextGossipAt = now;
+    }
+}
+
+std::vector<NodeRun> RosterCoordinator::candidates(bool onlyAlive) const
+{
+    // Zone by zone in turn, so that a lost zone takes as few of them as can be.
+    std::map<ZoneId, std::vector<std::pair<std::uint64_t, NodeRun>>> zones;
+    for (const VmEntry &entry : m_view.list().vms) {
+        const bool isSelf = entry.node == m_options.self.node;
+        const NodeRun run = isSelf ? m_options.self : m_view.aliveRun(entry.node);
+        if (onlyAlive && (run.incarnation == 0 || m_view.isLeaving(entry.node)))
+            continue;
+        zones[entry.zone].emplace_back(rendezvousWeight("roster", entry.node.str()), run);
+    }
+    for (auto &[zone, runs] : zones)
+        std::sort(runs.begin(), runs.end());
+    std::vector<NodeRun> wanted;
+    for (bool isAnyAdded = true; isAnyAdded && wanted.size() < m_options.maxRosterMembers;) {
+        isAnyAdded = false;
+        for (auto &[zone, runs] : zones) {
+            if (runs.empty() || wanted.size() >= m_options.maxRosterMembers)
+                continue;
+            wanted.push_back(runs.back().second);
+            runs.pop_back();
+            isAnyAdded = true;
+        }
+    }
+    std::sort(wanted.begin(), wanted.end());
+    return wanted;
+}
+
+bool RosterCoordinator::isChangeWanted(const std::vector<NodeRun> &wanted) const
+{
+    if (wanted.empty())
+        return false;
+    const auto live = m_chain.live();
+    // A proposal that was never decided leaves the keys after it without witnesses.
+    return live.size() != 1 || !live.front().isActive || live.front().members != wanted;
+}
+
+bool RosterCoordinator::isProposer() const
+{
+    // Any node may propose; the lowest name does, so that proposals seldom cross.
+    const auto alive = m_view.aliveRuns();
+    return std::all_of(alive.begin(), alive.end(), [&](const NodeRun &run) {
+        return m_options.self.node <= run.node || m_view.isLeaving(run.node)
+            || !m_view.listed(run.node);
+    });
+}
+
+bool RosterCoordinator::includesMemberOf(const Roster &roster, const std::set<NodeRun> &runs) const
+{
+    return std::any_of(roster.members.begin(), roster.members.end(),
+                       [&](const NodeRun &member) { return runs.contains(member); });
+}
+
+bool RosterCoordinator::addListedRecipients(std::set<NodeRun> &runs) const
+{
+    // A list that doesn't name this node is older than it: it may leave out all who are in a
+    // roster.
+    if (!m_view.listed(m_options.self.node))
+        return false;
+    std::size_t listed = 0;
+    for (const VmEntry &entry : m_view.list().vms) {
+        const bool isSelf = entry.node == m_options.self.node;
+        const NodeRun run = isSelf ? m_options.self : m_view.aliveRun(entry.node);
+        if (run.incarnation != 0) {
+            runs.insert(run);
+            ++listed;
+        } else if (m_view.isUnresponsive(entry.node)) {
+            return false; // it may be in a roster that nobody here has alive of
+        }
+    }
+    for (const NodeRun &run : m_view.aliveRuns())
+        runs.insert(run);
+    return listed > m_view.list().vms.size() / 2;
+}
+
+std::optional<std::set<NodeRun>> RosterCoordinator::proposalRecipients(
+    const std::vector<NodeRun> &wanted) const
+{
+    std::set<NodeRun> runs(wanted.begin(), wanted.end());
+    runs.insert(m_options.self);
+    for (const Roster &roster : m_chain.live()) {
+        for (const NodeRun &member : roster.members) {
+            if (member != m_options.self && m_view.isTerminated(member, roster.listRevision))
+                continue;
+            // A silent member may still vote, and may have consented to what nobody here knows.
+            if (member != m_options.self && !m_view.isAlive(member))
+                return std::nullopt;
+            runs.insert(member);
+        }
+    }
+    const auto live = m_chain.live();
+    const bool hasMemberOfEachRoster = !live.empty()
+        && std::all_of(live.begin(), live.end(),
+                       [&](const Roster &roster) { return includesMemberOf(roster, runs); });
+    // Where no member of a known roster is left, they may have made another one before they went.
+    // Its members stand in the list or are alive, so all of these are recipients.
+    if (!hasMemberOfEachRoster && !addListedRecipients(runs))
+        return std::nullopt;
+    return runs;
+}
+
+std::chrono::milliseconds RosterCoordinator::minStartDelay() const
+{
+    return milliseconds(m_options.futureTolerance) + 2 * milliseconds(m_options.maxClockSkew);
+}
+
+void RosterCoordinator::propose(TimePoint now, WallTime wall, KeyOutput &out)
+{
+    const auto wanted = wantedMembers();
+    if (!isProposer() || !isChangeWanted(wanted))
+        return;
+    auto recipients = proposalRecipients(wanted);
+    if (!recipients)
+        return;
+    Proposal proposal;
+    proposal.roster.proposer = m_options.self;
+    proposal.roster.sequence = ++m_sequence;
+    // Members that are gone by now voted for no key beyond their own clocks and the tolerance, and
+    // two clocks differ by two skews at most. The window is for those that are recipients.
+    proposal.roster.startsAt = wall + minStartDelay() + milliseconds(m_options.consentTimeout);
+    proposal.roster.listRevision = m_view.list().revision;
+    proposal.roster.members = wanted;
+    proposal.roster = makeRoster(rosterMessage(proposal.roster));
+    for (const Roster &roster : m_chain.live())
+        proposal.baseRosters.push_back(roster.id);
+    proposal.recipients = std::move(*recipients);
+    proposal.deadline = now + m_options.consentTimeout;
+    if (!consent(proposal.roster, proposal.baseRosters, wall))
+        return;
+    proposal.consented.insert(m_options.self);
+    m_proposal = std::move(proposal);
+    sendProposal(now, out);
+    tryToDecide(now, out);
+}
+
+void RosterCoordinator::sendProposal(TimePoint now, KeyOutput &out)
+{
+    for (const NodeRun &run : m_proposal->recipients) {
+        if (!m_proposal->consented.contains(run)) {
+            out.sends.push_back(
+                {run.node,
+                 RosterProposal {rosterMessage(m_proposal->roster), m_proposal->baseRosters}});
+        }
+    }
+    m_proposal->resendAt = now + m_options.resendPeriod;
+}
+
+bool RosterCoordinator::consent(const Roster &roster, std::span<const RosterId> baseRosters,
+                                WallTime wall)
+{
+    if (m_chain.find(roster.id))
+        return true;
+    // This run may have voted for any key up to the tolerance. Those keys must stay with the roster
+    // in which it voted: the new one's members know nothing of them.
+    if (roster.startsAt <= wall + milliseconds(m_options.futureTolerance))
+        return false;
+    const auto all = m_chain.all();
+    if (!all.empty() && roster.startsAt <= all.back().startsAt)
+        return false;
+    // Consent to a roster whose proposer doesn't ask the members of one that is live here would let
+    // both admit a key.
+    for (const Roster &live : m_chain.live()) {
+        if (std::find(baseRosters.begin(), baseRosters.end(), live.id) == baseRosters.end())
+            return false;
+    }
+    return m_chain.add(roster);
+}
+
+void RosterCoordinator::onProposal(const NodeRun &from, const RosterProposal &proposal,
+                                   TimePoint now, WallTime wall, KeyOutput &out)
+{
+    Roster roster = makeRoster(proposal.roster);
+    roster.isActive = false;
+    if (roster.proposer != from)
+        return;
+    if (m_proposal && from.node < m_options.self.node)
+        abandonProposal(now, out);
+    const bool isGranted = !m_proposal && consent(roster, proposal.baseRosters, wall);
+    RosterProposalReply reply {roster.id, isGranted, {}};
+    for (const Roster &live : m_chain.live()) {
+        if (!isGranted && live.proposer != m_options.self)
+            reply.known.push_back(rosterMessage(live));
+    }
+    // An own roster is told only once it is active: a proposed one is given up or decided here.
+    for (const Roster &live : m_chain.live()) {
+        if (!isGranted && live.proposer == m_options.self && live.isActive)
+            reply.known.push_back(rosterMessage(live));
+    }
+    out.sends.push_back({from.node, std::move(reply)});
+}
+
+void RosterCoordinator::onProposalReply(const NodeRun &from, const RosterProposalReply &consent,
+                                        TimePoint now, KeyOutput &out)
+{
+    const bool isCurrentProposal = m_proposal && m_proposal->roster.id == consent.roster;
+    if (!isCurrentProposal)
+        return;
+    if (consent.isGranted) {
+        m_proposal->consented.insert(from);
+        tryToDecide(now, out);
+        return;
+    }
+    abandonProposal(now, out);
+    for (const RosterMessage &message : consent.known)
+        m_chain.add(makeRoster(message));
+    // The refusal may come from a node that missed the roster on which the proposal builds.
+    sendRosterUpdate(from.node, out);
+}
+
+bool RosterCoordinator::hasAllConsents() const
+{
+    const auto &proposal = *m_proposal;
+    for (const NodeRun &run : proposal.roster.members) {
+        if (!proposal.consented.contains(run))
+            return false;
+    }
+    return std::all_of(proposal.recipients.begin(), proposal.recipients.end(),
+                       [&](const NodeRun &run) { return proposal.consented.contains(run); });
+}
+
+void RosterCoordinator::tryToDecide(TimePoint now, KeyOutput &out)
+{
+    if (hasAllConsents()) {
+        activate(out);
+        return;
+    }
+    if (now >= m_proposal->deadline)
+        abandonProposal(now, out);
+}
+
+void RosterCoordinator::activate(KeyOutput &out)
+{
+    Roster roster = m_proposal->roster;
+    roster.isActive = true;
+    m_chain.add(roster);
+    m_activated.insert(roster.id);
+    for (const NodeRun &run : m_proposal->recipients)
+        out.sends.push_back({run.node, RosterDecision {roster.id, true}});
+    m_proposal.reset();
+    for (const NodeRun &run : m_view.aliveRuns())
+        sendRosterUpdate(run.node, out);
+}
+
+void RosterCoordinator::abandonProposal(TimePoint now, KeyOutput &out)
+{
+    // Only this run could have made it active, so the promises given for it may lapse.
+    m_chain.remove(m_proposal->roster.id);
+    for (const NodeRun &run : m_proposal->recipients)
+        out.sends.push_back({run.node, RosterDecision {m_proposal->roster.id, false}});
+    m_proposal.reset();
+    m_nextProposalAt = now + proposalBackoffFactor * m_options.membershipStablePeriod;
+}
+
+void RosterCoordinator::onDecision(const NodeRun &from, const RosterDecision &decision)
+{
+    const Roster *roster = m_chain.find(decision.roster);
+    if (!roster || roster->proposer != from)
+        return;
+    if (!decision.isActive) {
+        m_chain.remove(decision.roster);
+        return;
+    }
+    Roster active = *roster;
+    active.isActive = true;
+    m_chain.add(active);
+}
+
+void RosterCoordinator::onRosterUpdate(const NodeRun &from, const RosterUpdate &update,
+                                       KeyOutput &out)
+{
+    for (const RosterMessage &message : update.rosters) {
+        const Roster roster = makeRoster(message);
+        if (message.isActive) {
+            m_chain.add(roster);
+            continue;
+        }
+        // The sender asks how its consent terminated. A roster still to be decided is not answered.
+        const bool isPending = m_proposal && m_proposal->roster.id == roster.id;
+        if (roster.proposer == m_options.self && !isPending)
+            out.sends.push_back(
+                {from.node, RosterDecision {roster.id, m_activated.contains(roster.id)}});
+    }
+    // Only the nodes of a zone probe each other, and the proposer may sit in another one.
+    for (const RosterMemberMessage &run : update.terminated)
+        m_view.addTerminated({NodeId(run.node), run.incarnation});
+    const Roster *latest = m_chain.lastActive();
+    if (latest && latest->id != update.latest)
+        sendRosterUpdate(from.node, out);
+}
+
+void RosterCoordinator::sendRosterUpdate(const NodeId &to, KeyOutput &out) const
+{
+    if (to == m_options.self.node)
+        return;
+    RosterUpdate update;
+    const Roster *latest = m_chain.lastActive();
+    update.latest = latest ? latest->id : 0;
+    update.terminated = terminatedMembers();
+    const auto all = m_chain.all();
+    for (auto it = all.rbegin(); it != all.rend() && update.rosters.size() < maxRostersPerUpdate;
+         ++it) {
+        if (it->isActive)
+            update.rosters.push_back(rosterMessage(*it));
+    }
+    out.sends.push_back({to, std::move(update)});
+}
+
+std::vector<RosterMemberMessage> RosterCoordinator::terminatedMembers() const
+{
+    std::vector<RosterMemberMessage> terminated;
+    for (const Roster &roster : m_chain.live()) {
+        for (const NodeRun &member : roster.members) {
+            if (m_view.isProvenTerminated(member))
+                terminated.push_back({member.node.str(), member.incarnation});
+        }
+    }
+    return terminated;
+}
+
+void RosterCoordinator::sendGossip(TimePoint now, KeyOutput &out)
+{
+    m_nextGossipAt = now + m_options.gossipPeriod;
+    std::set<NodeId> peers;
+    for (const NodeRun &run : candidates(false))
+        peers.insert(run.node);
+    const Roster *latest = m_chain.lastActive();
+    for (const NodeRun &member : latest ? latest->members : std::vector<NodeRun>())
+        peers.insert(member.node);
+    peers.erase(m_options.self.node);
+    for (const NodeId &peer : peers)
+        out.sends.push_back(
+            {peer, RosterUpdate {latest ? latest->id : 0, {}, terminatedMembers()}});
+    for (const Roster &roster : m_chain.live()) {
+        if (!roster.isActive && roster.proposer != m_options.self)
+            out.sends.push_back(
+                {roster.proposer.node, RosterUpdate {0, {rosterMessage(roster)}, {}}});
+    }
+}
+
+void RosterCoordinator::tick(TimePoint now, WallTime wall, KeyOutput &out)
+{
+    m_view.setNow(now);
+    if (m_proposal && now >= m_proposal->resendAt)
+        sendProposal(now, out);
+    if (m_proposal)
+        tryToDecide(now, out);
+    if (!m_proposal && now >= m_nextProposalAt) {
+        m_nextProposalAt = now + m_options.membershipStablePeriod;
+        propose(now, wall, out);
+    }
+    if (now >= m_nextGossipAt)
+        sendGossip(now, out);
+    m_chain.prune(wall - milliseconds(m_options.lifetime));
+}
+
+TimePoint RosterCoordinator::nextTimer() const
+{
+    TimePoint next = std::min(m_nextGossipAt, m_nextProposalAt);
+    if (m_proposal)
+        next = std::min({next, m_proposal->resendAt, m_proposal->deadline});
+    return next;
+}
+
+std::string RosterCoordinator::describe() const
+{
+    std::string text = m_chain.describe() + m_view.describe();
+    text += std::to_string(m_nextProposalAt.time_since_epoch().count()) + ' '
+        + std::to_string(m_nextGossipAt.time_since_epoch().count());
+    if (!m_proposal)
+        return text;
+    text += '!' + std::to_string(m_proposal->roster.id) + ' '
+        + std::to_string(m_proposal->deadline.time_since_epoch().count());
+    for (const NodeRun &run : m_proposal->consented)
+        text += ' ' + run.node.str() + std::to_string(run.incarnation);
+    return text;
+}
+
+} // namespace berylridge
--- a/lib/Idempotency/Witness.cpp
+++ b/lib/Idempotency/Witness.cpp
@@ -13,29 +13,29 @@
 
 } // namespace
 
-Witness::Witness(NodeRun self, KeyLimits limits, std::size_t recordLimit)
+Witness::Witness(NodeRun self, KeyTimeLimits limits, std::size_t maxRecords)
     : m_self(std::move(self))
     , m_limits(limits)
-    , m_recordLimit(recordLimit)
+    , m_maxRecords(maxRecords)
 {
 }
 
-VoteResult Witness::vote(const std::string &key, const WitnessedClaim &claim,
+VoteResult Witness::vote(const std::string &key, const ReceivedClaim &claim,
                          const RosterChain &chain, WallTime wall)
 {
-    const KeyText text = parseKey(key);
-    const Vote eligible = eligibility(text, claim.roster, chain, wall);
+    const ParsedKey text = parseKey(key);
+    const Vote eligible = eligibilityVote(text, claim.roster, chain, wall);
     if (eligible != Vote::Yes)
         return {eligible, {}};
     const auto it = m_records.find(key);
     if (it == m_records.end()) {
-        if (m_records.size() >= m_recordLimit)
+        if (m_records.size() >= m_maxRecords)
             return {Vote::Full, {}};
-        m_records[key] = {claim.asker, claim.claim, expiryOf(text, wall)};
+        m_records[key] = {claim.claimant, claim.claim, expiryOf(text, wall)};
         return {Vote::Yes, {}};
     }
     Record &record = it->second;
-    if (record.holder != claim.asker)
+    if (record.holder != claim.claimant)
         return {Vote::Held, record.holder};
     if (claim.claim < record.claim)
         return {Vote::Stale, {}};
@@ -44,20 +44,21 @@
     return {Vote::Yes, {}};
 }
 
-void Witness::release(const std::string &key, const NodeRun &asker, std::uint64_t claim)
+void Witness::release(const std::string &key, const NodeRun &claimant, std::uint64_t claim)
 {
     const auto it = m_records.find(key);
-    if (it == m_records.end() || it->second.holder != asker)
+    if (it == m_records.end() || it->second.holder != claimant)
         return;
-    // A release that was overtaken by the asker's next claim must not free that one: another router
-    // would be admitted beside it.
+    // A release that was overtaken by the claimant's next claim must not free that one: another
+    // router would be admitted beside it.
     if (it->second.claim <= claim)
         m_records.erase(it);
 }
 
 std::string Witness::issueKey(WallTime wall)
 {
-    return issuedKeyText({KeyKind::Issued, wall, m_self.node, m_self.incarnation, ++m_issued});
+    return formatIssuedKey(
+        {KeyKind::Issued, wall, m_self.node, m_self.incarnation, ++m_issuedCount});
 }
 
 void Witness::prune(WallTime wall)
@@ -65,49 +66,52 @@
     std::erase_if(m_records, [&](const auto &item) { return item.second.expiresAt < wall; });
 }
 
-Vote Witness::eligibility(const KeyText &text, RosterId asked, const RosterChain &chain,
-                          WallTime wall) const
+Vote Witness::eligibilityVote(const ParsedKey &text, RosterId claimedRoster,
+                              const RosterChain &chain, WallTime wall) const
 {
     if (text.kind == KeyKind::Opaque)
-        return opaqueEligibility(asked, chain, wall);
-    if (text.madeAt + milliseconds(m_limits.lifetime) < wall)
+        return opaqueEligibility(claimedRoster, chain, wall);
+    if (text.createdAt + milliseconds(m_limits.lifetime) < wall)
         return Vote::Expired;
     if (text.kind == KeyKind::Issued)
-        return issuedEligibility(text, asked);
+        return issuedEligibility(text, claimedRoster);
     // A vote for a key from the future could fall into the time of a roster that is made later and
     // whose members know nothing of it: they would admit the key again.
-    if (text.madeAt > wall + milliseconds(m_limits.futureTolerance))
+    if (text.createdAt > wall + milliseconds(m_limits.futureTolerance))
         return Vote::Expired;
-    return memberEligibility(chain.rosterAt(text.madeAt), asked);
+    return memberEligibility(chain.rosterAt(text.createdAt), claimedRoster);
 }
 
-Vote Witness::issuedEligibility(const KeyText &text, RosterId asked) const
+Vote Witness::issuedEligibility(const ParsedKey &text, RosterId claimedRoster) const
 {
     const bool isOwn = NodeRun {text.issuer, text.issuerIncarnation} == m_self;
     // A key that this run never issued may have been another's: a node that restarted has forgotten
     // what it admitted.
-    if (asked != issuerRoster || !isOwn || text.sequence == 0 || text.sequence > m_issued)
+    if (claimedRoster != issuerRosterId || !isOwn || text.sequence == 0
+        || text.sequence > m_issuedCount)
         return Vote::Abstain;
     return Vote::Yes;
 }
 
-Vote Witness::opaqueEligibility(RosterId asked, const RosterChain &chain, WallTime wall) const
+Vote Witness::opaqueEligibility(RosterId claimedRoster, const RosterChain &chain,
+                                WallTime wall) const
 {
     const Roster *roster = chain.rosterAt(wall);
-    const Vote eligible = memberEligibility(roster, asked);
+    const Vote eligible = memberEligibility(roster, claimedRoster);
     if (eligible != Vote::Yes)
         return eligible;
     // An opaque key doesn't tell whether an earlier roster admitted it. After a whole lifetime its
     // caller no longer sends it.
-    const auto silence = milliseconds(m_limits.lifetime) + 2 * milliseconds(m_limits.clockSkew);
-    return roster->startsAt + silence < wall ? Vote::Yes : Vote::Abstain;
+    const auto minRosterAge
+        = milliseconds(m_limits.lifetime) + 2 * milliseconds(m_limits.maxClockSkew);
+    return roster->startsAt + minRosterAge < wall ? Vote::Yes : Vote::Abstain;
 }
 
-Vote Witness::memberEligibility(const Roster *roster, RosterId asked) const
+Vote Witness::memberEligibility(const Roster *roster, RosterId claimedRoster) const
 {
     if (!roster)
         return Vote::Abstain;
-    if (roster->id != asked)
+    if (roster->id != claimedRoster)
         return Vote::OtherRoster;
     // In a proposed roster there is nothing to vote yet: members of the one before may still do so.
     if (!roster->isActive || !roster->contains(m_self))
@@ -115,14 +119,14 @@
     return Vote::Yes;
 }
 
-WallTime Witness::expiryOf(const KeyText &text, WallTime wall) const
+WallTime Witness::expiryOf(const ParsedKey &text, WallTime wall) const
 {
     const auto lifetime = milliseconds(m_limits.lifetime);
     // The lifetime of an opaque key begins at its first use, which may be a lifetime before the
     // last: the holder dispatches within one lifetime of its claim.
     if (text.kind == KeyKind::Opaque)
         return wall + 2 * lifetime;
-    return text.madeAt + lifetime;
+    return text.createdAt + lifetime;
 }
 
 std::string Witness::describe() const
--- a/lib/Router/RequestAttempts.cpp
+++ b/lib/Router/RequestAttempts.cpp
@@ -136,7 +136,7 @@
     if (!event.sentAny) {
         request.verdict = request.verdictBefore;
         if (!request.key.empty())
-            m_keys.notSent(request.key);
+            m_keys.revertDispatch(request.key);
     } else if (!request.key.empty()) {
         m_keys.failed(request.key);
     }
--- a/lib/Router/RequestManager.cpp
+++ b/lib/Router/RequestManager.cpp
@@ -247,11 +247,11 @@
         KeyMember entry;
         entry.node = node;
         entry.incarnation = member.incarnation;
-        entry.isHeard = member.state == MemberState::Live || member.state == MemberState::Joining;
+        entry.isAlive = member.state == MemberState::Live || member.state == MemberState::Joining;
         entry.isLeaving = member.state == MemberState::Leaving;
         // Not by the state: a node that a late VM list leaves out counts as gone there, but it may
         // live and vote for keys. A closed port is a proof.
-        entry.isGone = member.incarnation != 0 && member.refusedRun == member.incarnation;
+        entry.isTerminated = member.incarnation != 0 && member.refusedRun == member.incarnation;
         members.push_back(std::move(entry));
     }
     KeyOutput output;
@@ -269,7 +269,7 @@
 
 void RequestManager::carryOut(KeyOutput output)
 {
-    for (KeySend &send : output.sends)
+    for (OutgoingKeyMessage &send : output.sends)
         m_context.send(send.to, std::move(send.message));
     for (KeyDecision &decision : output.decisions) {
         const RequestHandle handle
@@ -290,7 +290,7 @@
             note(request, "refused", refused->type);
             step(request, RequestSign::GivenUp);
             finish(handle);
-        } else if (auto *answered = std::get_if<KeyAnswered>(&decision)) {
+        } else if (auto *answered = std::get_if<KeyReplayed>(&decision)) {
             note(request, "answered from a kept answer");
             m_context.act(AnswerKept {handle, answered->status, std::move(answered->headers),
                                       std::move(answered->body)});
--- a/lib/Router/RequestManager.h
+++ b/lib/Router/RequestManager.h
@@ -43,7 +43,7 @@
     void onVmList(const VmList &list);
 
     /// Whether a key that a caller makes now could be admitted.
-    bool takesKeys() const { return m_keys.takesKeysMadeNow(m_context.wall); }
+    bool takesKeys() const { return m_keys.acceptsNewKeys(m_context.wall); }
 
     /// Refuses what has waited too long and tries again what was put off.
     void tick();
--- a/unittests/Idempotency/KeyFleet.h
+++ b/unittests/Idempotency/KeyFleet.h
@@ -1,4 +1,4 @@
-// A few key registries joined by a fake network that tests cut, delay and lose by hand.
+// A few key registries joined by a fake network that tests cut, delay and loseVm by hand.
 #pragma once
 
 #include "berylridge/Idempotency/KeyRegistry.h"
@@ -15,9 +15,9 @@
 namespace berylridge::test {
 
 /// A UUIDv7 made at the time; the number tells keys of one moment apart.
-inline std::string timedKey(WallTime madeAt, unsigned number = 1)
+inline std::string timestampedKey(WallTime createdAt, unsigned number = 1)
 {
-    const auto time = static_cast<unsigned long long>(madeAt.time_since_epoch().count());
+    const auto time = static_cast<unsigned long long>(createdAt.time_since_epoch().count());
     char text[64];
     std::snprintf(text, sizeof text, "%08llx-%04llx-7000-8000-%012x", time >> 16, time & 0xFFFF,
                   number);
@@ -71,15 +71,15 @@
     void kill(const std::string &name)
     {
         const NodeId node(name);
-        m_refused[node] = nodes[node]->run.incarnation;
+        m_terminatedRuns[node] = nodes[node]->run.incarnation;
         nodes[node].reset();
     }
 
     /// A process whose VM is lost: nothing answers, nothing refuses.
-    void lose(const std::string &name) { nodes[NodeId(name)].reset(); }
+    void loseVm(const std::string &name) { nodes[NodeId(name)].reset(); }
 
     /// Publishes a VM list of the given nodes; hand it on by setList.
-    void publish(const std::vector<std::pair<std::string, std::string>> &vms)
+    void publishVmList(const std::vector<std::pair<std::string, std::string>> &vms)
     {
         ++m_list.revision;
         m_list.vms.clear();
@@ -104,7 +104,7 @@
 
     KeyRegistry &at(const std::string &name) { return nodes.at(NodeId(name))->registry; }
 
-    void begin(const std::string &name, const std::string &key, KeyRequest request = 1,
+    void begin(const std::string &name, const std::string &key, KeyRequestId request = 1,
                std::uint64_t bodyHash = 7)
     {
         KeyOutput out;
@@ -121,10 +121,10 @@
     }
 
     /// Tells a node which runs refused a connection.
-    void tellGone(const std::string &name)
+    void reportTerminated(const std::string &name)
     {
         std::vector<KeyMember> members;
-        for (const auto &[node, incarnation] : m_refused)
+        for (const auto &[node, incarnation] : m_terminatedRuns)
             members.push_back({node, incarnation, false, false, true});
         KeyOutput out;
         at(name).onMembers(members, now(), wall(), out);
@@ -134,7 +134,7 @@
     void collect(const NodeId &from, KeyOutput &out)
     {
         const NodeRun run = nodes.at(from)->run;
-        for (KeySend &send : out.sends)
+        for (OutgoingKeyMessage &send : out.sends)
             network.push_back({run, send.to, std::move(send.message)});
         for (KeyDecision &decision : out.decisions)
             decisions.push_back(std::move(decision));
@@ -154,7 +154,7 @@
         collect(message.to, out);
     }
 
-    void settle()
+    void deliverAll()
     {
         while (!network.empty())
             deliverOne();
@@ -173,12 +173,12 @@
                 state->registry.tick(now(), wall(), out);
                 collect(node, out);
             }
-            settle();
+            deliverAll();
         }
     }
 
     /// Time in which nothing happens anywhere.
-    void skip(Duration time) { m_clock.advance(time); }
+    void advanceClock(Duration time) { m_clock.advance(time); }
 
     template <typename T>
     const T *lastDecision() const
@@ -198,11 +198,11 @@
     PausedClock m_clock;
     VmList m_list;
     Incarnation m_incarnation = 100;
-    std::map<NodeId, Incarnation> m_refused;
+    std::map<NodeId, Incarnation> m_terminatedRuns;
 };
 
 /// Three zones with three nodes each, a1 to c3, that have agreed on witnesses.
-inline KeyFleet nineNodes()
+inline KeyFleet startNineNodes()
 {
     KeyFleet fleet;
     std::vector<std::pair<std::string, std::string>> vms;
@@ -210,7 +210,7 @@
         for (const std::string number : {"1", "2", "3"})
             vms.emplace_back(zone + number, zone);
     }
-    fleet.publish(vms);
+    fleet.publishVmList(vms);
     for (const auto &[name, zone] : vms)
         fleet.start(name, zone);
     fleet.run(std::chrono::seconds(10));
--- a/unittests/Idempotency/KeyPropertyTest.cpp
+++ b/unittests/Idempotency/KeyPropertyTest.cpp
@@ -18,13 +18,13 @@
 }
 
 /// A fleet to which anything may happen, and what its callers and targets saw.
-class TroubledFleet
+class FaultInjectionFleet
 {
 public:
-    explicit TroubledFleet(std::uint64_t seed)
+    explicit FaultInjectionFleet(std::uint64_t seed)
         : m_random(seed)
     {
-        publish();
+        publishVmList();
         for (const std::string &name : names)
             m_fleet.start(name, zoneOf(name));
         m_fleet.run(std::chrono::seconds(8));
@@ -33,60 +33,60 @@
 
     void step()
     {
-        switch (pick(14)) {
+        switch (randomBelow(14)) {
         case 0:
-            m_cutZone = pick(2) == 0 ? "" : zoneOf(any());
+            m_partitionedZone = randomBelow(2) == 0 ? "" : zoneOf(randomNode());
             break;
         case 1:
-            m_lossPercent = pick(3) * 20;
+            m_lossPercent = randomBelow(3) * 20;
             break;
         case 2:
-            if (pick(4) == 0)
-                restart(any());
+            if (randomBelow(4) == 0)
+                restart(randomNode());
             break;
         case 3:
-            m_fleet.nodes.at(NodeId(any()))->isPaused = pick(2) == 0;
+            m_fleet.nodes.at(NodeId(randomNode()))->isPaused = randomBelow(2) == 0;
             break;
         case 4:
-            publish();
-            m_fleet.setList(any());
+            publishVmList();
+            m_fleet.setList(randomNode());
             break;
         case 5:
             m_fleet.setListEverywhere();
             break;
         case 6:
-            m_fleet.tellGone(any());
+            m_fleet.reportTerminated(randomNode());
             break;
         case 7:
-            dispatchSome();
+            dispatchRandomKeys();
             break;
         case 8:
-            releaseSome();
+            releaseRandomKeys();
             break;
         case 9:
-            if (pick(3) == 0)
-                calmDown();
+            if (randomBelow(3) == 0)
+                healAndStabilize();
             break;
         default:
-            beginSome();
+            beginRandomKey();
             break;
         }
-        m_fleet.run(std::chrono::milliseconds(50 * (1 + pick(30))));
-        look();
+        m_fleet.run(std::chrono::milliseconds(50 * (1 + randomBelow(30))));
+        checkDecisions();
     }
 
-    std::size_t doubled() const { return m_doubled; }
+    std::size_t duplicateDispatches() const { return m_duplicateDispatches; }
     std::size_t falseNotRun() const { return m_falseNotRun; }
     std::size_t dispatches() const { return m_dispatched.size(); }
 
 private:
-    std::size_t pick(std::size_t count) { return m_random() % count; }
-    const std::string &any() { return names[pick(names.size())]; }
+    std::size_t randomBelow(std::size_t count) { return m_random() % count; }
+    const std::string &randomNode() { return names[randomBelow(names.size())]; }
 
     /// Long enough for the nodes to agree on a new roster.
-    void calmDown()
+    void healAndStabilize()
     {
-        m_cutZone.clear();
+        m_partitionedZone.clear();
         m_lossPercent = 0;
         for (const std::string &name : names)
             m_fleet.nodes.at(NodeId(name))->isPaused = false;
@@ -95,19 +95,19 @@
 
     bool isLost(const FakeMessage &message)
     {
-        const bool isCut = !m_cutZone.empty()
-            && (zoneOf(message.from.node.str()) == m_cutZone)
-                != (zoneOf(message.to.str()) == m_cutZone);
-        return isCut || pick(100) < m_lossPercent;
+        const bool isPartitioned = !m_partitionedZone.empty()
+            && (zoneOf(message.from.node.str()) == m_partitionedZone)
+                != (zoneOf(message.to.str()) == m_partitionedZone);
+        return isPartitioned || randomBelow(100) < m_lossPercent;
     }
 
-    void publish()
+    void publishVmList()
     {
         std::vector<std::pair<std::string, std::string>> vms;
         vms.reserve(names.size());
         for (const std::string &name : names)
             vms.emplace_back(name, zoneOf(name));
-        m_fleet.publish(vms);
+        m_fleet.publishVmList(vms);
     }
 
     void restart(const std::string &name)
@@ -116,35 +116,36 @@
         m_fleet.start(name, zoneOf(name));
     }
 
-    void beginSome()
+    void beginRandomKey()
     {
-        if (m_keys.empty() || pick(3) == 0)
-            m_keys.push_back(timedKey(m_fleet.wall(), ++m_number));
-        // Callers repeat what they sent last, through any routers.
+        if (m_keys.empty() || randomBelow(3) == 0)
+            m_keys.push_back(timestampedKey(m_fleet.wall(), ++m_number));
+        // Callers repeat what they sent last, through randomNode routers.
         const std::string &key
-            = m_keys[m_keys.size() - 1 - pick(std::min<std::size_t>(3, m_keys.size()))];
-        m_fleet.begin(any(), key);
-        m_fleet.begin(any(), key, 2);
+            = m_keys[m_keys.size() - 1 - randomBelow(std::min<std::size_t>(3, m_keys.size()))];
+        m_fleet.begin(randomNode(), key);
+        m_fleet.begin(randomNode(), key, 2);
     }
 
-    void dispatchSome()
+    void dispatchRandomKeys()
     {
         for (const std::string &name : names) {
             KeyRegistry &registry = m_fleet.at(name);
             for (const std::string &key : m_keys) {
-                if (pick(2) == 0 || !registry.mayDispatch(key, m_fleet.now(), m_fleet.wall()))
+                if (randomBelow(2) == 0
+                    || !registry.mayDispatch(key, m_fleet.now(), m_fleet.wall()))
                     continue;
                 registry.dispatched(key);
-                m_doubled += m_dispatched.insert(key).second ? 0 : 1;
-                if (pick(2) == 0)
+                m_duplicateDispatches += m_dispatched.insert(key).second ? 0 : 1;
+                if (randomBelow(2) == 0)
                     registry.finished(key, 200, {}, "done");
             }
         }
     }
 
-    void releaseSome()
+    void releaseRandomKeys()
     {
-        const std::string &name = any();
+        const std::string &name = randomNode();
         for (const std::string &key : m_keys) {
             if (m_fleet.at(name).phase(key) > KeyPhase::Admitted)
                 continue;
@@ -153,7 +154,7 @@
         }
     }
 
-    void look()
+    void checkDecisions()
     {
         for (const KeyDecision &decision : m_fleet.decisions) {
             const auto *refused = std::get_if<KeyRefused>(&decision);
@@ -167,45 +168,45 @@
 
     std::mt19937_64 m_random;
     KeyFleet m_fleet;
-    std::string m_cutZone;
+    std::string m_partitionedZone;
     std::size_t m_lossPercent = 0;
     std::vector<std::string> m_keys;
     unsigned m_number = 0;
     std::set<std::string> m_dispatched;
-    std::size_t m_doubled = 0;
+    std::size_t m_duplicateDispatches = 0;
     std::size_t m_falseNotRun = 0;
 };
 
 } // namespace
 
 // Cuts, losses, restarts, pauses and lists at random, with callers that repeat their purchases
-// through any router: none is dispatched twice, and none is called "not run" that was.
-TEST(KeyProperty, NoKeyRunsTwiceUnderAnyMixOfFailures)
+// through randomNode router: none is dispatched twice, and none is called "not run" that was.
+TEST(KeyProperty, NoKeyIsDispatchedTwiceUnderRandomFaults)
 {
     std::size_t dispatches = 0;
     for (std::uint64_t seed = 1; seed <= 200; ++seed) {
-        TroubledFleet fleet(seed);
+        FaultInjectionFleet fleet(seed);
         for (int i = 0; i < 150; ++i)
             fleet.step();
-        EXPECT_EQ(fleet.doubled(), 0U) << "seed " << seed;
+        EXPECT_EQ(fleet.duplicateDispatches(), 0U) << "seed " << seed;
         EXPECT_EQ(fleet.falseNotRun(), 0U) << "seed " << seed;
         dispatches += fleet.dispatches();
     }
     EXPECT_GT(dispatches, 1000U);
 }
 
-// Any text of a caller is a key, and any issued key reads back as what was written: rapidcheck
-// generates both, with a seed of its own that it prints when it fails.
-TEST(KeyProperty, AnyTextIsAKey)
+// Any text of a caller is a key, and randomNode issued key reads back as what was written:
+// rapidcheck generates both, with a seed of its own that it prints when it fails.
+TEST(KeyProperty, ParsesAnyTextAndRoundTripsIssuedKeys)
 {
     const bool isKept = rc::check(
         "issued keys read back", [](std::uint32_t time, std::uint64_t run, std::uint64_t number) {
-            const KeyText made {KeyKind::Issued, WallTime(std::chrono::milliseconds(time)),
-                                NodeId("n-1"), run, number};
-            const KeyText read
-                = parseKey(scopedKey(ServiceId("s"), WorkspaceId("w"), issuedKeyText(made)));
+            const ParsedKey made {KeyKind::Issued, WallTime(std::chrono::milliseconds(time)),
+                                  NodeId("n-1"), run, number};
+            const ParsedKey read
+                = parseKey(scopedKey(ServiceId("s"), WorkspaceId("w"), formatIssuedKey(made)));
             RC_ASSERT(read.kind == KeyKind::Issued);
-            RC_ASSERT(read.madeAt == made.madeAt && read.issuerIncarnation == run
+            RC_ASSERT(read.createdAt == made.createdAt && read.issuerIncarnation == run
                       && read.sequence == number);
         });
     EXPECT_TRUE(isKept);
--- a/unittests/Idempotency/KeySearch.h
+++ b/unittests/Idempotency/KeySearch.h
@@ -32,16 +32,16 @@
 /// What may happen besides messages: each use of an entry takes it.
 struct SearchBudget
 {
-    std::vector<std::size_t> routers; ///< Each entry may begin the key once at this node.
-    std::vector<std::size_t> mortal;  ///< Nodes that may be killed.
-    unsigned kills = 0;               ///< Of any of them, all together.
-    unsigned starts = 0;              ///< Of killed nodes, all together.
-    std::vector<Duration> delays;     ///< Each passes once, in this order.
-    std::vector<std::size_t> ticks;   ///< Each entry wakes this node's timers once.
+    std::vector<std::size_t> routers;  ///< Each entry may begin the key once at this node.
+    std::vector<std::size_t> killable; ///< Nodes that may be killed.
+    unsigned kills = 0;                ///< Of any of them, all together.
+    unsigned starts = 0;               ///< Of killed nodes, all together.
+    std::vector<Duration> delays;      ///< Each passes once, in this order.
+    std::vector<std::size_t> ticks;    ///< Each entry wakes this node's timers once.
 };
 
 /// Everything that is so at one moment.
-struct SearchWorld
+struct SearchState
 {
     std::vector<std::shared_ptr<const SearchNode>> nodes;      ///< Null: the process is gone.
     std::vector<std::shared_ptr<const SearchMessage>> network; ///< By digest; each once.
@@ -67,13 +67,13 @@
     std::string key;
     SearchBudget budget;
     Incarnation lastIncarnation = 100;
-    SearchWorld start;
+    SearchState start;
 };
 
 struct SearchResult
 {
     std::size_t states = 0;
-    std::size_t depth = 0;      ///< All orders of so many moves were looked at.
+    std::size_t depth = 0;      ///< All orders of so many moves were searchAndCheck at.
     bool isExhausted = false;   ///< No further move is possible anywhere.
     std::size_t dispatches = 0; ///< Moves that dispatched the key: the search gets there.
     std::size_t rosters = 0;    ///< Different active rosters that some node held in some world.
@@ -89,7 +89,7 @@
 /// Idle processes that know the list.
 SearchSetup makeSetup(const std::vector<std::string> &names, const VmList &list);
 /// Lets time pass with all messages delivered in order, as in a quiet fleet.
-void settle(SearchSetup &setup, Duration time);
+void runWithoutFaults(SearchSetup &setup, Duration time);
 /// Hands a list to a node, and to its later runs.
 void setList(SearchSetup &setup, std::size_t index, const VmList &list);
 /// Starts the node's next run, without memory. An earlier one is gone.
--- a/unittests/Idempotency/KeySearchTest.cpp
+++ b/unittests/Idempotency/KeySearchTest.cpp
@@ -20,7 +20,7 @@
     return std::chrono::milliseconds(count);
 }
 
-VmList listOf(std::uint64_t revision, const std::vector<std::string> &names)
+VmList makeVmList(std::uint64_t revision, const std::vector<std::string> &names)
 {
     VmList list;
     list.revision = revision;
@@ -29,7 +29,7 @@
     return list;
 }
 
-VmList leaving(VmList list, const std::string &name)
+VmList markLeaving(VmList list, const std::string &name)
 {
     for (VmEntry &entry : list.vms)
         entry.isLeaving |= entry.node == NodeId(name);
@@ -37,27 +37,27 @@
 }
 
 /// The nodes have agreed on a roster of all of them, some time ago.
-SearchSetup settledSetup(const std::vector<std::string> &names)
+SearchSetup agreedRosterSetup(const std::vector<std::string> &names)
 {
-    SearchSetup setup = makeSetup(names, listOf(1, names));
-    settle(setup, std::chrono::seconds(10));
+    SearchSetup setup = makeSetup(names, makeVmList(1, names));
+    runWithoutFaults(setup, std::chrono::seconds(10));
     return setup;
 }
 
 /// One witness, a, which leaves for good; b takes its place. With such small rosters nobody's
 /// memory reaches from one to the next, so only the agreement keeps them apart.
-SearchSetup replacedWitness()
+SearchSetup replacedWitnessSetup()
 {
-    SearchSetup setup = makeSetup({"a", "b", "c"}, listOf(1, {"a"}));
-    settle(setup, std::chrono::seconds(10));
-    const VmList list = leaving(listOf(2, {"a", "b"}), "a");
+    SearchSetup setup = makeSetup({"a", "b", "c"}, makeVmList(1, {"a"}));
+    runWithoutFaults(setup, std::chrono::seconds(10));
+    const VmList list = markLeaving(makeVmList(2, {"a", "b"}), "a");
     setList(setup, nodeA, list);
     setList(setup, nodeB, list);
-    setup.key = timedKey(setup.start.wall + ms(3900));
+    setup.key = timestampedKey(setup.start.wall + ms(3900));
     return setup;
 }
 
-SearchResult looked(const std::string &name, const SearchSetup &setup, std::size_t states)
+SearchResult searchAndCheck(const std::string &name, const SearchSetup &setup, std::size_t states)
 {
     SearchResult result = search(setup, {80, states});
     std::cout << name << ": " << result.states << " states, depth " << result.depth
@@ -74,30 +74,30 @@
 // queries, with losses, repeats and one node that restarts without memory.
 TEST(KeySearch, OneKeyTwoRoutersOneRestart)
 {
-    SearchSetup setup = settledSetup({"a", "b", "c"});
-    setup.key = timedKey(setup.start.wall);
+    SearchSetup setup = agreedRosterSetup({"a", "b", "c"});
+    setup.key = timestampedKey(setup.start.wall);
     setup.budget = {{nodeA, nodeB}, {nodeA, nodeB, nodeC}, 1, 1, {}, {}};
-    looked("one restart", setup, 2'000'000);
+    searchAndCheck("one restart", setup, 2'000'000);
 }
 
 // A router is given the purchase, gives it up and is given it again, while another has it too. Late
 // votes and releases of the first claim must not count for the second.
-TEST(KeySearch, KeyGivenUpAndBegunAgain)
+TEST(KeySearch, KeyReleasedAndClaimedAgain)
 {
-    SearchSetup setup = settledSetup({"a", "b", "c"});
-    setup.key = timedKey(setup.start.wall);
+    SearchSetup setup = agreedRosterSetup({"a", "b", "c"});
+    setup.key = timestampedKey(setup.start.wall);
     setup.budget = {{nodeA, nodeA, nodeB}, {}, 0, 0, {}, {}};
-    looked("begun again", setup, 2'000'000);
+    searchAndCheck("begun again", setup, 2'000'000);
 }
 
 // A router runs the purchase, restarts without memory and is given it again. Votes for its earlier
 // run are still on their way: they must not admit the new run.
-TEST(KeySearch, RestartedRouterIsGivenTheKeyAgain)
+TEST(KeySearch, RestartedRouterReceivesKeyAgain)
 {
-    SearchSetup setup = settledSetup({"a", "b", "c"});
-    setup.key = timedKey(setup.start.wall);
+    SearchSetup setup = agreedRosterSetup({"a", "b", "c"});
+    setup.key = timestampedKey(setup.start.wall);
     setup.budget = {{nodeA, nodeA}, {nodeA}, 1, 1, {}, {}};
-    looked("router restarted", setup, 500'000);
+    searchAndCheck("router restarted", setup, 500'000);
 }
 
 // A witness has restarted, so the others agree on a roster with its new run. The same purchase
@@ -105,87 +105,87 @@
 // of the agreement may come late, while votes in the old roster are still on their way.
 TEST(KeySearch, OneKeyTwoRoutersOneRestartOneRosterChange)
 {
-    SearchSetup setup = settledSetup({"a", "b", "c"});
-    setup.key = timedKey(setup.start.wall + ms(3900));
+    SearchSetup setup = agreedRosterSetup({"a", "b", "c"});
+    setup.key = timestampedKey(setup.start.wall + ms(3900));
     start(setup, nodeC);
     setup.budget = {{nodeA, nodeB}, {}, 0, 0, {ms(1000), ms(2000), ms(1000)}, {nodeA}};
-    EXPECT_GT(looked("one restart, one roster change", setup, 2'000'000).rosters, 1U);
+    EXPECT_GT(searchAndCheck("one restart, one roster change", setup, 2'000'000).rosters, 1U);
 }
 
 // The only witness is replaced while the purchase reaches both it and the new one, which proposes.
 // Were the new one to vote before the old has promised not to, both would run it.
 TEST(KeySearch, WitnessReplacedWhileTheKeyIsClaimed)
 {
-    SearchSetup setup = replacedWitness();
+    SearchSetup setup = replacedWitnessSetup();
     setup.budget = {{nodeA, nodeB}, {}, 0, 0, {ms(1000), ms(2000), ms(1000)}, {nodeB}};
-    EXPECT_GT(looked("witness replaced", setup, 500'000).rosters, 1U);
+    EXPECT_GT(searchAndCheck("witness replaced", setup, 500'000).rosters, 1U);
 }
 
 // The same with a router that still knows the old roster only: the old witness must not vote for it
 // in a key that belongs to the new one.
 TEST(KeySearch, RouterThatMissedTheNewRoster)
 {
-    SearchSetup setup = replacedWitness();
+    SearchSetup setup = replacedWitnessSetup();
     setup.budget = {{nodeB, nodeC}, {}, 0, 0, {ms(1000), ms(2000), ms(1000)}, {nodeB}};
-    EXPECT_GT(looked("router behind", setup, 500'000).rosters, 1U);
+    EXPECT_GT(searchAndCheck("router behind", setup, 500'000).rosters, 1U);
 }
 
 // The same with a router whose clock is ahead: the key lies in the future for the old witness,
 // which must not vote for it and then promise that it never will.
-TEST(KeySearch, RouterWhoseClockIsAhead)
+TEST(KeySearch, RouterWithFastClock)
 {
-    SearchSetup setup = replacedWitness();
+    SearchSetup setup = replacedWitnessSetup();
     setup.skews[nodeC] = ms(500);
     setup.budget = {{nodeB, nodeC}, {}, 0, 0, {ms(1000), ms(1400), ms(600)}, {nodeB}};
-    EXPECT_GT(looked("router ahead", setup, 500'000).rosters, 1U);
+    EXPECT_GT(searchAndCheck("router ahead", setup, 500'000).rosters, 1U);
 }
 
 // The old witness, whose clock is ahead, votes and dies; the new one's clock is behind. Its roster
 // must begin after any key that the dead one can have voted for.
-TEST(KeySearch, DeadWitnessWhoseClockWasAhead)
+TEST(KeySearch, TerminatedWitnessWithFastClock)
 {
-    SearchSetup setup = replacedWitness();
+    SearchSetup setup = replacedWitnessSetup();
     setup.skews = {ms(500), ms(-500), ms(0)};
-    setup.key = timedKey(setup.start.wall + ms(2400));
-    setList(setup, nodeB, listOf(3, {"b"}));
+    setup.key = timestampedKey(setup.start.wall + ms(2400));
+    setList(setup, nodeB, makeVmList(3, {"b"}));
     setup.budget
         = {{nodeA, nodeB}, {nodeA}, 1, 0, {ms(1000), ms(1000), ms(1000), ms(1000)}, {nodeB}};
-    looked("dead witness ahead", setup, 500'000);
+    searchAndCheck("dead witness ahead", setup, 500'000);
 }
 
 // Two lists replace the witness, one by b and one by c, and both propose. Both ask the old one,
 // which may go with one of them alone; the other must take in the first one's roster.
 TEST(KeySearch, TwoListsReplaceTheWitness)
 {
-    SearchSetup setup = replacedWitness();
-    setList(setup, nodeC, leaving(listOf(2, {"a", "c"}), "a"));
+    SearchSetup setup = replacedWitnessSetup();
+    setList(setup, nodeC, markLeaving(makeVmList(2, {"a", "c"}), "a"));
     setup.budget = {{nodeB, nodeC}, {}, 0, 0, {ms(1000), ms(300), ms(2000)}, {nodeB, nodeC}};
-    EXPECT_GT(looked("two lists", setup, 500'000).rosters, 1U);
+    EXPECT_GT(searchAndCheck("two lists", setup, 500'000).rosters, 1U);
 }
 
 // The old witness has handed over to b and died. c knows of the old one only, and its list names b,
-// which it can't hear: it must not start anew by itself.
-TEST(KeySearch, SuccessorThatIsNotHeard)
+// which it can't recordMessage: it must not start anew by itself.
+TEST(KeySearch, UnreachableSuccessor)
 {
-    SearchSetup setup = replacedWitness();
-    setList(setup, nodeC, listOf(3, {"b", "c"}));
+    SearchSetup setup = replacedWitnessSetup();
+    setList(setup, nodeC, makeVmList(3, {"b", "c"}));
     setup.budget = {{nodeB, nodeC}, {nodeA}, 1, 0, {ms(1000), ms(2000), ms(1000)}, {nodeB, nodeC}};
-    EXPECT_GT(looked("successor not heard", setup, 500'000).rosters, 1U);
+    EXPECT_GT(searchAndCheck("successor not heard", setup, 500'000).rosters, 1U);
 }
 
 // VMs are replaced, and a and b hold lists that name different ones, so both propose rosters.
 // Clocks differ as far as is allowed.
 TEST(KeySearch, DifferingListsAndClocks)
 {
-    SearchSetup setup = makeSetup({"a", "b", "c", "d"}, listOf(1, {"a", "b", "c"}));
+    SearchSetup setup = makeSetup({"a", "b", "c", "d"}, makeVmList(1, {"a", "b", "c"}));
     kill(setup, nodeD);
-    settle(setup, std::chrono::seconds(10));
-    setup.key = timedKey(setup.start.wall + ms(3900));
+    runWithoutFaults(setup, std::chrono::seconds(10));
+    setup.key = timestampedKey(setup.start.wall + ms(3900));
     setup.skews = {ms(500), ms(-500), ms(0), ms(0)};
-    setList(setup, nodeA, listOf(2, {"a", "b", "d"}));
-    setList(setup, nodeB, listOf(3, {"b", "c", "d"}));
-    setList(setup, nodeD, listOf(3, {"b", "c", "d"}));
+    setList(setup, nodeA, makeVmList(2, {"a", "b", "d"}));
+    setList(setup, nodeB, makeVmList(3, {"b", "c", "d"}));
+    setList(setup, nodeD, makeVmList(3, {"b", "c", "d"}));
     start(setup, nodeD);
     setup.budget = {{nodeA, nodeB}, {}, 0, 0, {ms(1000), ms(2000), ms(1000)}, {nodeA, nodeB}};
-    looked("differing lists and clocks", setup, 500'000);
+    searchAndCheck("differing lists and clocks", setup, 500'000);
 }
--- a/unittests/Idempotency/RosterTrapTest.cpp
+++ b/unittests/Idempotency/RosterSafetyTest.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 /// Three witnesses of a list, by rendezvous hash: what each router works out by itself.
-std::vector<std::string> hashedWitnesses(const std::string &key, std::vector<std::string> list)
+std::vector<std::string> witnessesByHash(const std::string &key, std::vector<std::string> list)
 {
     std::sort(list.begin(), list.end(), [&](const std::string &a, const std::string &b) {
         return rendezvousWeight(key, a) > rendezvousWeight(key, b);
@@ -22,7 +22,7 @@
 }
 
 /// The scheme that the trap is for: a majority of the hash over the list that the router holds.
-class HashedVotes
+class ListHashVoting
 {
 public:
     bool isAdmitted(const std::string &router, const std::vector<std::string> &witnesses,
@@ -46,7 +46,7 @@
     std::vector<std::string> found;
     for (int i = 0; found.size() < 2; ++i) {
         const std::string name = "x" + std::to_string(i);
-        const auto witnesses = hashedWitnesses(key, {"a", "b", "c", name});
+        const auto witnesses = witnessesByHash(key, {"a", "b", "c", name});
         const bool isIn = std::find(witnesses.begin(), witnesses.end(), name) != witnesses.end();
         if (isIn && rendezvousWeight(key, name) > rendezvousWeight(key, last))
             found.push_back(name);
@@ -58,42 +58,43 @@
 
 // Witnesses a, b and c. a and b are cut off together with one router. Meanwhile two added VMs
 // displace a and b in the hash. Both sides find a majority, and the purchase runs twice.
-TEST(RosterTrap, MajorityOfTheLatestListRunsTwice)
+TEST(RosterSafety, MajorityOfLatestListAdmitsKeyTwice)
 {
     const std::string key = "purchase";
     // c stays among the three, so the other two give way.
     const auto added = displacingNames(key, "c");
-    HashedVotes votes;
-    const bool isCutSideServed
-        = votes.isAdmitted("a", hashedWitnesses(key, {"a", "b", "c"}), {"a", "b"});
-    const auto later = hashedWitnesses(key, {"a", "b", "c", added[0], added[1]});
-    const bool isOtherSideServed = votes.isAdmitted("c", later, {"c", added[0], added[1]});
-    EXPECT_TRUE(isCutSideServed);
-    EXPECT_TRUE(isOtherSideServed);
+    ListHashVoting votes;
+    const bool isAdmittedInPartition
+        = votes.isAdmitted("a", witnessesByHash(key, {"a", "b", "c"}), {"a", "b"});
+    const auto later = witnessesByHash(key, {"a", "b", "c", added[0], added[1]});
+    const bool isAdmittedOutsidePartition = votes.isAdmitted("c", later, {"c", added[0], added[1]});
+    EXPECT_TRUE(isAdmittedInPartition);
+    EXPECT_TRUE(isAdmittedOutsidePartition);
 }
 
 // The same failure with the registries: three witnesses, a cut between {a1, b1} and {c1} for an
 // hour, two added VMs on the side of c1 and a list that drops none. The side of c1 can't have the
 // consent of a1 and b1, so it makes no roster of its own and refuses.
-TEST(RosterTrap, CutOffMajorityKeepsItsKeys)
+TEST(RosterSafety, PartitionedMajorityRetainsItsKeys)
 {
     KeyFleet fleet;
-    fleet.publish({{"a1", "a"}, {"b1", "b"}, {"c1", "c"}});
+    fleet.publishVmList({{"a1", "a"}, {"b1", "b"}, {"c1", "c"}});
     for (const std::string name : {"a1", "b1", "c1"})
         fleet.start(name, name.substr(0, 1));
     fleet.run(std::chrono::seconds(10));
 
-    const std::set<std::string> cutOff {"a1", "b1"};
+    const std::set<std::string> partitioned {"a1", "b1"};
     fleet.isLost = [&](const FakeMessage &message) {
-        return cutOff.contains(message.from.node.str()) != cutOff.contains(message.to.str());
+        return partitioned.contains(message.from.node.str())
+            != partitioned.contains(message.to.str());
     };
-    fleet.publish({{"a1", "a"}, {"b1", "b"}, {"c1", "c"}, {"c2", "c"}, {"c3", "c"}});
+    fleet.publishVmList({{"a1", "a"}, {"b1", "b"}, {"c1", "c"}, {"c2", "c"}, {"c3", "c"}});
     fleet.setList("c1");
     fleet.start("c2", "c");
     fleet.start("c3", "c");
     fleet.run(std::chrono::minutes(59));
 
-    const std::string key = timedKey(fleet.wall());
+    const std::string key = timestampedKey(fleet.wall());
     fleet.begin("a1", key);
     fleet.begin("c1", key, 2);
     fleet.begin("c2", key, 3);
@@ -105,27 +106,27 @@
     fleet.setListEverywhere();
     fleet.run(std::chrono::seconds(15));
     EXPECT_EQ(fleet.at("c2").rosters().lastActive()->members.size(), 5U);
-    fleet.begin("c3", timedKey(fleet.wall()), 4);
-    fleet.settle();
+    fleet.begin("c3", timestampedKey(fleet.wall()), 4);
+    fleet.deliverAll();
     EXPECT_EQ(fleet.admissions(), 2U);
 }
 
 // Two of the witnesses die for good just when the fleet is cut, and one restarts: the rest are too
 // few. The list drops the dead only later. Until then nobody may start anew beside them.
-TEST(RosterTrap, SilentWitnessesAreNotTakenAsGone)
+TEST(RosterSafety, UnresponsiveWitnessesAreNotTreatedAsTerminated)
 {
-    KeyFleet fleet = nineNodes();
+    KeyFleet fleet = startNineNodes();
     for (const std::string name : {"a1", "a2", "a3", "b1", "b2"})
-        fleet.lose(name);
+        fleet.loseVm(name);
     fleet.run(std::chrono::minutes(10));
-    fleet.begin("c1", timedKey(fleet.wall()));
+    fleet.begin("c1", timestampedKey(fleet.wall()));
     fleet.run(std::chrono::seconds(3));
     EXPECT_EQ(fleet.admissions(), 0U);
 
-    fleet.publish({{"b3", "b"}, {"c1", "c"}, {"c2", "c"}, {"c3", "c"}});
+    fleet.publishVmList({{"b3", "b"}, {"c1", "c"}, {"c2", "c"}, {"c3", "c"}});
     fleet.setListEverywhere();
     fleet.run(std::chrono::seconds(10));
-    fleet.begin("c1", timedKey(fleet.wall()), 2);
-    fleet.settle();
+    fleet.begin("c1", timestampedKey(fleet.wall()), 2);
+    fleet.deliverAll();
     EXPECT_EQ(fleet.admissions(), 1U);
 }
