--- a/include/berylridge/Idempotency/KeyFormat.h
+++ b/include/berylridge/Idempotency/KeyFormat.h
@@ -1,4 +1,5 @@
-// What the text of an idempotency key tells: when it was made, and by which node if one issued it.
+// Parses and formats idempotency keys. The text of a key tells when it was created and, for an
+// issued key, which process issued it.
 #pragma once
 
 #include "berylridge/Support/Id.h"
@@ -11,29 +12,30 @@
 namespace berylridge {
 
 enum class KeyKind : std::uint8_t {
-    Timestamped, ///< A UUIDv7 (RFC 9562): tells when it was made.
-    Opaque,      ///< Any other text of the caller's: tells nothing.
-    Issued,      ///< Made by a node, whose memory alone admits it.
+    Timestamped, ///< A UUIDv7 (RFC 9562), which contains its creation time.
+    Opaque,      ///< Any other text that a caller chose; its creation time is unknown.
+    Issued,      ///< Created by a router process, which alone admits it from its own memory.
 };
 
 struct ParsedKey
 {
     KeyKind kind = KeyKind::Opaque;
-    WallTime createdAt; ///< Of timed and issued keys.
+    WallTime createdAt; ///< Set for timestamped and issued keys only.
     NodeId issuer;
     Incarnation issuerIncarnation = 0;
-    std::uint64_t sequence = 0; ///< Counts the issuer's keys from 1.
+    std::uint64_t sequence = 0; ///< Counts the keys of the issuer from 1.
 };
 
-/// The form in which keys go through the component: service and workspace before the caller's own
-/// text, so that two workspaces never share a key.
+/// Returns the form in which the component handles keys: service and workspace precede the caller's
+/// own text, so that two workspaces never share a key.
 std::string scopedKey(const ServiceId &service, const WorkspaceId &workspace,
                       std::string_view callerKey);
 
-/// Reads the caller's part of a scoped key. Any text is a key: what can't be read is opaque.
+/// Parses the caller's part of a scoped key. Any text is a valid key: text in no known format is
+/// opaque.
 ParsedKey parseKey(std::string_view scopedKey);
 
-/// The text of an issued key, as the caller gets it.
+/// Returns the text of an issued key as the caller receives it.
 std::string formatIssuedKey(const ParsedKey &text);
 
 } // namespace berylridge
--- a/include/berylridge/Idempotency/KeyOutput.h
+++ b/include/berylridge/Idempotency/KeyOutput.h
@@ -1,4 +1,5 @@
-// What the idempotency component wants done: messages to nodes and decisions on callers' requests.
+// The output of the idempotency component: messages to other nodes and decisions on callers'
+// requests.
 #pragma once
 
 #include "berylridge/Idempotency/Messages.h"
@@ -14,7 +15,7 @@
 
 namespace berylridge {
 
-/// The core's number for the request that a decision is about.
+/// Identifies the request that a decision is about. The router core assigns it.
 using KeyRequestId = std::uint64_t;
 
 /// The request may be dispatched: no other process may run its key.
@@ -24,19 +25,20 @@
     std::string key;
 };
 
-/// The request is answered with a refusal, now.
+/// The request is refused immediately.
 struct KeyRefused
 {
     KeyRequestId request = 0;
     std::string key;
     unsigned status = 503;
-    Verdict verdict = Verdict::MayHaveRun; ///< Of the operation that the key names.
-    std::string type;                      ///< Last part of the problem type URI.
+    /// Tells whether the operation named by the key may have run.
+    Verdict verdict = Verdict::MayHaveRun;
+    std::string type; ///< The last segment of the problem type URI.
     std::string title;
     std::optional<Duration> retryAfter;
 };
 
-/// The request is answered with the kept answer of the run of its key.
+/// The request is answered with the stored response of the earlier request with the same key.
 struct KeyReplayed
 {
     KeyRequestId request = 0;
--- a/include/berylridge/Idempotency/KeyPhase.h
+++ b/include/berylridge/Idempotency/KeyPhase.h
@@ -1,4 +1,4 @@
-// The life of a key at the node that asked for it.
+// The phases of a key at the node that claims it.
 #pragma once
 
 #include <cstdint>
@@ -6,12 +6,12 @@
 namespace berylridge {
 
 enum class KeyPhase : std::uint8_t {
-    Unknown,  ///< Not held here; no claim of this process for it stands.
-    Claiming, ///< Waits for witnesses.
-    Admitted, ///< May be dispatched, has not been.
-    Running,  ///< Dispatched: bytes may have left for a target.
-    Finished, ///< Answered by a target.
-    Failed,   ///< May have run; no answer came.
+    Unknown,  ///< This node does not hold the key and has no claim for it.
+    Claiming, ///< Waits for the votes of the witnesses.
+    Admitted, ///< May be dispatched but has not been dispatched yet.
+    Running,  ///< Dispatched: bytes may have been sent to a target.
+    Finished, ///< A target has responded.
+    Failed,   ///< The operation may have run, but no complete response arrived.
 };
 
 } // namespace berylridge
--- a/include/berylridge/Idempotency/KeyRegistry.h
+++ b/include/berylridge/Idempotency/KeyRegistry.h
@@ -1,5 +1,6 @@
-// The idempotency component's face: admits each key at most once over the fleet, keeps answers for
-// repeats and serves as a witness for other nodes. See docs/design/idempotency.md.
+// The entry point of the idempotency component. It admits each key at most once in the fleet,
+// stores responses for repeated requests and acts as a witness for other nodes. See
+// docs/design/idempotency.md.
 #pragma once
 
 #include "berylridge/Config/Vms.h"
@@ -24,75 +25,91 @@
 {
     NodeId node;
     Incarnation incarnation = 0;
-    Duration lifetime = std::chrono::hours(1);                ///< A key is refused when older.
-    Duration futureTolerance = std::chrono::seconds(1);       ///< Callers' clocks ahead of ours.
-    Duration maxClockSkew = std::chrono::milliseconds(500);   ///< Nodes' clocks against true time.
-    Duration consentTimeout = std::chrono::milliseconds(500); ///< For all consents to a roster.
-    Duration membershipStablePeriod
-        = std::chrono::seconds(1); ///< Unchanged members before a roster.
-    Duration livenessTimeout = std::chrono::milliseconds(2500); ///< Until a run is not heard.
-    Duration claimTimeout = std::chrono::milliseconds(1500);    ///< Longest wait for witnesses.
-    Duration resendPeriod = std::chrono::milliseconds(100);     ///< For lost datagrams.
-    Duration gossipPeriod = std::chrono::seconds(1);   ///< Between signs of life to witnesses.
-    std::size_t maxRosterMembers = 9;                  ///< Witnesses of a roster.
-    std::size_t maxKeys = 100'000;                     ///< Keys held, and votes given.
-    std::size_t maxStoredResponseBytes = 8 << 20;      ///< Kept answers, all together.
-    std::size_t maxStoredResponseBodyBytes = 64 << 10; ///< One kept answer.
+    Duration lifetime = std::chrono::hours(1); ///< Older keys are refused.
+    /// How far a caller's clock may be ahead of this node's clock.
+    Duration futureTolerance = std::chrono::seconds(1);
+    /// The maximum deviation of a node's clock from true time.
+    Duration maxClockSkew = std::chrono::milliseconds(500);
+    /// How long a proposer waits until all recipients have consented to a roster.
+    Duration consentTimeout = std::chrono::milliseconds(500);
+    /// How long the set of members must be unchanged before a node proposes a roster.
+    Duration membershipStablePeriod = std::chrono::seconds(1);
+    /// How long a run counts as alive after its last message.
+    Duration livenessTimeout = std::chrono::milliseconds(2500);
+    /// The longest wait for the votes of witnesses.
+    Duration claimTimeout = std::chrono::milliseconds(1500);
+    /// Claims and proposals are resent at this interval because datagrams may be lost.
+    Duration resendPeriod = std::chrono::milliseconds(100);
+    /// The interval of liveness messages to the witnesses.
+    Duration gossipPeriod = std::chrono::seconds(1);
+    std::size_t maxRosterMembers = 9; ///< The maximum number of witnesses in a roster.
+    /// The maximum number of keys held and, separately, of keys voted for as a witness.
+    std::size_t maxKeys = 100'000;
+    /// The maximum size of all stored response bodies together.
+    std::size_t maxStoredResponseBytes = 8 << 20;
+    /// The maximum size of one stored response body.
+    std::size_t maxStoredResponseBodyBytes = 64 << 10;
 };
 
-/// One node's part in running each key at most once. A value: tests copy it.
+/// Implements one node's part in running each key at most once. It is copyable so that tests can
+/// copy a node's state.
 class KeyRegistry
 {
 public:
     explicit KeyRegistry(KeyOptions options);
 
-    /// Asks for a key. The answer is a decision for the request, at once or later; until then the
-    /// request waits. Not to be called for requests without a key.
+    /// Requests admission of a key. The decision for the request is output now or later; the
+    /// request waits until then. Must not be called for a request without a key.
     void begin(KeyRequestId request, const std::string &key, std::uint64_t bodyHash, TimePoint now,
                WallTime wall, KeyOutput &out);
 
-    /// Whether an admitted key may still be dispatched; ask just before the first byte leaves.
+    /// Returns whether an admitted key may still be dispatched. Must be checked immediately before
+    /// the first byte is sent.
     bool mayDispatch(const std::string &key, TimePoint now, WallTime wall) const;
-    /// Bytes may leave for a target from now on.
+    /// Records that bytes may be sent to a target from now on.
     void dispatched(const std::string &key);
-    /// The attempt failed before any byte left: as if it had not been dispatched.
+    /// Records that the attempt failed before any byte was sent, as if the key had not been
+    /// dispatched.
     void revertDispatch(const std::string &key);
-    /// The request is given up before any byte left. Says what may be told to the caller: NotRun
-    /// only where this node held the key, else MayHaveRun.
+    /// Ends the claim of a request that is abandoned before any byte was sent. Returns the verdict
+    /// for the caller: NotRun only if this node held the key, otherwise MayHaveRun.
     Verdict release(const std::string &key, KeyOutput &out);
-    /// The target answered; the answer is kept for repeats while memory and lifetime allow.
+    /// Records the target's response. The response is stored for repeated requests as long as
+    /// memory and the key's lifetime allow.
     void finished(const std::string &key, unsigned status, std::vector<KeyHeader> headers,
                   std::optional<std::string> body);
-    /// The attempt terminated without a whole answer: the operation may have run.
+    /// Records that the attempt ended without a complete response: the operation may have run.
     void failed(const std::string &key);
 
-    /// A new key that this process alone admits; for POST /v1/idempotency-keys.
+    /// Returns a new key that only this process admits, for POST /v1/idempotency-keys.
     std::string issueKey(TimePoint now, WallTime wall);
 
     void onMessage(const NodeId &from, Incarnation incarnation, const KeyMessage &message,
                    TimePoint now, WallTime wall, KeyOutput &out);
-    /// All nodes that the membership knows, whenever one of them changed.
+    /// Receives all nodes that the membership knows, whenever one of them changes.
     void onMembers(std::span<const KeyMember> members, TimePoint now, WallTime wall,
                    KeyOutput &out);
     void onVmList(const VmList &list, TimePoint now, WallTime wall, KeyOutput &out);
     void tick(TimePoint now, WallTime wall, KeyOutput &out);
-    /// When to call tick() next; TimePoint::max() when there is nothing to wait for.
+    /// Returns when tick() must be called next, or TimePoint::max() if nothing is pending.
     TimePoint nextTimer() const;
 
     KeyPhase phase(const std::string &key) const;
-    /// How many claims this run has made; each has the next number.
+    /// Returns how many claims this process has made. Claims are numbered consecutively.
     std::uint64_t claimCount() const { return m_claimCount; }
-    /// Whether a key that a caller makes now would find witnesses. Not before the first roster has
-    /// begun, nor for a moment after: the caller's clock may be behind.
+    /// Returns whether witnesses exist for a key that a caller creates now. False until the first
+    /// roster has started and for maxClockSkew after that, because the caller's clock may be
+    /// behind.
     bool acceptsNewKeys(WallTime wall) const;
 
-    /// The rosters that this node knows, for operators.
+    /// Returns the rosters that this node knows, for operators.
     const RosterChain &rosters() const { return m_rosterCoordinator.chain(); }
-    /// One line with all that decides what this node does next; for operators and searches.
+    /// Returns one line with all state that determines the node's further behaviour, for operators
+    /// and for state-space searches in tests.
     std::string describe() const;
 
 private:
-    /// What this node asked of a key's witnesses, while it waits for them.
+    /// A claim that waits for the votes of the key's witnesses.
     struct Claim
     {
         std::uint64_t number = 0;
@@ -101,11 +118,13 @@
         std::size_t quorum = 0;
         std::set<NodeRun> yes;
         std::set<NodeRun> no;
-        std::optional<NodeRun> holder; ///< A witness says that this run holds the key.
+        /// The run that holds the key according to a witness.
+        std::optional<NodeRun> holder;
         TimePoint deadline;
         TimePoint resendAt;
     };
 
+    /// The state of a key that this node holds.
     struct Held
     {
         KeyPhase phase = KeyPhase::Claiming;
@@ -121,7 +140,7 @@
 
     using HeldKeys = std::unordered_map<std::string, Held>;
 
-    /// A refusal before it is bound to a request.
+    /// A refusal that is not yet assigned to a request.
     struct Refusal
     {
         unsigned status = 503;
@@ -142,7 +161,8 @@
     void storeResponse(const std::string &key, Held &held, std::optional<std::string> body);
     void removeExpiredKeys();
 
-    // The claim of a key, in lib/Idempotency/KeyClaims.cpp.
+    // The functions below handle claims and the messages about them; see
+    // lib/Idempotency/KeyClaims.cpp.
     void startClaim(const std::string &key, Held &held, KeyOutput &out);
     std::optional<Refusal> chooseWitnesses(const ParsedKey &text, Claim &claim) const;
     bool isCurrent(const std::string &key, const Claim &claim) const;
@@ -167,13 +187,15 @@
 
     KeyOptions m_options;
     TimePoint m_now;
-    WallTime m_wall; ///< Never steps back, whatever the machine's clock does.
+    WallTime m_wall; ///< Never decreases, even if the machine's clock is set back.
     RosterCoordinator m_rosterCoordinator;
     Witness m_witness;
     HeldKeys m_heldKeys;
-    std::set<std::string> m_claimingKeys;         ///< Keys of m_heldKeys in the phase Claiming.
-    std::uint64_t m_claimCount = 0;               ///< Numbers claims.
-    std::deque<std::string> m_storedResponseKeys; ///< Keys with a kept answer, oldest first.
+    /// The keys of m_heldKeys in the phase Claiming.
+    std::set<std::string> m_claimingKeys;
+    std::uint64_t m_claimCount = 0; ///< The number of the latest claim.
+    /// The keys with a stored response, oldest first.
+    std::deque<std::string> m_storedResponseKeys;
     std::size_t m_storedResponseBytes = 0;
     WallTime m_nextSweepAt;
 };
--- a/include/berylridge/Idempotency/LivenessView.h
+++ b/include/berylridge/Idempotency/LivenessView.h
@@ -1,5 +1,5 @@
-// What a node knows of the others' lives, as far as rosters need it: who is heard, and who is
-// proven to be gone.
+// What a node knows about the liveness of other nodes, as far as rosters need it: which runs are
+// alive, and which are proven to have terminated.
 #pragma once
 
 #include "berylridge/Config/Vms.h"
@@ -14,45 +14,49 @@
 
 namespace berylridge {
 
-/// What the membership knows of one node.
+/// What the membership knows about one node.
 struct KeyMember
 {
     NodeId node;
-    Incarnation incarnation = 0; ///< The latest that was heard; 0 for a listed node never heard.
-    bool isAlive = false;        ///< LastMessage lately.
-    bool isLeaving = false;      ///< Has begun a planned stop.
-    bool isTerminated = false;   ///< Its port refused a connection since it was heard last.
+    /// The latest known incarnation; 0 for a listed node that has never sent a message.
+    Incarnation incarnation = 0;
+    bool isAlive = false;   ///< A message from the node arrived recently.
+    bool isLeaving = false; ///< The node has begun a planned stop.
+    /// The node's port has refused a connection since its last message.
+    bool isTerminated = false;
 };
 
-/// Three sources joined: the membership, key messages that arrived, and the VM list. A silent node
-/// is never taken as gone.
+/// Combines three sources: the membership, key messages that arrived, and the VM list. Missing
+/// messages alone never count as termination.
 class LivenessView
 {
 public:
     LivenessView(const NodeRun &self, Duration livenessTimeout);
 
-    /// Later answers are given for this time.
+    /// Sets the time that the queries below refer to.
     void setNow(TimePoint now) { m_now = now; }
-    /// A key message of the run arrived. Returns whether the run was not heard before.
+    /// Records a key message from the run. Returns whether the run was not alive before.
     bool recordMessage(const NodeRun &run);
-    /// Takes the whole view; returns whether anything changed.
+    /// Replaces the membership's view. Returns whether anything changed.
     bool setMembers(std::span<const KeyMember> members);
-    /// Another node has the proof that the run has terminated.
+    /// Records that another node has proof that the run has terminated.
     void addTerminated(const NodeRun &run);
-    /// Ignores a list that isn't newer; returns whether anything changed.
+    /// Ignores a list that is not newer. Returns whether anything changed.
     bool setList(const VmList &list);
 
-    /// Proven: a later run of the node was heard, its port refused, or a VM list newer than the one
-    /// that named it leaves it out while it is silent.
+    /// Returns whether the run has terminated: a later run of the node has sent a message, its port
+    /// has refused a connection, or no message arrives from it and a VM list newer than the given
+    /// revision omits it.
     bool isTerminated(const NodeRun &run, std::uint64_t listRevision) const;
-    /// The same without the VM list, which other nodes may hold in another state.
+    /// Like isTerminated(), but ignores the VM list, of which other nodes may hold another
+    /// revision.
     bool isProvenTerminated(const NodeRun &run) const;
     bool isAlive(const NodeRun &run) const;
-    /// The run of the node that is heard now; incarnation 0 where none is.
+    /// Returns the run of the node that is alive now; its incarnation is 0 if there is none.
     NodeRun aliveRun(const NodeId &node) const;
-    /// A listed node of which no run is heard and whose port did not refuse either.
+    /// Returns whether a listed node has no run that is alive and no proof of its termination.
     bool isUnresponsive(const NodeId &node) const;
-    /// All runs that are heard.
+    /// Returns all runs that are alive.
     std::vector<NodeRun> aliveRuns() const;
     bool isLeaving(const NodeId &node) const;
 
@@ -73,8 +77,10 @@
     Duration m_silenceLimit;
     TimePoint m_now;
     std::map<NodeId, KeyMember> m_members;
-    std::map<NodeId, LastMessage> m_lastMessages;   ///< By key messages.
-    std::map<NodeId, Incarnation> m_terminatedUpTo; ///< All runs up to this one have terminated.
+    std::map<NodeId, LastMessage> m_lastMessages; ///< The last key message of each node.
+    /// For each node, the last incarnation that is known to have terminated; all earlier ones have
+    /// too.
+    std::map<NodeId, Incarnation> m_terminatedUpTo;
     VmList m_list;
 };
 
--- a/include/berylridge/Idempotency/Messages.h
+++ b/include/berylridge/Idempotency/Messages.h
@@ -1,5 +1,5 @@
-// What the idempotency component says between nodes: admission of a key by witnesses, the kept
-// answer of a finished key, and the agreement on who the witnesses are.
+// The messages that the idempotency component exchanges between nodes: admission of a key by
+// witnesses, the stored response of a finished key, and the agreement on the set of witnesses.
 #pragma once
 
 #include <cstdint>
@@ -13,26 +13,28 @@
 /// Asks a witness to record that the sender runs the operation named by the key.
 struct KeyClaim
 {
-    std::string key;          ///< Scoped: service, workspace and the caller's key.
-    std::uint64_t roster = 0; ///< The roster whose members the sender asks.
-    std::uint64_t claim = 0;  ///< Rises with each claim of the sender.
+    std::string key;          ///< Consists of service, workspace and the caller's key.
+    std::uint64_t roster = 0; ///< The roster whose members receive the claim.
+    std::uint64_t claim = 0;  ///< Increases with each claim of the sender.
     MSGPACK_DEFINE(key, roster, claim)
 };
 
-/// A witness's answer to a claim.
+/// A witness's reply to a claim.
 struct KeyVote
 {
     std::string key;
     std::uint64_t roster = 0;
     std::uint64_t claim = 0;
-    std::uint8_t vote = 0; ///< Idempotency/Witness.h, Vote.
-    std::string holder;    ///< Who holds the key, where it is not the claimant.
+    std::uint8_t vote = 0; ///< A value of Vote in Idempotency/Witness.h.
+    std::string holder;    ///< The node that holds the key, if it is not the claimant.
     std::uint64_t holderIncarnation = 0;
-    std::uint64_t requesterIncarnation = 0; ///< The run whose claim this answers.
+    /// The claimant's run to which this vote replies.
+    std::uint64_t requesterIncarnation = 0;
     MSGPACK_DEFINE(key, roster, claim, vote, holder, holderIncarnation, requesterIncarnation)
 };
 
-/// The sender has not run the key under any of its claims up to this one, and never will.
+/// States that the sender has not run the key under any of its claims up to this one and never
+/// will.
 struct KeyRelease
 {
     std::string key;
@@ -40,7 +42,7 @@
     MSGPACK_DEFINE(key, claim)
 };
 
-/// Asks the holder of a key for its state or its kept answer.
+/// Asks the holder of a key for the key's state and stored response.
 struct KeyQuery
 {
     std::string key;
@@ -55,17 +57,19 @@
     MSGPACK_DEFINE(name, value)
 };
 
-/// The holder's word on a key, with the kept answer where there is one.
+/// The holder's reply about a key, with the stored response if there is one.
 struct KeyState
 {
     std::string key;
     std::uint64_t query = 0;
-    std::uint8_t state = 0; ///< Idempotency/KeyLife.h, KeyPhase.
+    std::uint8_t state = 0; ///< A value of KeyPhase in Idempotency/KeyPhase.h.
     std::uint32_t status = 0;
     std::vector<KeyHeader> headers;
     std::string body;
-    std::uint64_t bodyHash = 0;             ///< Of the request that the holder took.
-    std::uint64_t requesterIncarnation = 0; ///< The run whose query this answers.
+    /// The hash of the request body that the holder received.
+    std::uint64_t bodyHash = 0;
+    /// The requester's run to which this message replies.
+    std::uint64_t requesterIncarnation = 0;
     MSGPACK_DEFINE(key, query, state, status, headers, body, bodyHash, requesterIncarnation)
 };
 
@@ -76,16 +80,17 @@
     MSGPACK_DEFINE(node, incarnation)
 };
 
-/// A set of witnesses for the keys made after a moment.
+/// The set of witnesses for the keys created after startsAt.
 struct RosterMessage
 {
     std::string proposer;
     std::uint64_t proposerIncarnation = 0;
-    std::uint64_t sequence = 0; ///< Counts the proposer's rosters.
-    std::int64_t startsAt = 0;  ///< Milliseconds of wall-clock time.
-    bool isActive = false;      ///< False while only proposed.
+    std::uint64_t sequence = 0; ///< Counts the rosters of the proposer.
+    std::int64_t startsAt = 0;  ///< Wall-clock time in milliseconds.
+    bool isActive = false;      ///< False while the roster is only proposed.
     std::vector<RosterMemberMessage> members;
-    std::uint64_t listRevision = 0; ///< Of the VM list that names all members.
+    /// The revision of the VM list that names all members.
+    std::uint64_t listRevision = 0;
     MSGPACK_DEFINE(proposer, proposerIncarnation, sequence, startsAt, isActive, members,
                    listRevision)
 };
@@ -94,12 +99,13 @@
 struct RosterProposal
 {
     RosterMessage roster;
-    std::vector<std::uint64_t>
-        baseRosters; ///< The rosters whose members the proposer asks as well.
+    /// The live rosters that the proposer knows; it asks their members for consent too.
+    std::vector<std::uint64_t> baseRosters;
     MSGPACK_DEFINE(roster, baseRosters)
 };
 
-/// Consent, or a refusal with what the proposal left out.
+/// Consent to a proposal, or a rejection with the rosters that the proposal did not take into
+/// account.
 struct RosterProposalReply
 {
     std::uint64_t roster = 0;
@@ -108,7 +114,7 @@
     MSGPACK_DEFINE(roster, isGranted, known)
 };
 
-/// From the proposer alone: the roster is active, or never will be.
+/// Sent only by the proposer: the roster is active, or it never will be.
 struct RosterDecision
 {
     std::uint64_t roster = 0;
@@ -116,13 +122,15 @@
     MSGPACK_DEFINE(roster, isActive)
 };
 
-/// A sign of life with the sender's latest active roster. The rosters themselves follow where the
-/// receiver has another; proposed ones are sent to their proposer, to ask how they terminated.
+/// A periodic liveness message with the sender's latest active roster. The rosters themselves are
+/// sent if the receiver's latest active roster differs. A proposed roster is sent to its proposer
+/// to ask whether it became active.
 struct RosterUpdate
 {
     std::uint64_t latest = 0;
     std::vector<RosterMessage> rosters;
-    std::vector<RosterMemberMessage> terminated; ///< Members that the sender has a proof against.
+    /// Roster members that the sender has proof of having terminated.
+    std::vector<RosterMemberMessage> terminated;
     MSGPACK_DEFINE(latest, rosters, terminated)
 };
 
--- a/include/berylridge/Idempotency/Roster.h
+++ b/include/berylridge/Idempotency/Roster.h
@@ -1,5 +1,5 @@
-// A roster: the set of witnesses for the keys made after a moment; and the chain of rosters that a
-// node knows, in the order of those moments.
+// A roster is the set of witnesses for the keys created after its start. A roster chain contains
+// the rosters that a node knows, ordered by start.
 #pragma once
 
 #include "berylridge/Idempotency/Messages.h"
@@ -15,10 +15,11 @@
 
 namespace berylridge {
 
-/// A hash of the roster's content; 0 means none.
+/// A hash of the roster's content; 0 means no roster.
 using RosterId = std::uint64_t;
 
-/// One run of one node: a node that restarts is another member, for it has forgotten its votes.
+/// One process run of a node. After a restart the node counts as another member because it has lost
+/// the votes that it gave.
 struct NodeRun
 {
     NodeId node;
@@ -29,7 +30,7 @@
     bool operator==(const NodeRun &) const = default;
 };
 
-/// Witnesses of the keys with startsAt < time made <= startsAt of the next roster.
+/// The witnesses of the keys with startsAt < creation time <= startsAt of the next roster.
 struct Roster
 {
     RosterId id = 0;
@@ -44,35 +45,37 @@
     bool contains(const NodeRun &run) const;
 };
 
-/// Computes the id as well.
+/// Converts the message to a roster and computes its id.
 Roster makeRoster(const RosterMessage &message);
 RosterMessage rosterMessage(const Roster &roster);
 
-/// The rosters that a node knows: active ones, and proposed ones that it consented to or was told
-/// of. More entries only ever make a witness vote less, so adding one is always safe.
+/// The rosters that a node knows: active rosters, and proposed ones that the node has consented to
+/// or received. Additional entries can only make a witness grant fewer votes, so adding a roster is
+/// always safe.
 class RosterChain
 {
 public:
-    /// The roster of keys made at the time; null where none is known.
+    /// Returns the roster for keys created at the given time, or null if none is known.
     const Roster *rosterAt(WallTime createdAt) const;
     const Roster *find(RosterId id) const;
     const Roster *lastActive() const;
-    /// The last active roster and all proposed ones after it: whoever makes a new roster needs the
-    /// consent of all their members.
+    /// Returns the last active roster and all proposed rosters after it. The proposer of a new
+    /// roster needs the consent of all their members.
     std::span<const Roster> live() const;
     std::span<const Roster> all() const { return m_rosters; }
 
-    /// Returns whether anything is new: the roster, or that it is active.
+    /// Returns whether the roster, or the fact that it is active, is new.
     bool add(const Roster &roster);
-    /// Only for a proposed roster of which its proposer says that it never becomes active.
+    /// Removes a proposed roster. Must only be called if its proposer has reported that it never
+    /// becomes active.
     void remove(RosterId id);
-    /// Drops what only keys made before the time would need.
+    /// Removes rosters that are needed only for keys created before the given time.
     void prune(WallTime before);
 
     std::string describe() const;
 
 private:
-    std::vector<Roster> m_rosters; ///< By startsAt, then id.
+    std::vector<Roster> m_rosters; ///< Sorted by startsAt, then by id.
 };
 
 } // namespace berylridge
--- a/include/berylridge/Idempotency/RosterCoordinator.h
+++ b/include/berylridge/Idempotency/RosterCoordinator.h
@@ -1,5 +1,6 @@
-// Agrees with other nodes on the next roster. One proposer decides alone on its proposal, once
-// every run that could still vote in the rosters before has consented or is proven gone.
+// Agrees with other nodes on the next roster. The proposer alone decides on its proposal, once
+// every run that could still vote in the previous rosters has consented or is proven to have
+// terminated.
 #pragma once
 
 #include "berylridge/Idempotency/KeyOutput.h"
@@ -22,9 +23,12 @@
     Duration lifetime {0};
     Duration futureTolerance {0};
     Duration maxClockSkew {0};
-    Duration consentTimeout {0};         ///< For all consents to a proposal.
-    Duration membershipStablePeriod {0}; ///< Members unchanged for so long before a proposal.
-    Duration livenessTimeout {0}; ///< Without a message, until a run no longer counts as heard.
+    /// How long a proposer waits until all recipients have consented.
+    Duration consentTimeout {0};
+    /// How long the set of members must be unchanged before a proposal.
+    Duration membershipStablePeriod {0};
+    /// How long a run counts as alive after its last message.
+    Duration livenessTimeout {0};
     Duration gossipPeriod = std::chrono::seconds(1);
     Duration resendPeriod {0};
     std::size_t maxRosterMembers = 9;
@@ -38,7 +42,8 @@
     const RosterChain &chain() const { return m_chain; }
     const LivenessView &view() const { return m_view; }
 
-    /// To be called with each message, before it is handed to the others.
+    /// Records that a message arrived. Must be called for each message before the message is
+    /// handled.
     void onMessageFrom(const NodeRun &from, TimePoint now, KeyOutput &out);
     void onMembers(std::span<const KeyMember> members, TimePoint now, KeyOutput &out);
     void onVmList(const VmList &list, TimePoint now);
@@ -51,7 +56,7 @@
     void tick(TimePoint now, WallTime wall, KeyOutput &out);
     TimePoint nextTimer() const;
 
-    /// Tells a node the rosters that are active here.
+    /// Sends the rosters that are active on this node.
     void sendRosterUpdate(const NodeId &to, KeyOutput &out) const;
 
     std::string describe() const;
@@ -90,7 +95,7 @@
     LivenessView m_view;
     RosterChain m_chain;
     std::optional<Proposal> m_proposal;
-    std::set<RosterId> m_activated; ///< Of this run's own proposals.
+    std::set<RosterId> m_activated; ///< The proposals of this run that became active.
     std::uint64_t m_sequence = 0;
     TimePoint m_nextProposalAt;
     TimePoint m_nextGossipAt;
--- a/include/berylridge/Idempotency/Witness.h
+++ b/include/berylridge/Idempotency/Witness.h
@@ -1,5 +1,5 @@
-// The witness role: records which run of which node claimedRoster for a key first, and denies it to
-// others.
+// The witness role: records which process run claimed a key first, and rejects the claims of other
+// runs.
 #pragma once
 
 #include "berylridge/Idempotency/KeyFormat.h"
@@ -16,14 +16,16 @@
 enum class Vote : std::uint8_t {
     Yes,
     Held,        ///< Another run holds the key.
-    Abstain,     ///< This witness can't know whether the key was run before.
-    OtherRoster, ///< The key belongs to another roster than the one the claimant named.
-    Expired,     ///< The key is past its lifetime, or from the future.
-    Full,        ///< No memory for another key.
-    Stale,       ///< The claim is older than one that the claimant made since; not answered.
+    Abstain,     ///< This witness cannot know whether the key has been run before.
+    OtherRoster, ///< The key belongs to another roster than the one that the claim names.
+    /// The key's lifetime has ended, or its creation time is too far in the future.
+    Expired,
+    Full,  ///< The witness has reached its maximum number of records.
+    Stale, ///< The claimant has made a later claim since; the witness does not reply.
 };
 
-/// When a key's votes may be given, by the witness's own clock.
+/// The limits on a key's creation time, relative to the witness's own clock, within which the
+/// witness votes.
 struct KeyTimeLimits
 {
     Duration lifetime {0};
@@ -31,7 +33,7 @@
     Duration maxClockSkew {0};
 };
 
-/// A claim as a witness sees it.
+/// The content of a claim that a witness received.
 struct ReceivedClaim
 {
     NodeRun claimant;
@@ -42,10 +44,10 @@
 struct VoteResult
 {
     Vote vote = Vote::Abstain;
-    NodeRun holder; ///< With Held.
+    NodeRun holder; ///< Set if the vote is Held.
 };
 
-/// A roster's id in claims for issued keys, whose only witness is the issuer.
+/// The roster id in claims for issued keys. The issuer is the only witness of such a key.
 inline constexpr RosterId issuerRosterId = 2;
 
 class Witness
@@ -53,16 +55,17 @@
 public:
     Witness(NodeRun self, KeyTimeLimits limits, std::size_t maxRecords);
 
-    /// The wall-clock time must not step back between calls.
+    /// Votes on a claim. The wall-clock time must not decrease between calls.
     VoteResult vote(const std::string &key, const ReceivedClaim &claim, const RosterChain &chain,
                     WallTime wall);
-    /// The claimant has not run the key under any of its claims up to this one.
+    /// Drops the claimant's record. The claimant has not run the key under any of its claims up to
+    /// this one.
     void release(const std::string &key, const NodeRun &claimant, std::uint64_t claim);
 
-    /// Makes a key that this run alone admits.
+    /// Creates a key that only this run admits.
     std::string issueKey(WallTime wall);
 
-    /// Forgets records of keys past their lifetime.
+    /// Removes the records of expired keys.
     void prune(WallTime wall);
 
     std::size_t size() const { return m_records.size(); }
--- a/lib/Idempotency/KeyClaims.cpp
+++ b/lib/Idempotency/KeyClaims.cpp
@@ -1,4 +1,4 @@
-// The part of the key registry that speaks with witnesses and holders.
+// The part of the key registry that exchanges messages with witnesses and key holders.
 #include "berylridge/Idempotency/KeyRegistry.h"
 
 #include <algorithm>
@@ -21,7 +21,8 @@
         claim.quorum = 1;
         if (m_rosterCoordinator.view().isTerminated(claim.witnesses.front(),
                                                     m_rosterCoordinator.view().list().revision))
-            return Refusal {409, "issuer-gone", "the node that issued the key is gone", {}};
+            return Refusal {
+                409, "issuer-gone", "the node process that issued the key has terminated", {}};
         return std::nullopt;
     }
     const RosterChain &chain = m_rosterCoordinator.chain();
@@ -31,7 +32,10 @@
         return Refusal {503, "no-witnesses", "the nodes have not yet agreed on witnesses",
                         defaultRetryAfter};
     if (!roster)
-        return Refusal {409, "key-too-old", "the key is older than the witnesses' memory", {}};
+        return Refusal {409,
+                        "key-too-old",
+                        "the key was created before the oldest known roster of witnesses",
+                        {}};
     claim.roster = roster->id;
     claim.witnesses = roster->members;
     claim.quorum = roster->quorum();
@@ -84,7 +88,7 @@
     }
     if (!isSelfWitness)
         return;
-    // Last, for a vote may decide the claim and end its life here.
+    // The vote of this node comes last because it may complete the claim and destroy it.
     const VoteResult result
         = m_witness.vote(key, {self(), claim.roster, number}, m_rosterCoordinator.chain(), m_wall);
     countVote(key, self(), result, out);
@@ -142,14 +146,17 @@
 std::optional<KeyRegistry::Refusal> KeyRegistry::refusalForClaim(const Claim &claim) const
 {
     if (claim.holder) {
-        // A holder that is gone took with it whether it ran the key.
+        // Only the holder knew whether it ran the key, and that knowledge was lost when it
+        // terminated.
         if (m_rosterCoordinator.view().isTerminated(*claim.holder,
                                                     m_rosterCoordinator.view().list().revision))
-            return Refusal {409, "holder-gone", "the node that took the operation is gone", {}};
+            return Refusal {
+                409, "holder-gone", "the node process that held the key has terminated", {}};
         return std::nullopt;
     }
     if (claim.witnesses.size() - claim.no.size() < claim.quorum)
-        return Refusal {503, "witnesses-abstain", "too few witnesses know of the key's time",
+        return Refusal {503, "witnesses-abstain",
+                        "too few witnesses can tell whether the key was used before",
                         defaultRetryAfter};
     return std::nullopt;
 }
@@ -203,11 +210,12 @@
     const Claim &claim = *it->second.claim;
     const bool isWitness
         = std::find(claim.witnesses.begin(), claim.witnesses.end(), from) != claim.witnesses.end();
-    // A vote for an earlier run of this node is no vote for this one: that run may have dispatched
-    // the key, and the witness holds it for that run alone.
+    // Ignores a vote for an earlier run of this node. That run may have dispatched the key, and the
+    // witness recorded the key for that run only.
     if (vote.requesterIncarnation != m_options.incarnation)
         return;
-    // Votes of another roster, of an earlier claim or of a witness that restarted don't add up.
+    // Ignores votes for another roster or an earlier claim, and votes of a witness that has
+    // restarted.
     if (!isWitness || vote.claim != claim.number || vote.roster != claim.roster)
         return;
     countVote(vote.key, from,
@@ -234,13 +242,14 @@
         state.status = held.status;
         state.headers = held.headers;
         state.body = held.body.value_or("");
-        // An answer that is gone is told as an attempt without an answer.
+        // A response that is no longer stored is reported as an attempt without a response.
         if (held.phase == KeyPhase::Finished && !held.body)
             state.state = static_cast<std::uint8_t>(KeyPhase::Failed);
         state.bodyHash = held.bodyHash;
     } else {
-        // A witness remembers a claim of this run that was given up: its release was lost, or came
-        // before the claim. Without another release the key would be refused for its lifetime.
+        // The witness still has the record of a claim that this run abandoned: the release was lost
+        // or arrived before the claim. Without another release the key would be refused for the
+        // rest of its lifetime.
         Claim claim;
         claim.number = m_claimCount;
         static_cast<void>(chooseWitnesses(parseKey(query.key), claim));
@@ -261,13 +270,16 @@
     const auto phase = static_cast<KeyPhase>(state.state);
     if (phase == KeyPhase::Unknown) {
         it->second.claim->holder.reset();
-        return; // the next resend finds the key free
+        return; // The next resend will find the key unclaimed.
     }
-    // Two claims that each hold some witnesses: the lower name goes on, else both would give up.
+    // If two claims each hold the votes of some witnesses, the node with the lower name continues;
+    // otherwise both would abandon their claims.
     if (phase == KeyPhase::Claiming && self().node < from.node)
         return;
     if (state.bodyHash != held.bodyHash) {
-        abandonClaim(state.key, {422, "key-reused", "the key names another request", {}}, out);
+        abandonClaim(state.key,
+                     {422, "key-reused", "the key was already used for a different request", {}},
+                     out);
     } else if (phase == KeyPhase::Finished) {
         const KeyRequestId request = held.request;
         static_cast<void>(release(state.key, out));
--- a/lib/Idempotency/KeyFormat.cpp
+++ b/lib/Idempotency/KeyFormat.cpp
@@ -49,7 +49,7 @@
 {
     if (!hasUuidFormat(text) || text[uuidVersionIndex] != '7')
         return std::nullopt;
-    // The variant's two leading bits are 10.
+    // The two leading bits of the UUID variant are 10.
     if ((*parseNumber(text.substr(uuidVariantIndex, 1), 16) & 0xC) != 0x8)
         return std::nullopt;
     const auto high = *parseNumber(text.substr(0, 8), 16);
@@ -57,7 +57,7 @@
     return WallTime(std::chrono::milliseconds((high << 16) | low));
 }
 
-/// Takes the text up to the next dash.
+/// Removes and returns the text up to the next dash.
 std::string_view takeField(std::string_view &text)
 {
     const auto dash = text.find('-');
@@ -74,7 +74,7 @@
     const auto createdAt = parseNumber(takeField(text), 10);
     const auto sequence = parseNumber(takeField(text), 10);
     const auto incarnation = parseNumber(takeField(text), 10);
-    // Times are kept far below the limits of their type, so that sums with lifetimes stay in it.
+    // Limits timestamps to 48 bits so that adding a lifetime cannot overflow.
     if (!createdAt || *createdAt >> 48 != 0 || !sequence || !incarnation || text.empty())
         return std::nullopt;
     return ParsedKey {KeyKind::Issued, WallTime(std::chrono::milliseconds(*createdAt)),
--- a/lib/Idempotency/KeyRegistry.cpp
+++ b/lib/Idempotency/KeyRegistry.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr Duration defaultRetryAfter = std::chrono::seconds(1);
-/// Old keys are searchAndCheck for this many times in a lifetime.
+/// Expired keys are removed this many times per key lifetime.
 constexpr int sweepsPerLifetime = 64;
 
 std::chrono::milliseconds milliseconds(Duration duration)
@@ -55,13 +55,15 @@
     if (text.kind == KeyKind::Opaque)
         return std::nullopt;
     if (text.createdAt + milliseconds(m_options.lifetime) < m_wall)
-        return Refusal {409, "key-expired", "the key is older than keys are remembered", {}};
+        return Refusal {409, "key-expired", "the key is older than the lifetime of keys", {}};
     const auto ahead = text.createdAt - m_wall;
     if (ahead <= milliseconds(m_options.futureTolerance))
         return std::nullopt;
-    Refusal refusal {409, "key-from-future", "the key was made in the future", {}};
+    Refusal refusal {
+        409, "key-from-future", "the key's creation time is too far in the future", {}};
     refusal.retryAfter = ahead - milliseconds(m_options.futureTolerance);
-    // No clock of the fleet is two skews ahead of this one, so no node can have taken the key.
+    // The clock of another node is at most two skews ahead of this one, so no node can have
+    // admitted the key.
     const auto maxAhead
         = milliseconds(m_options.futureTolerance) + 2 * milliseconds(m_options.maxClockSkew);
     if (ahead > maxAhead)
@@ -90,9 +92,9 @@
         return;
     }
     if (m_heldKeys.size() >= m_options.maxKeys) {
-        // Forgetting an old key instead would let a handleRepeat of that one run again.
-        refuse(request, key, {503, "too-many-keys", "no memory for another key", defaultRetryAfter},
-               out);
+        // Evicting an old key instead would let a repeated request run its operation again.
+        refuse(request, key,
+               {503, "too-many-keys", "no capacity for another key", defaultRetryAfter}, out);
         return;
     }
     Held &held = m_heldKeys[key];
@@ -108,7 +110,8 @@
                                const Held &held, KeyOutput &out) const
 {
     if (held.bodyHash != bodyHash) {
-        refuse(request, key, {422, "key-reused", "the key names another request", {}}, out);
+        refuse(request, key,
+               {422, "key-reused", "the key was already used for a different request", {}}, out);
         return;
     }
     if (held.phase == KeyPhase::Finished && held.body) {
@@ -117,7 +120,8 @@
         return;
     }
     if (held.phase == KeyPhase::Finished) {
-        refuse(request, key, {409, "answer-not-kept", "the operation ran; its answer is gone", {}},
+        refuse(request, key,
+               {409, "answer-not-kept", "the operation ran, but its response is not stored", {}},
                out);
         return;
     }
@@ -134,8 +138,9 @@
     const auto lifetime = milliseconds(m_options.lifetime);
     const auto margin
         = 2 * milliseconds(m_options.maxClockSkew) + milliseconds(m_options.futureTolerance);
-    // This node says "not run" of a key that it doesn't hold when another asks. So it must remember
-    // a key until every other clock of the fleet counts the key as expired.
+    // When another node queries a key that this node does not hold, this node replies that it has
+    // not run the key. It must therefore remember a key until the key is expired by every other
+    // clock in the fleet.
     if (text.kind == KeyKind::Opaque)
         return m_wall + 2 * lifetime + margin;
     return text.createdAt + lifetime + margin;
@@ -147,8 +152,8 @@
     const auto it = m_heldKeys.find(key);
     if (it == m_heldKeys.end() || it->second.phase != KeyPhase::Admitted)
         return false;
-    // A process that was paused for a lifetime wakes with an admission that its witnesses have
-    // forgotten.
+    // After a pause of a whole key lifetime, the process may hold an admission that its witnesses
+    // have already dropped.
     const ParsedKey text = parseKey(key);
     const WallTime from = text.kind == KeyKind::Opaque ? it->second.receivedAt : text.createdAt;
     return std::max(wall, m_wall) <= from + milliseconds(m_options.lifetime);
@@ -179,7 +184,7 @@
     const auto it = m_heldKeys.find(key);
     if (it == m_heldKeys.end() || it->second.phase > KeyPhase::Admitted)
         return Verdict::MayHaveRun;
-    // Before a quorum has answered, another router may hold the key and have run it.
+    // Before a quorum has voted for this node, another router may hold the key and have run it.
     const bool isHolder = it->second.phase == KeyPhase::Admitted;
     if (it->second.claim)
         releaseClaim(key, *it->second.claim, out);
@@ -210,7 +215,7 @@
     held.body = std::move(body);
     m_storedResponseKeys.push_back(key);
     while (m_storedResponseBytes > m_options.maxStoredResponseBytes) {
-        // Only the answer goes; that the key was run stays known.
+        // Drops only the response; the fact that the key was run is retained.
         const auto oldest = m_heldKeys.find(m_storedResponseKeys.front());
         m_storedResponseKeys.pop_front();
         if (oldest == m_heldKeys.end() || !oldest->second.body)
@@ -244,7 +249,7 @@
     m_witness.prune(m_wall);
     std::erase_if(m_heldKeys, [&](const auto &item) {
         const Held &held = item.second;
-        // A running one stays until its attempt ends.
+        // A running key is retained until its attempt ends.
         if (held.retainUntil >= m_wall || held.phase < KeyPhase::Finished)
             return false;
         m_storedResponseBytes -= held.body ? held.body->size() : 0;
--- a/lib/Idempotency/LivenessView.cpp
+++ b/lib/Idempotency/LivenessView.cpp
@@ -18,7 +18,7 @@
 LivenessView::LivenessView(const NodeRun &self, Duration livenessTimeout)
     : m_silenceLimit(livenessTimeout)
 {
-    // This run is the proof that the node's earlier ones are over.
+    // The start of this run proves that the node's earlier runs have terminated.
     if (self.incarnation != 0)
         m_terminatedUpTo[self.node] = self.incarnation - 1;
 }
@@ -60,7 +60,7 @@
 bool LivenessView::recordMessage(const NodeRun &run)
 {
     if (run.incarnation < latestIncarnation(run.node) || isProvenTerminated(run))
-        return false; // a late datagram of a run that has ended
+        return false; // A delayed datagram of a run that has terminated.
     const bool isNew = aliveRun(run.node) != run;
     m_lastMessages[run.node] = {run.incarnation, m_now};
     Incarnation &terminatedUpTo = m_terminatedUpTo[run.node];
--- a/lib/Idempotency/Roster.cpp
+++ b/lib/Idempotency/Roster.cpp
@@ -20,7 +20,7 @@
         + std::to_string(roster.startsAt.time_since_epoch().count());
     for (const NodeRun &member : roster.members)
         text += ' ' + member.node.str() + ' ' + std::to_string(member.incarnation);
-    return hash64(text) | 1; // never 0, which means none
+    return hash64(text) | 1; // Avoids 0, which means no roster.
 }
 
 } // namespace
--- a/lib/Idempotency/RosterCoordinator.cpp
+++ b/lib/Idempotency/RosterCoordinator.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr std::size_t maxRostersPerUpdate = 6;
-/// Between a proposal that failed and the next, in settle times.
+/// The delay between a failed proposal and the next one, in membershipStablePeriods.
 constexpr int proposalBackoffFactor = 2;
 
 std::chrono::milliseconds milliseconds(Duration duration)
@@ -61,7 +61,8 @@
 
 std::vector<NodeRun> RosterCoordinator::candidates(bool onlyAlive) const
 {
-    // Zone by zone in turn, so that a lost zone takes as few of them as can be.
+    // Picks nodes from the zones in turn, so that the loss of a zone removes as few witnesses as
+    // possible.
     std::map<ZoneId, std::vector<std::pair<std::uint64_t, NodeRun>>> zones;
     for (const VmEntry &entry : m_view.list().vms) {
         const bool isSelf = entry.node == m_options.self.node;
@@ -92,13 +93,15 @@
     if (wanted.empty())
         return false;
     const auto live = m_chain.live();
-    // A proposal that was never decided leaves the keys after it without witnesses.
+    // Keys created after the start of an undecided proposal have no witnesses, so such a proposal
+    // requires a new roster.
     return live.size() != 1 || !live.front().isActive || live.front().members != wanted;
 }
 
 bool RosterCoordinator::isProposer() const
 {
-    // Any node may propose; the lowest name does, so that proposals seldom cross.
+    // Any node may propose safely. Only the node with the lowest name does, so that proposals
+    // rarely conflict.
     const auto alive = m_view.aliveRuns();
     return std::all_of(alive.begin(), alive.end(), [&](const NodeRun &run) {
         return m_options.self.node <= run.node || m_view.isLeaving(run.node)
@@ -114,8 +117,8 @@
 
 bool RosterCoordinator::addListedRecipients(std::set<NodeRun> &runs) const
 {
-    // A list that doesn't name this node is older than it: it may leave out all who are in a
-    // roster.
+    // A list that does not name this node is older than this node, and may omit all members of a
+    // current roster.
     if (!m_view.listed(m_options.self.node))
         return false;
     std::size_t listed = 0;
@@ -126,7 +129,7 @@
             runs.insert(run);
             ++listed;
         } else if (m_view.isUnresponsive(entry.node)) {
-            return false; // it may be in a roster that nobody here has alive of
+            return false; // The node may be a member of a roster that no node here knows.
         }
     }
     for (const NodeRun &run : m_view.aliveRuns())
@@ -143,7 +146,8 @@
         for (const NodeRun &member : roster.members) {
             if (member != m_options.self && m_view.isTerminated(member, roster.listRevision))
                 continue;
-            // A silent member may still vote, and may have consented to what nobody here knows.
+            // An unresponsive member may still vote, and may have consented to a roster that no
+            // node here knows.
             if (member != m_options.self && !m_view.isAlive(member))
                 return std::nullopt;
             runs.insert(member);
@@ -153,8 +157,9 @@
     const bool hasMemberOfEachRoster = !live.empty()
         && std::all_of(live.begin(), live.end(),
                        [&](const Roster &roster) { return includesMemberOf(roster, runs); });
-    // Where no member of a known roster is left, they may have made another one before they went.
-    // Its members stand in the list or are alive, so all of these are recipients.
+    // If no member of a known roster remains, its members may have agreed on another roster before
+    // they terminated. The members of that roster are in the VM list or alive, so all of these
+    // nodes are asked for consent.
     if (!hasMemberOfEachRoster && !addListedRecipients(runs))
         return std::nullopt;
     return runs;
@@ -176,8 +181,9 @@
     Proposal proposal;
     proposal.roster.proposer = m_options.self;
     proposal.roster.sequence = ++m_sequence;
-    // Members that are gone by now voted for no key beyond their own clocks and the tolerance, and
-    // two clocks differ by two skews at most. The window is for those that are recipients.
+    // A member that has terminated has voted only for keys created up to its own clock plus the
+    // tolerance, and two clocks differ by at most two skews. The consent timeout is added for the
+    // runs that are asked for consent.
     proposal.roster.startsAt = wall + minStartDelay() + milliseconds(m_options.consentTimeout);
     proposal.roster.listRevision = m_view.list().revision;
     proposal.roster.members = wanted;
@@ -211,15 +217,16 @@
 {
     if (m_chain.find(roster.id))
         return true;
-    // This run may have voted for any key up to the tolerance. Those keys must stay with the roster
-    // in which it voted: the new one's members know nothing of them.
+    // This run may have voted for any key created up to its clock plus the tolerance. Those keys
+    // must remain with the roster in which it voted because the members of the new roster do not
+    // know them.
     if (roster.startsAt <= wall + milliseconds(m_options.futureTolerance))
         return false;
     const auto all = m_chain.all();
     if (!all.empty() && roster.startsAt <= all.back().startsAt)
         return false;
-    // Consent to a roster whose proposer doesn't ask the members of one that is live here would let
-    // both admit a key.
+    // Consenting to a roster whose proposer does not ask the members of a roster that is live here
+    // would let both rosters admit the same key.
     for (const Roster &live : m_chain.live()) {
         if (std::find(baseRosters.begin(), baseRosters.end(), live.id) == baseRosters.end())
             return false;
@@ -242,7 +249,8 @@
         if (!isGranted && live.proposer != m_options.self)
             reply.known.push_back(rosterMessage(live));
     }
-    // An own roster is told only once it is active: a proposed one is given up or decided here.
+    // A roster proposed by this node is reported only once it is active. Until then this node alone
+    // abandons or activates it.
     for (const Roster &live : m_chain.live()) {
         if (!isGranted && live.proposer == m_options.self && live.isActive)
             reply.known.push_back(rosterMessage(live));
@@ -264,7 +272,7 @@
     abandonProposal(now, out);
     for (const RosterMessage &message : consent.known)
         m_chain.add(makeRoster(message));
-    // The refusal may come from a node that missed the roster on which the proposal builds.
+    // The rejecting node may have missed the roster that the proposal is based on.
     sendRosterUpdate(from.node, out);
 }
 
@@ -304,7 +312,7 @@
 
 void RosterCoordinator::abandonProposal(TimePoint now, KeyOutput &out)
 {
-    // Only this run could have made it active, so the promises given for it may lapse.
+    // Only this run could have activated the roster, so the consents given for it may be dropped.
     m_chain.remove(m_proposal->roster.id);
     for (const NodeRun &run : m_proposal->recipients)
         out.sends.push_back({run.node, RosterDecision {m_proposal->roster.id, false}});
@@ -335,13 +343,14 @@
             m_chain.add(roster);
             continue;
         }
-        // The sender asks how its consent terminated. A roster still to be decided is not answered.
+        // The sender asks whether a proposed roster that it consented to became active. No reply is
+        // sent while the proposal is pending.
         const bool isPending = m_proposal && m_proposal->roster.id == roster.id;
         if (roster.proposer == m_options.self && !isPending)
             out.sends.push_back(
                 {from.node, RosterDecision {roster.id, m_activated.contains(roster.id)}});
     }
-    // Only the nodes of a zone probe each other, and the proposer may sit in another one.
+    // Nodes probe only the nodes of their own zone, but the proposer may be in another zone.
     for (const RosterMemberMessage &run : update.terminated)
         m_view.addTerminated({NodeId(run.node), run.incarnation});
     const Roster *latest = m_chain.lastActive();
--- a/lib/Idempotency/Witness.cpp
+++ b/lib/Idempotency/Witness.cpp
@@ -49,8 +49,8 @@
     const auto it = m_records.find(key);
     if (it == m_records.end() || it->second.holder != claimant)
         return;
-    // A release that was overtaken by the claimant's next claim must not free that one: another
-    // router would be admitted beside it.
+    // A release that arrives after the claimant's next claim must not drop that claim: another
+    // router would be admitted at the same time.
     if (it->second.claim <= claim)
         m_records.erase(it);
 }
@@ -75,8 +75,8 @@
         return Vote::Expired;
     if (text.kind == KeyKind::Issued)
         return issuedEligibility(text, claimedRoster);
-    // A vote for a key from the future could fall into the time of a roster that is made later and
-    // whose members know nothing of it: they would admit the key again.
+    // A key created in the future could belong to a roster that is agreed on later and whose
+    // members do not know of this vote; they would admit the key again.
     if (text.createdAt > wall + milliseconds(m_limits.futureTolerance))
         return Vote::Expired;
     return memberEligibility(chain.rosterAt(text.createdAt), claimedRoster);
@@ -85,8 +85,8 @@
 Vote Witness::issuedEligibility(const ParsedKey &text, RosterId claimedRoster) const
 {
     const bool isOwn = NodeRun {text.issuer, text.issuerIncarnation} == m_self;
-    // A key that this run never issued may have been another's: a node that restarted has forgotten
-    // what it admitted.
+    // A key that this run did not issue may have been issued by an earlier run, which may have
+    // admitted it. A node that restarts loses its record of admitted keys.
     if (claimedRoster != issuerRosterId || !isOwn || text.sequence == 0
         || text.sequence > m_issuedCount)
         return Vote::Abstain;
@@ -100,8 +100,8 @@
     const Vote eligible = memberEligibility(roster, claimedRoster);
     if (eligible != Vote::Yes)
         return eligible;
-    // An opaque key doesn't tell whether an earlier roster admitted it. After a whole lifetime its
-    // caller no longer sends it.
+    // An opaque key does not tell whether an earlier roster admitted it. After a whole key
+    // lifetime, its caller no longer sends it.
     const auto minRosterAge
         = milliseconds(m_limits.lifetime) + 2 * milliseconds(m_limits.maxClockSkew);
     return roster->startsAt + minRosterAge < wall ? Vote::Yes : Vote::Abstain;
@@ -113,7 +113,7 @@
         return Vote::Abstain;
     if (roster->id != claimedRoster)
         return Vote::OtherRoster;
-    // In a proposed roster there is nothing to vote yet: members of the one before may still do so.
+    // A proposed roster must not vote yet because members of the previous roster may still vote.
     if (!roster->isActive || !roster->contains(m_self))
         return Vote::Abstain;
     return Vote::Yes;
@@ -122,8 +122,8 @@
 WallTime Witness::expiryOf(const ParsedKey &text, WallTime wall) const
 {
     const auto lifetime = milliseconds(m_limits.lifetime);
-    // The lifetime of an opaque key begins at its first use, which may be a lifetime before the
-    // last: the holder dispatches within one lifetime of its claim.
+    // The lifetime of an opaque key begins at its first use, which may be one lifetime before the
+    // last use: the holder dispatches within one lifetime of its claim.
     if (text.kind == KeyKind::Opaque)
         return wall + 2 * lifetime;
     return text.createdAt + lifetime;
--- a/unittests/Idempotency/KeyFleet.h
+++ b/unittests/Idempotency/KeyFleet.h
@@ -1,4 +1,5 @@
-// A few key registries joined by a fake network that tests cut, delay and loseVm by hand.
+// Several key registries connected by a simulated network, in which tests partition zones, delay
+// and drop messages.
 #pragma once
 
 #include "berylridge/Idempotency/KeyRegistry.h"
@@ -14,7 +15,7 @@
 
 namespace berylridge::test {
 
-/// A UUIDv7 made at the time; the number tells keys of one moment apart.
+/// Returns a UUIDv7 created at the given time; the number distinguishes keys with the same time.
 inline std::string timestampedKey(WallTime createdAt, unsigned number = 1)
 {
     const auto time = static_cast<unsigned long long>(createdAt.time_since_epoch().count());
@@ -43,8 +44,8 @@
     };
 
     std::deque<FakeMessage> network;
-    std::vector<KeyDecision> decisions;          ///< Of all nodes, oldest first.
-    std::map<NodeId, std::optional<Node>> nodes; ///< None: the process is gone.
+    std::vector<KeyDecision> decisions;          ///< The decisions of all nodes, oldest first.
+    std::map<NodeId, std::optional<Node>> nodes; ///< Empty if the process has terminated.
     std::function<bool(const FakeMessage &)> isLost = [](const FakeMessage &) { return false; };
 
     TimePoint now() const { return m_clock.now(); }
@@ -58,7 +59,7 @@
         return options;
     }
 
-    /// Starts a process, without memory, as the next run of the node.
+    /// Starts a process with empty state as the next run of the node.
     void start(const std::string &name, const std::string &zone)
     {
         const NodeRun run {NodeId(name), ++m_incarnation};
@@ -67,7 +68,8 @@
             setList(name);
     }
 
-    /// Ends a process. Its port refuses connections, which the others' probes will tell.
+    /// Terminates a process. Its port then refuses connections, which reportTerminated() reports to
+    /// the other nodes.
     void kill(const std::string &name)
     {
         const NodeId node(name);
@@ -75,10 +77,10 @@
         nodes[node].reset();
     }
 
-    /// A process whose VM is lost: nothing answers, nothing refuses.
+    /// Loses the VM of a process: it neither responds nor refuses connections.
     void loseVm(const std::string &name) { nodes[NodeId(name)].reset(); }
 
-    /// Publishes a VM list of the given nodes; hand it on by setList.
+    /// Creates the next revision of the VM list with the given nodes. setList() delivers it.
     void publishVmList(const std::vector<std::pair<std::string, std::string>> &vms)
     {
         ++m_list.revision;
@@ -120,7 +122,7 @@
         return verdict;
     }
 
-    /// Tells a node which runs refused a connection.
+    /// Reports to a node which runs refused a connection.
     void reportTerminated(const std::string &name)
     {
         std::vector<KeyMember> members;
@@ -160,7 +162,7 @@
             deliverOne();
     }
 
-    /// Lets time pass in small steps, with all messages delivered in each.
+    /// Advances the time in small steps and delivers all messages in each step.
     void run(Duration time)
     {
         constexpr Duration step = std::chrono::milliseconds(50);
@@ -177,7 +179,7 @@
         }
     }
 
-    /// Time in which nothing happens anywhere.
+    /// Advances the time without running any node.
     void advanceClock(Duration time) { m_clock.advance(time); }
 
     template <typename T>
@@ -201,7 +203,7 @@
     std::map<NodeId, Incarnation> m_terminatedRuns;
 };
 
-/// Three zones with three nodes each, a1 to c3, that have agreed on witnesses.
+/// Returns three zones with three nodes each, a1 to c3, that have agreed on witnesses.
 inline KeyFleet startNineNodes()
 {
     KeyFleet fleet;
--- a/unittests/Idempotency/KeyFormatTest.cpp
+++ b/unittests/Idempotency/KeyFormatTest.cpp
@@ -24,7 +24,8 @@
     EXPECT_EQ(text.createdAt.time_since_epoch().count(), 1645557742000);
 }
 
-// A key whose age is read wrongly would be voted for by witnesses that don't know its time.
+// If a key's creation time is parsed wrongly, witnesses vote for it although they do not
+// know the keys of its time.
 TEST(KeyFormat, OtherTextIsOpaque)
 {
     for (const std::string_view text :
--- a/unittests/Idempotency/KeyPropertyTest.cpp
+++ b/unittests/Idempotency/KeyPropertyTest.cpp
@@ -17,7 +17,7 @@
     return name.substr(0, 1);
 }
 
-/// A fleet to which anything may happen, and what its callers and targets saw.
+/// A fleet with randomly injected faults that records what callers and targets observe.
 class FaultInjectionFleet
 {
 public:
@@ -83,7 +83,7 @@
     std::size_t randomBelow(std::size_t count) { return m_random() % count; }
     const std::string &randomNode() { return names[randomBelow(names.size())]; }
 
-    /// Long enough for the nodes to agree on a new roster.
+    /// Removes all faults for long enough that the nodes agree on a new roster.
     void healAndStabilize()
     {
         m_partitionedZone.clear();
@@ -120,7 +120,7 @@
     {
         if (m_keys.empty() || randomBelow(3) == 0)
             m_keys.push_back(timestampedKey(m_fleet.wall(), ++m_number));
-        // Callers repeat what they sent last, through randomNode routers.
+        // Callers repeat one of their latest keys through any router.
         const std::string &key
             = m_keys[m_keys.size() - 1 - randomBelow(std::min<std::size_t>(3, m_keys.size()))];
         m_fleet.begin(randomNode(), key);
@@ -179,8 +179,9 @@
 
 } // namespace
 
-// Cuts, losses, restarts, pauses and lists at random, with callers that repeat their purchases
-// through randomNode router: none is dispatched twice, and none is called "not run" that was.
+// Partitions, message loss, restarts, pauses and VM list updates are injected at random while
+// callers repeat their keys through any router. Guards against a key that is dispatched twice, and
+// against a dispatched key that is reported as not run.
 TEST(KeyProperty, NoKeyIsDispatchedTwiceUnderRandomFaults)
 {
     std::size_t dispatches = 0;
@@ -195,12 +196,12 @@
     EXPECT_GT(dispatches, 1000U);
 }
 
-// Any text of a caller is a key, and randomNode issued key reads back as what was written:
-// rapidcheck generates both, with a seed of its own that it prints when it fails.
+// Any text of a caller must parse as a key, and any issued key must parse to the values that it was
+// formatted from. rapidcheck generates both with its own seed, which it prints on failure.
 TEST(KeyProperty, ParsesAnyTextAndRoundTripsIssuedKeys)
 {
     const bool isKept = rc::check(
-        "issued keys read back", [](std::uint32_t time, std::uint64_t run, std::uint64_t number) {
+        "issued keys round-trip", [](std::uint32_t time, std::uint64_t run, std::uint64_t number) {
             const ParsedKey made {KeyKind::Issued, WallTime(std::chrono::milliseconds(time)),
                                   NodeId("n-1"), run, number};
             const ParsedKey read
@@ -210,7 +211,7 @@
                       && read.sequence == number);
         });
     EXPECT_TRUE(isKept);
-    const bool isRead = rc::check("any text is a key", [](const std::string &text) {
+    const bool isRead = rc::check("any text parses as a key", [](const std::string &text) {
         const KeyKind kind = parseKey(scopedKey(ServiceId("s"), WorkspaceId("w"), text)).kind;
         RC_ASSERT(kind <= KeyKind::Issued);
     });
--- a/unittests/Idempotency/KeyRegistryTest.cpp
+++ b/unittests/Idempotency/KeyRegistryTest.cpp
@@ -16,7 +16,7 @@
     return node.str().substr(0, 1);
 }
 
-/// Cuts the zone off from the others.
+/// Drops all messages between the zone and the other zones.
 void partitionZone(KeyFleet &fleet, const std::string &zone)
 {
     fleet.isLost = [zone](const FakeMessage &message) {
@@ -26,8 +26,8 @@
 
 } // namespace
 
-// A fleet comes up for the first time: no operator names witnesses. The nodes must agree on them by
-// the VM list alone, or every purchase with a caller's own key would be refused.
+// Guards against a new fleet that refuses all callers' keys: no operator names witnesses, so the
+// nodes must agree on them from the VM list alone.
 TEST(KeyRegistry, FirstStartAgreesOnWitnessesFromVmListAlone)
 {
     KeyFleet fleet = startNineNodes();
@@ -43,8 +43,9 @@
     EXPECT_TRUE(fleet.at("b2").mayDispatch(key, fleet.now(), fleet.wall()));
 }
 
-// The caller sends its purchase, gets no replayed in time, and sends it again through another
-// router. The first one ran: the second must get its replayed and not run it again.
+// A caller receives no response in time and repeats the request through another router while the
+// first router runs it. The second router must return the first one's response and not run the
+// operation again.
 TEST(KeyRegistry, RepeatThroughAnotherRouterGetsStoredResponse)
 {
     KeyFleet fleet = startNineNodes();
@@ -76,8 +77,8 @@
     EXPECT_EQ(fleet.admissions(), 1U);
 }
 
-// The router that runs a purchase dies with it. The caller's repeat must learn that it may have
-// run, at once and for good: nobody is left who knows.
+// The router that runs a key terminates. A repeated request must be refused with MayHaveRun at once
+// and permanently because no process knows the outcome.
 TEST(KeyRegistry, TerminatedHolderYieldsMayHaveRun)
 {
     KeyFleet fleet = startNineNodes();
@@ -99,8 +100,8 @@
     EXPECT_EQ(fleet.admissions(), 1U);
 }
 
-// A request is given up in the queue before it was dispatched: the caller is told "not run" and
-// sends it again through another router, where it must be able to run.
+// A request is abandoned in the queue before it is dispatched, and the caller is told that it has
+// not run. Another router must be able to run the same key.
 TEST(KeyRegistry, ReleasedKeyRunsElsewhere)
 {
     KeyFleet fleet = startNineNodes();
@@ -115,8 +116,8 @@
     EXPECT_NE(fleet.lastDecision<KeyAdmitted>(), nullptr);
 }
 
-// The releases of a given-up key are lost. Without asking its holder, witnesses would refuse the
-// key for its whole lifetime though it never ran.
+// The releases of an abandoned key are lost. If the next claimant did not query the holder,
+// witnesses would refuse the key for its whole lifetime although it never ran.
 TEST(KeyRegistry, LostReleaseIsRepairedByQueryingHolder)
 {
     KeyFleet fleet = startNineNodes();
@@ -130,8 +131,8 @@
     EXPECT_NE(fleet.lastDecision<KeyAdmitted>(), nullptr);
 }
 
-// A zone is partitionZone off for an hour. Its routers can't know whether a caller's own key was
-// run on the other side, so they refuse it at once; the other side has a majority and serves.
+// A zone is partitioned from the others. Its routers cannot know whether the majority has run a
+// caller's key, so they must refuse it at once, while the majority admits it.
 TEST(KeyRegistry, PartitionedZoneRefusesKeysThatMajorityAdmits)
 {
     KeyFleet fleet = startNineNodes();
@@ -148,8 +149,9 @@
     EXPECT_NE(fleet.lastDecision<KeyAdmitted>(), nullptr);
 }
 
-// The same hour: callers of the partitionZone-off zone use keys that its own nodes issue, and are
-// served. A repeat through another router of the zone asks the issuer; one outside can't reach it.
+// Callers in a partitioned zone use keys issued by the zone's own nodes, which must be admitted. A
+// repeated request through another router of the zone queries the issuer; a router outside cannot
+// reach the issuer and must refuse the key.
 TEST(KeyRegistry, PartitionedZoneAdmitsKeysThatItIssued)
 {
     KeyFleet fleet = startNineNodes();
@@ -172,7 +174,8 @@
     EXPECT_EQ(fleet.admissions(), 1U);
 }
 
-// The issuer restarts and has forgotten which of its keys ran. Its new run must not admit them.
+// An issuer that restarts has lost the record of which keys it ran. Its new run must not admit
+// them.
 TEST(KeyRegistry, RestartedIssuerAdmitsNoneOfItsOldKeys)
 {
     KeyFleet fleet = startNineNodes();
@@ -191,8 +194,8 @@
     EXPECT_EQ(fleet.admissions(), 1U);
 }
 
-// Two of three zones burn down. The VM list drops them; the third must then serve callers' keys
-// again without anybody's doing.
+// Two of three zones are lost. After the VM list omits them, the remaining zone must admit callers'
+// keys again without operator action.
 TEST(KeyRegistry, VmListUpdateRestoresServiceAfterTwoLostZones)
 {
     KeyFleet fleet = startNineNodes();
@@ -212,15 +215,15 @@
     fleet.begin("c2", key);
     fleet.deliverAll();
     EXPECT_NE(fleet.lastDecision<KeyAdmitted>(), nullptr);
-    // The lost zones may have run the early one: the new witnesses know nothing of its time.
+    // The lost zones may have run the early key, and the new witnesses have no record of its time.
     fleet.begin("c1", early);
     fleet.run(std::chrono::seconds(3));
     ASSERT_NE(fleet.lastDecision<KeyRefused>(), nullptr);
     EXPECT_EQ(fleet.lastDecision<KeyRefused>()->verdict, Verdict::MayHaveRun);
 }
 
-// A rolling update replaces every process. Keys made before, between and after must each run once
-// or be refused; new keys are served all the time.
+// A rolling update restarts every process. Each key must run once or be refused, whenever it was
+// created, and new keys must be admitted throughout.
 TEST(KeyRegistry, RollingRestartServesNewKeysThroughout)
 {
     KeyFleet fleet = startNineNodes();
@@ -249,9 +252,9 @@
     EXPECT_EQ(fleet.lastDecision<KeyRefused>()->verdict, Verdict::MayHaveRun);
 }
 
-// A witness dies and its VM stays in the list. Only nodes of its own zone probe it, and the node
-// that proposes rosters sits in another zone: the proof must reach it, or the dead one would stay a
-// witness for ever.
+// A witness terminates while its VM stays in the list. Only nodes of its own zone probe it, so they
+// must report the termination to the proposer in another zone. Otherwise the terminated node would
+// remain a witness permanently.
 TEST(KeyRegistry, TerminatedWitnessIsReportedToProposer)
 {
     KeyFleet fleet = startNineNodes();
@@ -263,8 +266,8 @@
     EXPECT_EQ(roster->members.size(), 8U);
 }
 
-// A router is paused just after its key was admitted, and wakes a lifetime later. Its witnesses
-// have forgotten the admission, so it must not act on it.
+// A router is paused just after a key was admitted and resumes one key lifetime later. Its
+// witnesses have dropped the admission, so it must not dispatch the key.
 TEST(KeyRegistry, PausedRouterDoesNotDispatchExpiredAdmission)
 {
     KeyFleet fleet = startNineNodes();
--- a/unittests/Idempotency/KeySearch.cpp
+++ b/unittests/Idempotency/KeySearch.cpp
@@ -65,14 +65,15 @@
     KeyOptions options;
     options.node = run.node;
     options.incarnation = run.incarnation;
-    // Periodic signs of life change nothing about safety; without them time can pass in few steps.
+    // Periodic liveness messages do not affect safety; without them the search needs fewer time
+    // steps.
     options.gossipPeriod = std::chrono::hours(1);
     options.livenessTimeout = std::chrono::hours(1);
     options.resendPeriod = std::chrono::milliseconds(400);
     return options;
 }
 
-/// What a node made of one act: the same in every state in which it is in the same state.
+/// The result of an action on a node. It is the same wherever the node is in the same state.
 struct Outcome
 {
     NodePointer node;
@@ -98,7 +99,7 @@
     for (OutgoingKeyMessage &send : out.sends) {
         const auto to = indexOf(setup, send.to);
         const auto *update = std::get_if<RosterUpdate>(&send.message);
-        // A sign of life that tells nothing new counts as lost.
+        // A liveness message without new information is treated as lost.
         const bool isIdle
             = update && update->rosters.empty() && update->terminated.empty() && !node->isNew;
         if (!to || send.to == node->run.node || isIdle)
@@ -112,7 +113,7 @@
     return outcome;
 }
 
-/// The node's own clock.
+/// Returns the node's own clock.
 WallTime wallTimeOf(const SearchSetup &setup, const SearchState &state, std::size_t index)
 {
     return state.wall + setup.skews[index];
@@ -138,7 +139,7 @@
     return std::make_shared<const SearchNode>(std::move(node));
 }
 
-/// Ends the node's run in the state; the other nodes get the proof.
+/// Terminates the node's run in the state and reports the termination to the other nodes.
 void terminateRun(const SearchSetup &setup, SearchState &state, std::size_t index)
 {
     const NodeRun terminated = state.nodes[index]->run;
@@ -184,7 +185,7 @@
     }
 
 private:
-    /// The move that led to a state, for the formatTrace of a violation.
+    /// The move that led to a state, for the trace of a violation.
     struct Step
     {
         std::uint32_t parent = 0;
@@ -206,7 +207,7 @@
         delayMove(state);
     }
 
-    /// The outcome of an act, searchAndCheck up where the node was in the same state before.
+    /// Returns the result of an action, from a cache if the node was in the same state before.
     const Outcome &outcome(const SearchState &state, std::size_t index, const std::string &name,
                            std::uint64_t subject, const NodeAction &act)
     {
@@ -223,7 +224,8 @@
         return it->second;
     }
 
-    /// Votes and states for a node that will never claim again change nothing any more.
+    /// Returns whether the message is a vote or key state for a node that will never claim the key
+    /// again. Such a message has no effect.
     bool isStale(const SearchState &state, const SearchMessage &message) const
     {
         const bool isAnswer = std::holds_alternative<KeyVote>(message.message)
@@ -239,6 +241,7 @@
         return true;
     }
 
+    /// Adds the state that follows from the outcome of an action on a node.
     void act(const SearchState &state, std::size_t index, const std::string &name,
              const Outcome &outcome, SearchState next)
     {
@@ -267,9 +270,9 @@
     {
         const auto *refused = std::get_if<KeyRefused>(&decision);
         if (refused && refused->verdict == Verdict::NotRun && state.dispatches > 0)
-            m_violation = "refused as not run after it was dispatched";
+            m_violation = "refused as not run after the key was dispatched";
         if (std::holds_alternative<KeyReplayed>(decision) && !state.isFinished)
-            m_violation = "answered though it never finished";
+            m_violation = "answered although the operation never finished";
     }
 
     void expandNode(const SearchState &state, std::size_t index)
@@ -326,13 +329,13 @@
         SearchState next = state;
         ++m_result.dispatches;
         if (++next.dispatches > 1)
-            m_violation = "dispatched twice";
+            m_violation = "the key was dispatched twice";
         act(state, index, "dispatch", dispatched, std::move(next));
     }
 
     void releaseMove(const SearchState &state, std::size_t index)
     {
-        // The caller is reported what release() says, as by any other refusal.
+        // The caller receives the verdict of release() as for any other refusal.
         const Outcome &released
             = outcome(state, index, "release", 0, [&](KeyRegistry &node, KeyOutput &out) {
                   KeyRefused refused {request, m_setup.key, 503, Verdict::MayHaveRun, "", "", {}};
@@ -378,7 +381,8 @@
         enqueue(state, "start " + m_setup.names[index].str(), std::move(next));
     }
 
-    /// The new run and the others learn of each other at once: before that it could only refuse.
+    /// Lets the new run and the other nodes exchange their first messages at once. Before that, the
+    /// new run could only refuse keys.
     void exchangeFirstMessages(SearchState &state, std::size_t index)
     {
         const auto tick = [&](KeyRegistry &node, KeyOutput &out) {
--- a/unittests/Idempotency/KeySearchTest.cpp
+++ b/unittests/Idempotency/KeySearchTest.cpp
@@ -36,7 +36,7 @@
     return list;
 }
 
-/// The nodes have agreed on a roster of all of them, some time ago.
+/// Creates nodes that have all agreed on a roster of all of them some time ago.
 SearchSetup agreedRosterSetup(const std::vector<std::string> &names)
 {
     SearchSetup setup = makeSetup(names, makeVmList(1, names));
@@ -44,8 +44,9 @@
     return setup;
 }
 
-/// One witness, a, which leaves for good; b takes its place. With such small rosters nobody's
-/// memory reaches from one to the next, so only the agreement keeps them apart.
+/// The only witness, a, leaves permanently and b replaces it. In rosters of one member, no member
+/// remembers the votes of the previous roster, so only the agreement between them prevents a second
+/// admission.
 SearchSetup replacedWitnessSetup()
 {
     SearchSetup setup = makeSetup({"a", "b", "c"}, makeVmList(1, {"a"}));
@@ -70,8 +71,8 @@
 
 } // namespace
 
-// The same purchase reaches two routers at once. Every order of claims, votes, releases and
-// queries, with losses, repeats and one node that restarts without memory.
+// Two routers receive the same key at the same time. Covers every order of claims, votes, releases
+// and queries, with losses, repeats and one node that restarts with empty state.
 TEST(KeySearch, OneKeyTwoRoutersOneRestart)
 {
     SearchSetup setup = agreedRosterSetup({"a", "b", "c"});
@@ -80,8 +81,8 @@
     searchAndCheck("one restart", setup, 2'000'000);
 }
 
-// A router is given the purchase, gives it up and is given it again, while another has it too. Late
-// votes and releases of the first claim must not count for the second.
+// A router receives the key, abandons it and receives it again while another router has it too.
+// Late votes and releases of the first claim must not count for the second.
 TEST(KeySearch, KeyReleasedAndClaimedAgain)
 {
     SearchSetup setup = agreedRosterSetup({"a", "b", "c"});
@@ -90,8 +91,8 @@
     searchAndCheck("begun again", setup, 2'000'000);
 }
 
-// A router runs the purchase, restarts without memory and is given it again. Votes for its earlier
-// run are still on their way: they must not admit the new run.
+// A router runs the key, restarts with empty state and receives the key again. Votes for its
+// earlier run are still in transit and must not admit the new run.
 TEST(KeySearch, RestartedRouterReceivesKeyAgain)
 {
     SearchSetup setup = agreedRosterSetup({"a", "b", "c"});
@@ -100,9 +101,9 @@
     searchAndCheck("router restarted", setup, 500'000);
 }
 
-// A witness has restarted, so the others agree on a roster with its new run. The same purchase
-// reaches two routers while they do: its time lies after the new roster's start, and every message
-// of the agreement may come late, while votes in the old roster are still on their way.
+// A witness has restarted, so the other nodes agree on a roster with its new run. Meanwhile two
+// routers receive a key whose creation time lies after the new roster's start. Every message of the
+// agreement may be late, and votes in the old roster are still in transit.
 TEST(KeySearch, OneKeyTwoRoutersOneRestartOneRosterChange)
 {
     SearchSetup setup = agreedRosterSetup({"a", "b", "c"});
@@ -112,8 +113,9 @@
     EXPECT_GT(searchAndCheck("one restart, one roster change", setup, 2'000'000).rosters, 1U);
 }
 
-// The only witness is replaced while the purchase reaches both it and the new one, which proposes.
-// Were the new one to vote before the old has promised not to, both would run it.
+// The only witness is replaced while both it and the new witness, which proposes the roster,
+// receive the key. If the new witness voted before the old one consented to stop voting, both would
+// run the key.
 TEST(KeySearch, WitnessReplacedWhileTheKeyIsClaimed)
 {
     SearchSetup setup = replacedWitnessSetup();
@@ -121,27 +123,27 @@
     EXPECT_GT(searchAndCheck("witness replaced", setup, 500'000).rosters, 1U);
 }
 
-// The same with a router that still knows the old roster only: the old witness must not vote for it
-// in a key that belongs to the new one.
+// As above, with a router that knows only the old roster: the old witness must not vote for a key
+// that belongs to the new roster.
 TEST(KeySearch, RouterThatMissedTheNewRoster)
 {
     SearchSetup setup = replacedWitnessSetup();
     setup.budget = {{nodeB, nodeC}, {}, 0, 0, {ms(1000), ms(2000), ms(1000)}, {nodeB}};
-    EXPECT_GT(searchAndCheck("router behind", setup, 500'000).rosters, 1U);
+    EXPECT_GT(searchAndCheck("router with old roster", setup, 500'000).rosters, 1U);
 }
 
-// The same with a router whose clock is ahead: the key lies in the future for the old witness,
-// which must not vote for it and then promise that it never will.
+// As above, with a router whose clock is ahead: the key's creation time is in the future for the
+// old witness, which must not vote for the key and then consent to a roster that owns it.
 TEST(KeySearch, RouterWithFastClock)
 {
     SearchSetup setup = replacedWitnessSetup();
     setup.skews[nodeC] = ms(500);
     setup.budget = {{nodeB, nodeC}, {}, 0, 0, {ms(1000), ms(1400), ms(600)}, {nodeB}};
-    EXPECT_GT(searchAndCheck("router ahead", setup, 500'000).rosters, 1U);
+    EXPECT_GT(searchAndCheck("router with fast clock", setup, 500'000).rosters, 1U);
 }
 
-// The old witness, whose clock is ahead, votes and dies; the new one's clock is behind. Its roster
-// must begin after any key that the dead one can have voted for.
+// The old witness, whose clock is ahead, votes and terminates, and the new witness's clock is
+// behind. The new roster must start after any key that the terminated witness can have voted for.
 TEST(KeySearch, TerminatedWitnessWithFastClock)
 {
     SearchSetup setup = replacedWitnessSetup();
@@ -150,11 +152,12 @@
     setList(setup, nodeB, makeVmList(3, {"b"}));
     setup.budget
         = {{nodeA, nodeB}, {nodeA}, 1, 0, {ms(1000), ms(1000), ms(1000), ms(1000)}, {nodeB}};
-    searchAndCheck("dead witness ahead", setup, 500'000);
+    searchAndCheck("terminated witness with fast clock", setup, 500'000);
 }
 
-// Two lists replace the witness, one by b and one by c, and both propose. Both ask the old one,
-// which may go with one of them alone; the other must take in the first one's roster.
+// Two lists replace the witness, one by b and one by c, and both propose a roster. Both ask the old
+// witness, which may consent to only one of them; the other proposer must add the first one's
+// roster.
 TEST(KeySearch, TwoListsReplaceTheWitness)
 {
     SearchSetup setup = replacedWitnessSetup();
@@ -163,8 +166,8 @@
     EXPECT_GT(searchAndCheck("two lists", setup, 500'000).rosters, 1U);
 }
 
-// The old witness has handed over to b and died. c knows of the old one only, and its list names b,
-// which it can't recordMessage: it must not start anew by itself.
+// The old witness has been replaced by b and has terminated. c knows only the old roster, and its
+// list names b, from which it receives no messages. c must not create a new roster alone.
 TEST(KeySearch, UnreachableSuccessor)
 {
     SearchSetup setup = replacedWitnessSetup();
@@ -173,8 +176,8 @@
     EXPECT_GT(searchAndCheck("successor not heard", setup, 500'000).rosters, 1U);
 }
 
-// VMs are replaced, and a and b hold lists that name different ones, so both propose rosters.
-// Clocks differ as far as is allowed.
+// VMs are replaced, and a and b hold lists with different nodes, so both propose rosters. Clocks
+// differ by the allowed maximum.
 TEST(KeySearch, DifferingListsAndClocks)
 {
     SearchSetup setup = makeSetup({"a", "b", "c", "d"}, makeVmList(1, {"a", "b", "c"}));
--- a/unittests/Idempotency/RosterSafetyTest.cpp
+++ b/unittests/Idempotency/RosterSafetyTest.cpp
@@ -11,7 +11,8 @@
 
 namespace {
 
-/// Three witnesses of a list, by rendezvous hash: what each router works out by itself.
+/// Returns three witnesses from a list by rendezvous hashing, as each router computes them on its
+/// own.
 std::vector<std::string> witnessesByHash(const std::string &key, std::vector<std::string> list)
 {
     std::sort(list.begin(), list.end(), [&](const std::string &a, const std::string &b) {
@@ -21,7 +22,8 @@
     return list;
 }
 
-/// The scheme that the trap is for: a majority of the hash over the list that the router holds.
+/// An unsafe scheme for comparison: a majority vote of the witnesses that the router computes from
+/// its own VM list.
 class ListHashVoting
 {
 public:
@@ -40,7 +42,7 @@
     std::map<std::string, std::string> m_holders;
 };
 
-/// Two names that displace the first two of {a, b, c} in the key's hash.
+/// Returns two names that displace the first two of {a, b, c} in the key's hash order.
 std::vector<std::string> displacingNames(const std::string &key, const std::string &last)
 {
     std::vector<std::string> found;
@@ -56,12 +58,12 @@
 
 } // namespace
 
-// Witnesses a, b and c. a and b are cut off together with one router. Meanwhile two added VMs
-// displace a and b in the hash. Both sides find a majority, and the purchase runs twice.
+// The witnesses are a, b and c. A partition separates a, b and one router from the rest, while two
+// added VMs displace a and b in the hash order. Both sides find a majority, so the key runs twice.
 TEST(RosterSafety, MajorityOfLatestListAdmitsKeyTwice)
 {
     const std::string key = "purchase";
-    // c stays among the three, so the other two give way.
+    // c must remain one of the three witnesses so that a and b are displaced.
     const auto added = displacingNames(key, "c");
     ListHashVoting votes;
     const bool isAdmittedInPartition
@@ -72,9 +74,9 @@
     EXPECT_TRUE(isAdmittedOutsidePartition);
 }
 
-// The same failure with the registries: three witnesses, a cut between {a1, b1} and {c1} for an
-// hour, two added VMs on the side of c1 and a list that drops none. The side of c1 can't have the
-// consent of a1 and b1, so it makes no roster of its own and refuses.
+// The same failure with the registries: three witnesses, a partition between {a1, b1} and {c1} for
+// an hour, two VMs added on c1's side and a list that omits no node. c1's side cannot get the
+// consent of a1 and b1, so it must create no roster and refuse keys.
 TEST(RosterSafety, PartitionedMajorityRetainsItsKeys)
 {
     KeyFleet fleet;
@@ -101,7 +103,7 @@
     fleet.run(std::chrono::seconds(3));
     EXPECT_EQ(fleet.admissions(), 1U);
 
-    // The cut heals: all five agree, and keys are served on both sides again.
+    // After the partition ends, all five nodes agree and keys are admitted on both sides again.
     fleet.isLost = [](const FakeMessage &) { return false; };
     fleet.setListEverywhere();
     fleet.run(std::chrono::seconds(15));
@@ -111,8 +113,8 @@
     EXPECT_EQ(fleet.admissions(), 2U);
 }
 
-// Two of the witnesses die for good just when the fleet is cut, and one restarts: the rest are too
-// few. The list drops the dead only later. Until then nobody may start anew beside them.
+// Too few witnesses remain after five of nine have lost their VMs, and the VM list omits the lost
+// ones only later. Until then the remaining nodes must not create a roster without them.
 TEST(RosterSafety, UnresponsiveWitnessesAreNotTreatedAsTerminated)
 {
     KeyFleet fleet = startNineNodes();
