--- a/benchmarks/LoneNode.cpp
+++ b/benchmarks/LoneNode.cpp
@@ -20,7 +20,7 @@
 constexpr Duration stepTime = std::chrono::milliseconds(10);
 constexpr Duration warmUpTime = std::chrono::seconds(12);
 constexpr Duration heartbeatPeriod = std::chrono::milliseconds(250);
-constexpr Duration crossZonePeriod = std::chrono::milliseconds(500);
+constexpr Duration crossZoneHeartbeatPeriod = std::chrono::milliseconds(500);
 constexpr Duration demandPeriod = std::chrono::milliseconds(400);
 /// IP, UDP, the datagram's own head and its authenticator. Each message is taken to travel alone.
 constexpr std::size_t datagramHead = 28 + 20 + authenticatorSize;
@@ -83,7 +83,7 @@
     options.chartDirectory = BERYLRIDGE_SOURCE_DIR "/charts";
     auto core = Core::create(std::move(options), m_clock.now(), m_clock.wallNow());
     if (!core) {
-        std::fprintf(stderr, "%s\n", core.lastReason().c_str());
+        std::fprintf(stderr, "%s\n", core.failureReason().c_str());
         std::exit(1);
     }
     m_core = *std::move(core);
@@ -235,7 +235,7 @@
     grant.pool = demand.pool;
     grant.number
         = ++peer.sequence + static_cast<std::uint64_t>(m_clock.now().time_since_epoch().count());
-    grant.echo = demand.sentAt;
+    grant.demandSentAt = demand.sentAt;
     grant.termMs = 2000;
     grant.quantumMs = 250;
     for (const FlowDemand &want : demand.demand) {
@@ -281,7 +281,7 @@
     heartbeat.address = "127.0.0.1";
     heartbeat.port = 7400;
     heartbeat.zoneDigest = m_zoneDigest;
-    heartbeat.knownDigest = hash64("view", m_zoneDigest);
+    heartbeat.counterpartZoneDigest = hash64("view", m_zoneDigest);
     say(peer, FleetMessage(std::move(heartbeat)));
 }
 
@@ -331,7 +331,8 @@
         if (!isNear && !spoken.insert(peer.zone).second)
             continue;
         if (m_clock.now() >= peer.nextHeartbeat) {
-            peer.nextHeartbeat = m_clock.now() + (isNear ? heartbeatPeriod : crossZonePeriod);
+            peer.nextHeartbeat
+                = m_clock.now() + (isNear ? heartbeatPeriod : crossZoneHeartbeatPeriod);
             heartbeat(peer);
         }
         if (isNear && m_clock.now() >= peer.nextDemand) {
--- a/benchmarks/LoneNode.h
+++ b/benchmarks/LoneNode.h
@@ -89,7 +89,7 @@
     void count(const PeerMessage &message, bool isSent);
 
     FleetShape m_shape;
-    PausedClock m_clock;
+    ManualClock m_clock;
     std::unique_ptr<Core> m_core;
     std::map<NodeId, Peer> m_peers;
     std::vector<ServiceDocument> m_documents;
--- a/benchmarks/Shell.cpp
+++ b/benchmarks/Shell.cpp
@@ -281,7 +281,7 @@
     settings.trafficThreads = 1;
     auto built = RouterNodeBuilder(settings, 1, log).core(CoreHandle::of(core)).build();
     if (!built) {
-        std::cerr << built.lastReason() << "\n";
+        std::cerr << built.failureReason() << "\n";
         return 1;
     }
     RouterNode &node = **built;
--- a/include/berylridge/Catalog/RouteTable.h
+++ b/include/berylridge/Catalog/RouteTable.h
@@ -24,7 +24,7 @@
     const RouteSpec *route(std::string_view host, std::string_view path) const;
     /// Returns the workspace that owns the credential, or null.
     const WorkspaceSpec *workspaceForCredential(const std::string &credential) const;
-    /// Does the same for the credential's shortHash().
+    /// Does the same for the credential's hash32().
     const WorkspaceSpec *workspaceForCredentialHash(std::uint32_t credentialHash) const;
     const ServiceSpec *service(const std::string &name) const;
     /// Returns whether callers of non-public routes need a credential.
--- a/include/berylridge/Chart/Chart.h
+++ b/include/berylridge/Chart/Chart.h
@@ -80,10 +80,10 @@
     {
         Expected<Chart> chart = Chart::load(path);
         if (!chart)
-            return Reason {chart.lastReason()};
+            return Reason {chart.failureReason()};
         Expected<Chart> bound = chart->ordered(states, signalNames);
         if (!bound)
-            return Reason {bound.lastReason()};
+            return Reason {bound.failureReason()};
         return ChartTable(*std::move(bound));
     }
 
--- a/include/berylridge/CommandLine/CommandLine.h
+++ b/include/berylridge/CommandLine/CommandLine.h
@@ -10,9 +10,9 @@
 namespace berylridge {
 
 // Exit statuses of all programs.
-inline constexpr int exitFine = 0;
+inline constexpr int exitSuccess = 0;
 inline constexpr int exitErrorsFound = 1;
-inline constexpr int exitWrongUsage = 2;
+inline constexpr int exitUsageError = 2;
 
 struct ManSection
 {
--- a/include/berylridge/Config/Difference.h
+++ b/include/berylridge/Config/Difference.h
@@ -17,9 +17,9 @@
 /// Compares a service in force with what would replace it. A workspace's share is its weight over
 /// the sum of weights: a warning stands for each one that would lose more than the given part of
 /// its share, and one where the service would lose slots.
-Difference compareServices(const ServiceDocument &inForce, const ServiceDocument &next,
-                           double allowedCut = 0.1);
+Difference compareServices(const ServiceDocument &current, const ServiceDocument &next,
+                           double maxShareCut = 0.1);
 
-Difference compareFleets(const FleetDocument &inForce, const FleetDocument &next);
+Difference compareFleets(const FleetDocument &current, const FleetDocument &next);
 
 } // namespace berylridge
--- a/include/berylridge/Config/DocumentStore.h
+++ b/include/berylridge/Config/DocumentStore.h
@@ -2,8 +2,8 @@
 // read leaves the last good one in force.
 #pragma once
 
+#include "berylridge/Config/DocumentReader.h"
 #include "berylridge/Config/Documents.h"
-#include "berylridge/Config/Reader.h"
 
 #include <cstdint>
 #include <map>
@@ -54,7 +54,7 @@
     std::uint64_t digest() const { return m_digest; }
 
 private:
-    std::vector<Diagnostic> putIntoForce(const DocumentText &document);
+    std::vector<Diagnostic> activateDocument(const DocumentText &document);
     std::vector<Diagnostic> readService(const DocumentText &document);
     std::vector<Diagnostic> readFleet(const DocumentText &document);
     void updateDigest();
--- a/include/berylridge/Config/DocumentWriter.h
+++ b/include/berylridge/Config/DocumentWriter.h
@@ -2,8 +2,8 @@
 // version rises only where something changed.
 #pragma once
 
+#include "berylridge/Config/DocumentReader.h"
 #include "berylridge/Config/Documents.h"
-#include "berylridge/Config/Reader.h"
 
 #include <string>
 #include <string_view>
--- a/include/berylridge/Config/JsonList.h
+++ b/include/berylridge/Config/JsonArray.h
@@ -7,11 +7,11 @@
 namespace berylridge {
 
 template <typename T>
-Json::Value listOf(const std::vector<T> &elements, Json::Value (*toValue)(const T &))
+Json::Value toJsonArray(const std::vector<T> &elements, Json::Value (*toJson)(const T &))
 {
     Json::Value list(Json::arrayValue);
     for (const auto &element : elements)
-        list.append(toValue(element));
+        list.append(toJson(element));
     return list;
 }
 
--- a/include/berylridge/Config/Publication.h
+++ b/include/berylridge/Config/Publication.h
@@ -1,8 +1,8 @@
 // The publishing step without its files and folders: source texts in, checked documents out.
 #pragma once
 
+#include "berylridge/Config/DocumentReader.h"
 #include "berylridge/Config/Documents.h"
-#include "berylridge/Config/Reader.h"
 
 #include <map>
 #include <span>
@@ -18,7 +18,7 @@
 inline constexpr std::string_view workspacesFileName = "workspaces.berylridge.json";
 
 /// The platform's service holds values up to this size.
-inline constexpr std::size_t documentSizeLimit = 1'000'000;
+inline constexpr std::size_t maxDocumentBytes = 1'000'000;
 
 struct SourceFile
 {
--- a/include/berylridge/Config/ServiceFile.h
+++ b/include/berylridge/Config/ServiceFile.h
@@ -2,8 +2,8 @@
 // services share. The publishing step turns them into documents.
 #pragma once
 
+#include "berylridge/Config/DocumentReader.h"
 #include "berylridge/Config/Documents.h"
-#include "berylridge/Config/Reader.h"
 
 #include <map>
 #include <string>
--- a/include/berylridge/Config/Settings.h
+++ b/include/berylridge/Config/Settings.h
@@ -1,7 +1,7 @@
 // The settings of one berylridged process, read once at its start from JSON with comments.
 #pragma once
 
-#include "berylridge/Config/Reader.h"
+#include "berylridge/Config/DocumentReader.h"
 #include "berylridge/Config/Vms.h"
 #include "berylridge/Support/Endpoint.h"
 #include "berylridge/Support/Id.h"
--- a/include/berylridge/Fleet/BalancerMessages.h
+++ b/include/berylridge/Fleet/BalancerMessages.h
@@ -13,42 +13,43 @@
 
 namespace berylridge {
 
-/// The sender's own part of one target's load.
+/// The sender's own prefix of one target's load.
 struct TargetLoadEntry
 {
-    std::uint32_t target = 0;  ///< shortHash() of its id.
+    std::uint32_t target = 0;  ///< hash32() of its id.
     std::uint32_t running = 0; ///< Requests of the sender there.
     std::uint32_t tokens = 0;  ///< Prompt tokens that the target has still to read for them.
     MSGPACK_DEFINE(target, running, tokens)
 };
 
-/// How many tokens entered a target's memory by the sender's requests since the sender's start.
-struct TargetReadEntry
+/// How many tokens writtenTokens a target's memory by the sender's requests since the sender's
+/// start.
+struct TargetCacheWriteEntry
 {
-    std::uint32_t target = 0;  ///< shortHash() of its id.
-    std::uint32_t entered = 0; ///< Wraps around.
-    MSGPACK_DEFINE(target, entered)
+    std::uint32_t target = 0;        ///< hash32() of its id.
+    std::uint32_t writtenTokens = 0; ///< Wraps around.
+    MSGPACK_DEFINE(target, writtenTokens)
 };
 
-/// A prompt's shared part that the sender has just placed.
+/// A prompt's shared prefix that the sender has just placed.
 struct PlacementEntry
 {
-    std::uint32_t part = 0;   ///< Of the chain of parts up to this one.
-    std::uint32_t target = 0; ///< shortHash() of the target's id.
-    MSGPACK_DEFINE(part, target)
+    std::uint32_t prefix = 0; ///< Of the chain of parts up to this one.
+    std::uint32_t target = 0; ///< hash32() of the target's id.
+    MSGPACK_DEFINE(prefix, target)
 };
 
 /// What a workspace's callers ask and get at the sender, smoothed over a few seconds.
 struct WorkspaceFlowEntry
 {
-    std::uint32_t workspace = 0;         ///< shortHash() of its name.
-    std::uint32_t askedPerSecond = 0;    ///< Tokens.
-    std::uint32_t admittedPerSecond = 0; ///< Tokens.
-    MSGPACK_DEFINE(workspace, askedPerSecond, admittedPerSecond)
+    std::uint32_t workspace = 0;                ///< hash32() of its name.
+    std::uint32_t requestedTokensPerSecond = 0; ///< Tokens.
+    std::uint32_t admittedTokensPerSecond = 0;  ///< Tokens.
+    MSGPACK_DEFINE(workspace, requestedTokensPerSecond, admittedTokensPerSecond)
 };
 
 /// A request that was running when its target's connections broke.
-struct BrokenRunEntry
+struct InterruptedRequestEntry
 {
     std::uint64_t fingerprint = 0;
     std::uint64_t boot = 0; ///< Of the target that broke.
@@ -75,21 +76,23 @@
     std::uint64_t directoryRevision = 0;
     std::vector<TargetLoadEntry> loads;
     std::vector<WorkspaceFlowEntry> flows;
-    std::vector<BrokenRunEntry> brokenRuns;
+    std::vector<InterruptedRequestEntry> interruptedRequests;
     std::vector<PeerEntry> peers;          ///< Now and then: some whom the sender has heard lately.
     std::uint32_t servedPerSecond = 0;     ///< Tokens of requests that the sender had admitted.
     std::uint32_t turnedAwayPerSecond = 0; ///< Tokens of requests that found no room.
-    bool isReading = false; ///< The sender reads the platform's state, and the platform answers.
+    bool isReadingPlatform
+        = false; ///< The sender cacheWrites the platform's state, and the platform answers.
     MSGPACK_DEFINE(zone, address, port, isLeaving, catalogVersion, directoryRevision, loads, flows,
-                   brokenRuns, peers, servedPerSecond, turnedAwayPerSecond, isReading)
+                   interruptedRequests, peers, servedPerSecond, turnedAwayPerSecond,
+                   isReadingPlatform)
 };
 
 /// What the sender made targets read and keep. Goes out with digests until each peer had it.
-struct PlacementNews
+struct PlacementUpdate
 {
     std::vector<PlacementEntry> placements;
-    std::vector<TargetReadEntry> reads; ///< Where there is news.
-    MSGPACK_DEFINE(placements, reads)
+    std::vector<TargetCacheWriteEntry> cacheWrites; ///< Where there is news.
+    MSGPACK_DEFINE(placements, cacheWrites)
 };
 
 /// Asks a peer whose digest shows newer state for what is newer than this.
@@ -101,7 +104,7 @@
 };
 
 /// A newer catalog. Travels by call where it is too large for a datagram.
-struct CatalogNews
+struct CatalogUpdate
 {
     Catalog catalog;
     MSGPACK_DEFINE(catalog)
@@ -115,6 +118,6 @@
 };
 
 using BalancerMessage
-    = std::variant<LoadDigest, StateRequest, CatalogNews, DirectoryRelay, PlacementNews>;
+    = std::variant<LoadDigest, StateRequest, CatalogUpdate, DirectoryRelay, PlacementUpdate>;
 
 } // namespace berylridge
--- a/include/berylridge/Fleet/Membership.h
+++ b/include/berylridge/Fleet/Membership.h
@@ -25,16 +25,18 @@
     Endpoint endpoint;
     Incarnation incarnation = 0; ///< 0 until it was heard or told of.
     MemberState state = MemberState::Unknown;
-    TimePoint heardAt {}; ///< Last message from it; the start of this node where there was none.
-    TimePoint sentAt {};  ///< Last heartbeat to it.
-    TimePoint probedAt {};
-    Incarnation refusedRun = 0;    ///< The latest run whose port refused this node's own probe.
-    std::uint64_t zoneDigest = 0;  ///< Of its view of its own zone.
-    std::uint64_t knownDigest = 0; ///< Of what it holds of this node's zone.
+    TimePoint
+        lastMessageAt {}; ///< Last message from it; the start of this node where there was none.
+    TimePoint lastHeartbeatAt {}; ///< Last heartbeat to it.
+    TimePoint lastProbeAt {};
+    Incarnation refusedIncarnation
+        = 0;                      ///< The latest run whose port refused this node's own probe.
+    std::uint64_t zoneDigest = 0; ///< Of its view of its own zone.
+    std::uint64_t counterpartZoneDigest = 0; ///< Of what it holds of this node's zone.
     std::uint64_t documentsDigest = 0;
     std::uint64_t vmListRevision = 0;
     bool isListed = false;
-    bool wasHeard = false; ///< By this node itself.
+    bool hasDirectContact = false; ///< By this node itself.
 };
 
 struct MembershipOptions
@@ -48,7 +50,7 @@
 };
 
 /// A run of a node that is known to have ended.
-struct EndedRun
+struct EndedIncarnation
 {
     NodeId node;
     Incarnation incarnation = 0;
@@ -64,13 +66,13 @@
     bool onVmList(const VmList &list, TimePoint now);
     /// Any authenticated message. False when it is from an earlier run of the node and must be
     /// ignored.
-    bool onHeard(const NodeId &from, Incarnation incarnation, TimePoint now);
+    bool onMessageReceived(const NodeId &from, Incarnation incarnation, TimePoint now);
     void onHeartbeat(const NodeId &from, const Heartbeat &heartbeat, TimePoint now);
     void onZoneView(const ZoneView &view, TimePoint now);
     void onGoodbye(const NodeId &from);
     void onProbeEnded(const NodeId &node, Incarnation incarnation, bool isRefused);
     /// After a pause of this process: the silence was its own.
-    void onWoke(TimePoint now);
+    void onProcessResumed(TimePoint now);
     /// Looks for silent members; returns those to probe now.
     std::vector<Member> tick(TimePoint now);
 
@@ -87,36 +89,36 @@
     /// may own its targets.
     bool isZoneVacant(const ZoneId &zone) const;
     /// All nodes of all zones that may own pools, this one included where it is among them.
-    std::vector<NodeId> eligibleAnywhere(TimePoint now) const;
+    std::vector<NodeId> eligibleOwnersInFleet(TimePoint now) const;
     /// All nodes that are not known to be gone, this one included.
-    std::uint32_t listedAnywhere() const;
+    std::uint32_t nodeCountInFleet() const;
 
     /// Joining, Live or Leaving: what this node tells others of itself.
     void setSelfState(MemberState state);
     /// Nodes of a zone that may own pools, this one included where it is among them.
-    std::vector<NodeId> eligible(const ZoneId &zone, TimePoint now) const;
+    std::vector<NodeId> eligibleOwners(const ZoneId &zone, TimePoint now) const;
     /// Nodes of this zone that are not known to be gone, this one included.
-    std::uint32_t listedInZone() const;
+    std::uint32_t nodeCountInZone() const;
     /// Nodes of this zone that hold the same view of it, this one included.
-    std::uint32_t agreeingInZone(TimePoint now) const;
+    std::uint32_t agreeingNodeCountInZone(TimePoint now) const;
     std::uint64_t zoneDigest(const ZoneId &zone, TimePoint now) const;
 
     /// Runs that ended since the last call.
-    std::vector<EndedRun> takeEndedRuns();
+    std::vector<EndedIncarnation> takeEndedIncarnations();
     /// Events since the last call.
-    std::vector<LogRecord> takeLog();
-    /// Rises with each change of any zone's eligible nodes or states.
+    std::vector<LogRecord> takeLogRecords();
+    /// Rises with each change of any zone's eligibleOwners nodes or states.
     std::uint64_t changeCount() const { return m_changes; }
     const MemberLife &chart() const { return *m_chart; }
 
 private:
-    std::vector<NodeId> inState(const ZoneId &zone, MemberState state, TimePoint now) const;
+    std::vector<NodeId> nodesInState(const ZoneId &zone, MemberState state, TimePoint now) const;
     Member &member(const NodeId &node);
-    unsigned zoneFactor() const;
+    unsigned heartbeatSlowdown() const;
 
     void step(Member &member, MemberSign sign);
-    void note(LogEventId id, const Member &member);
-    void endRun(const Member &member);
+    void logMemberEvent(LogEventId id, const Member &member);
+    void recordEndedIncarnation(const Member &member);
     const Member *counterpart(const ZoneId &zone) const;
     bool isZoneViewFresh(const ZoneId &zone, TimePoint now) const;
 
@@ -125,14 +127,14 @@
     MemberState m_selfState = MemberState::Joining;
     std::map<NodeId, Member> m_members; ///< Without this node.
     std::map<ZoneId, TimePoint>
-        m_zoneHeardAt; ///< Other zones: last heartbeat from any of their nodes.
+        m_zoneLastMessageAt; ///< Other zones: last heartbeat from any of their nodes.
     VmList m_vmList;
     std::set<std::string, std::less<>> m_leavingVms;
 
-    std::vector<EndedRun> m_ended;
+    std::vector<EndedIncarnation> m_endedIncarnations;
     std::vector<LogRecord> m_log;
     std::uint64_t m_changes = 1;
-    unsigned m_zoneFactor = 1; ///< By which a large zone's heartbeats are slower.
+    unsigned m_heartbeatSlowdown = 1; ///< By which a large zone's heartbeats are slower.
 };
 
 } // namespace berylridge
--- a/include/berylridge/Fleet/Messages.h
+++ b/include/berylridge/Fleet/Messages.h
@@ -33,14 +33,14 @@
     std::uint64_t vmListRevision = 0;
     std::string address; ///< Where the sender is reached: the VM list may not have it yet.
     std::uint16_t port = 0;
-    std::uint64_t zoneDigest = 0;  ///< Of the sender's view of its own zone.
-    std::uint64_t knownDigest = 0; ///< Of what the sender holds of the receiver's zone.
+    std::uint64_t zoneDigest = 0;            ///< Of the sender's view of its own zone.
+    std::uint64_t counterpartZoneDigest = 0; ///< Of what the sender holds of the receiver's zone.
     MSGPACK_DEFINE(sequence, zone, nodeState, documentsDigest, platformAgeMs, vmListRevision,
-                   address, port, zoneDigest, knownDigest)
+                   address, port, zoneDigest, counterpartZoneDigest)
 };
 
 /// Name and version of a document in force.
-struct DocumentHead
+struct DocumentVersionEntry
 {
     std::string name;
     std::uint64_t version = 0;
@@ -70,7 +70,7 @@
 /// Asks for documents newer than the given heads.
 struct DocumentsRequest
 {
-    std::vector<DocumentHead> have;
+    std::vector<DocumentVersionEntry> have;
     std::uint64_t vmListRevision = 0; ///< A newer list is sent too.
     MSGPACK_DEFINE(have, vmListRevision)
 };
@@ -137,13 +137,13 @@
 {
     PoolId pool = 0;
     std::uint64_t sequence = 0;
-    std::int64_t sentAt = 0;     ///< The sender's clock in microseconds; grants echo it.
+    std::int64_t sentAt = 0;     ///< The sender's clock in microseconds; grants demandSentAt it.
     std::uint64_t owner = 0;     ///< The incarnation of the owner that lastGrant speaks of.
     std::uint64_t lastGrant = 0; ///< The highest grant number that was received from it.
     std::vector<FlowDemand> demand;
     std::vector<HeldLease> held;
-    bool listsHeld = true; ///< False where only demand is told: held is empty and says nothing.
-    MSGPACK_DEFINE(pool, sequence, sentAt, owner, lastGrant, demand, held, listsHeld)
+    bool hasHeldList = true; ///< False where only demand is told: held is empty and says nothing.
+    MSGPACK_DEFINE(pool, sequence, sentAt, owner, lastGrant, demand, held, hasHeldList)
 };
 
 struct GrantedLease
@@ -155,17 +155,17 @@
 };
 
 /// From a pool's owner to a holder: each lease lets it run the flow's requests at the target, one
-/// at a time. A request may begin until echo + term on the holder's clock, and while the lease's
-/// requests have together used less than the quantum.
+/// at a time. A request may begin until demandSentAt + term on the holder's clock, and while the
+/// lease's requests have together used less than the quantum.
 struct PoolGrant
 {
     PoolId pool = 0;
-    std::uint64_t number = 0; ///< Rises by one per grant to this holder.
-    std::int64_t echo = 0;    ///< sentAt of the demand that this answers.
+    std::uint64_t number = 0;      ///< Rises by one per grant to this holder.
+    std::int64_t demandSentAt = 0; ///< sentAt of the demand that this answers.
     std::uint32_t termMs = 0;
     std::uint32_t quantumMs = 0;
     std::vector<GrantedLease> leases;
-    MSGPACK_DEFINE(pool, number, echo, termMs, quantumMs, leases)
+    MSGPACK_DEFINE(pool, number, demandSentAt, termMs, quantumMs, leases)
 };
 
 struct ReturnedLease
@@ -188,7 +188,7 @@
 };
 
 /// From any node to the target's owner: what it met at the target.
-struct TargetNews
+struct TargetObservation
 {
     PoolId pool = 0;
     TargetHash target = 0;
@@ -197,8 +197,8 @@
     MSGPACK_DEFINE(pool, target, sign, bootId)
 };
 
-/// One flow in a PoolService.
-struct FlowService
+/// One flow in a PoolUsage.
+struct FlowUsage
 {
     FlowId flow = 0;
     std::uint64_t servedMs = 0; ///< Slot time since the sender began to own the pool.
@@ -207,17 +207,17 @@
 
 /// From a pool's owner to owners of the service's other pools: what the pool's flows have received.
 /// Cumulative, so that a lost one heals with the next.
-struct PoolService
+struct PoolUsage
 {
     std::string service;
     PoolId pool = 0;
     std::uint64_t epoch = 0; ///< Differs for each time that a node begins to own a pool.
-    std::vector<FlowService> flows;
+    std::vector<FlowUsage> flows;
     MSGPACK_DEFINE(service, pool, epoch, flows)
 };
 
 /// One lease in a PoolHandover.
-struct HandedLease
+struct HandoverLease
 {
     LeaseId lease = 0;
     std::string node;
@@ -228,7 +228,7 @@
 };
 
 /// One flow in a PoolHandover.
-struct HandedFlow
+struct HandoverFlow
 {
     FlowId flow = 0;
     double virtualTime = 0;
@@ -240,13 +240,13 @@
 struct PoolHandover
 {
     PoolId pool = 0;
-    std::vector<HandedLease> leases;
-    std::vector<HandedFlow> flows;
+    std::vector<HandoverLease> leases;
+    std::vector<HandoverFlow> flows;
     MSGPACK_DEFINE(pool, leases, flows)
 };
 
 /// A request that crashed a target: its fingerprint, and which boot of which target it was.
-struct CrashNews
+struct CrashReport
 {
     std::uint64_t fingerprint = 0;
     std::uint64_t boot = 0; ///< Hash of target and boot id, so that each crash counts once.
@@ -261,7 +261,7 @@
 };
 
 using FleetMessage = std::variant<Heartbeat, ZoneView, DocumentsRequest, DocumentsReply,
-                                  VmListMessage, PoolDemand, PoolGrant, PoolReturn, TargetNews,
-                                  PoolService, CrashNews, Goodbye, PoolHandover>;
+                                  VmListMessage, PoolDemand, PoolGrant, PoolReturn,
+                                  TargetObservation, PoolUsage, CrashReport, Goodbye, PoolHandover>;
 
 } // namespace berylridge
--- a/include/berylridge/Policy/NodeLoad.h
+++ b/include/berylridge/Policy/NodeLoad.h
@@ -18,7 +18,7 @@
 
 namespace berylridge {
 
-/// shortHash() of a credential; 0 for callers without one.
+/// hash32() of a credential; 0 for callers without one.
 using CredentialKey = std::uint32_t;
 
 /// Requests of one credential that were turned away.
--- a/include/berylridge/Policy/PoolOwner.h
+++ b/include/berylridge/Policy/PoolOwner.h
@@ -46,7 +46,7 @@
     void onDemand(const NodeId &from, Incarnation incarnation, const PoolDemand &message,
                   TimePoint now);
     void onReturn(const NodeId &from, const PoolReturn &message, TimePoint now);
-    void onNews(const TargetNews &news, TimePoint now);
+    void onNews(const TargetObservation &news, TimePoint now);
     void onReport(TargetHash target, std::string_view bootId, std::uint32_t running,
                   std::uint64_t completed, Duration age, TimePoint now);
     void onPollFailed(TargetHash target, bool isRefused, TimePoint now);
@@ -58,7 +58,7 @@
     /// The run of a node has ended: what it held is free, what it wanted is void.
     void onHolderGone(const NodeId &node, Incarnation incarnation, TimePoint now);
     /// What another pool of the service gave.
-    void onRemoteService(const PoolService &message);
+    void onRemoteService(const PoolUsage &message);
 
     /// Frees what has run out and forgets what is old.
     void tick(TimePoint now);
@@ -68,7 +68,7 @@
     /// Targets whose load report is due; marks them as asked.
     std::vector<TargetHash> duePolls(TimePoint now);
     /// What the pool's flows received, for owners of the service's other pools.
-    PoolService serviceReport(TimePoint now) const;
+    PoolUsage serviceReport(TimePoint now) const;
 
     /// For status: the gauge, the limit now and the leases given out, by target.
     struct TargetView
--- a/include/berylridge/Policy/PromptDirectory.h
+++ b/include/berylridge/Policy/PromptDirectory.h
@@ -20,7 +20,7 @@
 
 namespace berylridge {
 
-/// shortHash() of a target's id.
+/// hash32() of a target's id.
 using TargetKey = std::uint32_t;
 /// Names a chain of parts: a kept part is of use only where all parts before it are kept too.
 using ChainKey = std::uint32_t;
--- a/include/berylridge/Policy/WorkspaceShares.h
+++ b/include/berylridge/Policy/WorkspaceShares.h
@@ -19,7 +19,7 @@
 
 namespace berylridge {
 
-/// shortHash() of a workspace's name.
+/// hash32() of a workspace's name.
 using WorkspaceKey = std::uint32_t;
 
 /// The rate that no workspace with unmet demand falls below when `capacity` is shared max-min
--- a/include/berylridge/Router/Status.h
+++ b/include/berylridge/Router/Status.h
@@ -53,7 +53,7 @@
     Incarnation incarnation = 0;
     bool isReader = false; ///< Watches the platform for its zone.
     std::uint64_t vmListRevision = 0;
-    std::vector<DocumentHead> documents;
+    std::vector<DocumentVersionEntry> documents;
     std::vector<MemberStatus> members;
     std::vector<TargetStatus> targets;
     std::vector<WorkspaceStatus> workspaces;
--- a/include/berylridge/Support/Endpoint.h
+++ b/include/berylridge/Support/Endpoint.h
@@ -21,7 +21,7 @@
 };
 
 /// Whether the text is an IPv4 or IPv6 number.
-bool isIpNumber(std::string_view text);
+bool isIpAddress(std::string_view text);
 
 /// Reads "10.0.1.7:7400" or "[fd00::7]:7400".
 Expected<Endpoint> parseEndpoint(std::string_view text);
--- a/include/berylridge/Support/Expected.h
+++ b/include/berylridge/Support/Expected.h
@@ -53,7 +53,7 @@
     }
 
     /// Empty where there is a value.
-    const std::string &lastReason() const { return m_reason.text; }
+    const std::string &failureReason() const { return m_reason.text; }
 
 private:
     std::optional<T> m_value;
--- a/include/berylridge/Support/FatalSignal.h
+++ b/include/berylridge/Support/FatalSignal.h
@@ -9,17 +9,17 @@
 /// From now on SIGSEGV, SIGBUS, SIGFPE, SIGILL and SIGABRT write the event FatalSignal to standard
 /// output, where log lines go, before they end the process as they would have. A signal that has a
 /// handler keeps it.
-void reportFatalSignals();
+void installFatalSignalHandlers();
 
 /// A stack for signal handlers of the calling thread, so that an overflow of the thread's own stack
 /// is reported too. Ends on the thread that made it.
-class SignalStack
+class AlternateSignalStack
 {
 public:
-    SignalStack();
-    ~SignalStack();
-    SignalStack(const SignalStack &) = delete;
-    SignalStack &operator=(const SignalStack &) = delete;
+    AlternateSignalStack();
+    ~AlternateSignalStack();
+    AlternateSignalStack(const AlternateSignalStack &) = delete;
+    AlternateSignalStack &operator=(const AlternateSignalStack &) = delete;
 
 private:
     std::unique_ptr<std::byte[]> m_memory;
--- a/include/berylridge/Support/LogBudget.h
+++ b/include/berylridge/Support/LogRateLimiter.h
@@ -12,7 +12,7 @@
 namespace berylridge {
 
 /// Not safe for use by two threads at once.
-class LogBudget
+class LogRateLimiter
 {
 public:
     /// A node of the size to come has 87 requests a second, a line of 400 to 500 bytes each; this
@@ -23,7 +23,7 @@
         double bytes = 128 * 1024;
     };
 
-    explicit LogBudget(Limits limits)
+    explicit LogRateLimiter(Limits limits)
         : m_limits(limits)
         , m_lines(limits.lines * burstSeconds)
         , m_bytes(limits.bytes * burstSeconds)
@@ -37,14 +37,14 @@
     static constexpr double burstSeconds = 2;
     /// Part of the burst that is kept for warnings and errors: a flood of requests must not push
     /// out the lines that tell why.
-    static constexpr double keptPart = 0.25;
+    static constexpr double reservedFraction = 0.25;
 
     void refill(TimePoint now);
 
     Limits m_limits;
     double m_lines;
     double m_bytes;
-    TimePoint m_filledAt {};
+    TimePoint m_lastRefillAt {};
 };
 
 } // namespace berylridge
--- a/include/berylridge/Support/Random.h
+++ b/include/berylridge/Support/Random.h
@@ -19,10 +19,10 @@
 
 /// The time, or up to a half more: callers who are turned away together must not come back
 /// together.
-inline Duration spreadRetry(Duration base, RandomEngine &engine)
+inline Duration addRetryJitter(Duration base, RandomEngine &engine)
 {
-    constexpr double spread = 0.5;
-    return base + fromSeconds(toSeconds(base) * spread * uniform(engine));
+    constexpr double jitterFraction = 0.5;
+    return base + fromSeconds(toSeconds(base) * jitterFraction * uniform(engine));
 }
 
 } // namespace berylridge
--- a/include/berylridge/Support/Time.h
+++ b/include/berylridge/Support/Time.h
@@ -52,7 +52,7 @@
 };
 
 /// A clock that stands still until a test or a replay advances it.
-class PausedClock
+class ManualClock
 {
 public:
     TimePoint now() const { return m_now; }
@@ -62,22 +62,22 @@
     {
         m_now += by;
         m_elapsed += by;
-        m_wall = wallOrigin() + std::chrono::floor<std::chrono::milliseconds>(m_elapsed);
+        m_wall = wallStart() + std::chrono::floor<std::chrono::milliseconds>(m_elapsed);
     }
 
 private:
     /// 2026-01-01, so that keys made under this clock are valid UUIDv7 times.
-    static constexpr WallTime wallOrigin()
+    static constexpr WallTime wallStart()
     {
         return WallTime(std::chrono::milliseconds(1767225600000));
     }
 
     TimePoint m_now {Duration(1'000'000)};
     Duration m_elapsed {0};
-    WallTime m_wall = wallOrigin();
+    WallTime m_wall = wallStart();
 };
 
-static_assert(Clock<SystemClock> && Clock<PausedClock>);
+static_assert(Clock<SystemClock> && Clock<ManualClock>);
 
 /// Seconds as a floating-point number, for metrics and virtual time.
 constexpr double toSeconds(Duration duration)
--- a/lib/Admin/OperatorsKey.cpp
+++ b/lib/Admin/OperatorsKey.cpp
@@ -8,7 +8,7 @@
 {
     constexpr std::string_view scheme = "Bearer ";
     return authorization.starts_with(scheme)
-        && hasDigest(authorization.substr(scheme.size()), operatorsKeyDigest);
+        && matchesDigest(authorization.substr(scheme.size()), operatorsKeyDigest);
 }
 
 } // namespace berylridge
--- a/lib/Admin/StatusJson.cpp
+++ b/lib/Admin/StatusJson.cpp
@@ -1,7 +1,7 @@
 // Field by field, so that a change of a struct is a choice about the API.
 #include "StatusJson.h"
 
-#include "berylridge/Config/JsonList.h"
+#include "berylridge/Config/JsonArray.h"
 #include "berylridge/Support/LogEvent.h"
 
 namespace berylridge {
@@ -63,7 +63,7 @@
 
 } // namespace
 
-Json::Value headValue(const DocumentHead &head)
+Json::Value headValue(const DocumentVersionEntry &head)
 {
     Json::Value value;
     value["name"] = head.name;
@@ -80,17 +80,17 @@
     value["incarnation"] = Json::UInt64 {status.incarnation};
     value["isReader"] = status.isReader;
     value["vmListRevision"] = Json::UInt64 {status.vmListRevision};
-    value["documents"] = listOf(status.documents, headValue);
-    value["members"] = listOf(status.members, memberValue);
-    value["targets"] = listOf(status.targets, targetValue);
-    value["workspaces"] = listOf(status.workspaces, workspaceValue);
+    value["documents"] = toJsonArray(status.documents, headValue);
+    value["members"] = toJsonArray(status.members, memberValue);
+    value["targets"] = toJsonArray(status.targets, targetValue);
+    value["workspaces"] = toJsonArray(status.workspaces, workspaceValue);
     return value;
 }
 
 Json::Value auditValue(const AuditPage &page)
 {
     Json::Value value;
-    value["entries"] = listOf(page.entries, entryValue);
+    value["entries"] = toJsonArray(page.entries, entryValue);
     value["last"] = Json::UInt64 {page.last};
     value["hasGap"] = page.hasGap;
     value["hasMore"] = page.hasMore;
--- a/lib/Balancer/BalancedRequest.h
+++ b/lib/Balancer/BalancedRequest.h
@@ -50,7 +50,7 @@
     /// Time from the request's arrival to the start of the response.
     std::optional<Duration> firstResponseDelay;
 
-    WorkspaceKey workspaceKey() const { return shortHash(workspace.str()); }
+    WorkspaceKey workspaceKey() const { return hash32(workspace.str()); }
     /// Returns whether the response started, or has still not started, after the route's latency
     /// target.
     bool isLate(TimePoint now) const
--- a/lib/Balancer/BalancerCore.cpp
+++ b/lib/Balancer/BalancerCore.cpp
@@ -85,7 +85,7 @@
     if (gap <= maxEventGap)
         return;
     m_context.log(LogEventId::WokeLate, std::to_string(gap.count() / 1000) + " ms");
-    m_context.peers.onWoke(gap);
+    m_context.peers.onProcessResumed(gap);
 }
 
 void BalancerCore::Impl::dispatch(const Event &event)
@@ -125,10 +125,10 @@
         Overloaded {
             [&](const LoadDigest &m) { m_gossip.onDigest(message.from, message.incarnation, m); },
             [&](const StateRequest &m) { m_gossip.onStateRequest(message.from, m); },
-            [&](const CatalogNews &m) {
+            [&](const CatalogUpdate &m) {
                 onCatalog(std::make_shared<const Catalog>(m.catalog), message.from.str());
             },
-            [&](const PlacementNews &m) {
+            [&](const PlacementUpdate &m) {
                 m_gossip.onPlacements(message.from, message.incarnation, m);
             },
             [&](const DirectoryRelay &m) { onDirectory(m.news, message.from.str()); },
@@ -192,18 +192,18 @@
     if (m_context.now < m_nextDigest)
         return;
     m_nextDigest = m_context.now + m_context.options.digestPeriod;
-    m_context.peers.forgetSilent(m_context.now);
+    m_context.peers.removeSilent(m_context.now);
     m_targetSelector.expire();
     m_requests.tick();
     updateReaderRole();
-    const bool isPlatformStateCurrent = m_reader.isReading() && m_isPlatformReachable;
+    const bool isPlatformStateCurrent = m_reader.isReadingPlatform() && m_isPlatformReachable;
     m_gossip.sendDigests(m_state == NodeState::Leaving, isPlatformStateCurrent);
     checkPlannedStop();
 }
 
 void BalancerCore::Impl::updateReaderRole()
 {
-    const bool wasReading = m_reader.isReading();
+    const bool wasReading = m_reader.isReadingPlatform();
     if (m_reader.update() == wasReading)
         return;
     m_context.log(LogEventId::ReaderRole,
@@ -248,10 +248,10 @@
 {
     Expected<NodeLife> node = loadNodeLife(options.chartDirectory);
     if (!node)
-        return Reason {node.lastReason()};
+        return Reason {node.failureReason()};
     Expected<RequestLife> request = loadRequestLife(options.chartDirectory);
     if (!request)
-        return Reason {request.lastReason()};
+        return Reason {request.failureReason()};
     auto impl = std::make_unique<Impl>(std::move(options),
                                        BalancerCharts {*std::move(node), *std::move(request)}, now);
     return std::unique_ptr<BalancerCore>(new BalancerCore(std::move(impl)));
--- a/lib/Balancer/GossipExchange.cpp
+++ b/lib/Balancer/GossipExchange.cpp
@@ -33,47 +33,47 @@
 
 } // namespace
 
-void GossipExchange::sendDigests(bool isLeaving, bool isReading)
+void GossipExchange::sendDigests(bool isLeaving, bool isReadingPlatform)
 {
     queueUpdates();
     LoadDigest digest = buildDigest();
     digest.isLeaving = isLeaving;
-    digest.isReading = isReading;
-    const std::vector<PlacementNews> update = takePlacementMessages();
+    digest.isReadingPlatform = isReadingPlatform;
+    const std::vector<PlacementUpdate> update = takePlacementMessages();
     for (auto &[node, endpoint] : m_context.peers.nextReceivers(m_context.now)) {
         m_context.emit(SendToNode {node, endpoint, BalancerMessage(digest)});
-        for (const PlacementNews &each : update)
+        for (const PlacementUpdate &each : update)
             m_context.emit(SendToNode {node, endpoint, BalancerMessage(each)});
     }
 }
 
 void GossipExchange::queueUpdates()
 {
-    const unsigned periodsPerRound = m_context.peers.periodsPerTurn();
+    const unsigned periodsPerRound = m_context.peers.periodsPerRotation();
     for (const PlacementEntry &entry : m_targetSelector.takePlacements())
         m_placements.add(entry, periodsPerRound);
-    for (const TargetReadEntry &entry : m_targetSelector.takeReads())
+    for (const TargetCacheWriteEntry &entry : m_targetSelector.takeReads())
         m_reads.add(entry, periodsPerRound);
-    for (const BrokenRunEntry &entry : m_requests.takeInterruptedRequests())
+    for (const InterruptedRequestEntry &entry : m_requests.takeInterruptedRequests())
         m_interruptedRequests.add(entry, periodsPerRound * interruptedRequestRounds);
 }
 
-std::vector<PlacementNews> GossipExchange::takePlacementMessages()
+std::vector<PlacementUpdate> GossipExchange::takePlacementMessages()
 {
     std::vector<PlacementEntry> placements
         = m_placements.take(maxPlacementsPerMessage * maxPlacementMessagesPerPeriod);
-    std::vector<PlacementNews> update;
+    std::vector<PlacementUpdate> update;
     for (std::size_t first = 0; first < placements.size(); first += maxPlacementsPerMessage) {
         const auto begin = placements.begin() + static_cast<std::ptrdiff_t>(first);
         const auto count = std::min(maxPlacementsPerMessage, placements.size() - first);
         update.push_back({{begin, begin + static_cast<std::ptrdiff_t>(count)}, {}});
     }
-    std::vector<TargetReadEntry> reads = m_reads.take(maxReadsPerMessage);
-    if (reads.empty())
+    std::vector<TargetCacheWriteEntry> cacheWrites = m_reads.take(maxReadsPerMessage);
+    if (cacheWrites.empty())
         return update;
     if (update.empty())
         update.emplace_back();
-    update.front().reads = std::move(reads);
+    update.front().cacheWrites = std::move(cacheWrites);
     return update;
 }
 
@@ -95,16 +95,16 @@
     digest.servedPerSecond = clampToUint32(m_requests.shares().servedPerSecond(m_context.now));
     digest.turnedAwayPerSecond
         = clampToUint32(m_requests.shares().turnedAwayPerSecond(m_context.now));
-    digest.brokenRuns = m_interruptedRequests.take(maxInterruptedRequestsPerDigest);
+    digest.interruptedRequests = m_interruptedRequests.take(maxInterruptedRequestsPerDigest);
     if (m_digestsSent++ % digestsPerPeerList == 0)
-        digest.peers = m_context.peers.someLiveEntries(maxPeersPerDigest, m_context.now);
+        digest.peers = m_context.peers.nextLiveEntries(maxPeersPerDigest, m_context.now);
     return digest;
 }
 
 void GossipExchange::onDigest(const NodeId &from, Incarnation incarnation, const LoadDigest &digest)
 {
     const bool wasKnown = m_context.peers.find(from) != nullptr;
-    if (!m_context.peers.onHeard(from, incarnation, digest, m_context.now))
+    if (!m_context.peers.onMessageReceived(from, incarnation, digest, m_context.now))
         return;
     if (!wasKnown)
         m_context.log(LogEventId::MemberJoined, from.str() + " zone " + digest.zone);
@@ -121,26 +121,27 @@
     m_targetSelector.loads().onDigest(from, std::move(loads), m_context.now);
     WorkspaceShares::RemoteNews update;
     for (const WorkspaceFlowEntry &entry : digest.flows)
-        update.flows.push_back({entry.workspace, static_cast<double>(entry.askedPerSecond),
-                                static_cast<double>(entry.admittedPerSecond)});
+        update.flows.push_back({entry.workspace,
+                                static_cast<double>(entry.requestedTokensPerSecond),
+                                static_cast<double>(entry.admittedTokensPerSecond)});
     update.servedPerSecond = digest.servedPerSecond;
     update.turnedAwayPerSecond = digest.turnedAwayPerSecond;
     m_requests.shares().onDigest(from, std::move(update), m_context.now);
-    for (const BrokenRunEntry &entry : digest.brokenRuns)
+    for (const InterruptedRequestEntry &entry : digest.interruptedRequests)
         m_requests.onRemoteInterruptedRequest(entry);
 }
 
 void GossipExchange::onPlacements(const NodeId &from, Incarnation incarnation,
-                                  const PlacementNews &update)
+                                  const PlacementUpdate &update)
 {
     const PeerTable::Peer *peer = m_context.peers.find(from);
     if (peer && peer->incarnation > incarnation)
         return;
     // Applies the read counters first, because the placements of the same message are newer.
-    for (const TargetReadEntry &entry : update.reads)
+    for (const TargetCacheWriteEntry &entry : update.cacheWrites)
         m_targetSelector.onRemoteRead(from, incarnation, entry);
     for (const PlacementEntry &entry : update.placements)
-        m_targetSelector.onRemotePlacement(entry.part, entry.target);
+        m_targetSelector.onRemotePlacement(entry.prefix, entry.target);
 }
 
 void GossipExchange::requestNewerState(const NodeId &from, const LoadDigest &digest)
@@ -167,7 +168,7 @@
         m_context.emit(SendToNode {from, peer->endpoint, std::move(message)});
     };
     if (m_context.routeTable && m_context.routeTable->catalog().version > request.catalogVersion)
-        send(CatalogNews {m_context.routeTable->catalog()});
+        send(CatalogUpdate {m_context.routeTable->catalog()});
     const TargetDirectory &directory = m_context.directory;
     if (directory.revision() > request.directoryRevision)
         send(DirectoryRelay {directory.updateSince(request.directoryRevision, m_context.now)});
--- a/lib/Balancer/GossipExchange.h
+++ b/lib/Balancer/GossipExchange.h
@@ -25,17 +25,17 @@
     {
     }
 
-    /// Sends this period's digests. `isReading` states that this node reads the platform's state
-    /// and that the platform answers.
-    void sendDigests(bool isLeaving, bool isReading);
+    /// Sends this period's digests. `isReadingPlatform` states that this node reads the platform's
+    /// state and that the platform answers.
+    void sendDigests(bool isLeaving, bool isReadingPlatform);
 
     void onDigest(const NodeId &from, Incarnation incarnation, const LoadDigest &digest);
-    void onPlacements(const NodeId &from, Incarnation incarnation, const PlacementNews &update);
+    void onPlacements(const NodeId &from, Incarnation incarnation, const PlacementUpdate &update);
     void onStateRequest(const NodeId &from, const StateRequest &request);
 
 private:
     LoadDigest buildDigest();
-    std::vector<PlacementNews> takePlacementMessages();
+    std::vector<PlacementUpdate> takePlacementMessages();
     void queueUpdates();
     void mergeLoads(const NodeId &from, const LoadDigest &digest);
     void requestNewerState(const NodeId &from, const LoadDigest &digest);
@@ -46,8 +46,8 @@
     ReaderRole &m_reader;
     std::uint64_t m_digestsSent = 0; ///< Number of digests built so far.
     TransmitLimitedQueue<PlacementEntry> m_placements;
-    TransmitLimitedQueue<TargetReadEntry> m_reads;
-    TransmitLimitedQueue<BrokenRunEntry> m_interruptedRequests;
+    TransmitLimitedQueue<TargetCacheWriteEntry> m_reads;
+    TransmitLimitedQueue<InterruptedRequestEntry> m_interruptedRequests;
     /// Time at which each node was last asked for state.
     std::map<NodeId, TimePoint> m_stateRequestedAt;
 };
--- a/lib/Balancer/ReaderRole.cpp
+++ b/lib/Balancer/ReaderRole.cpp
@@ -89,7 +89,8 @@
 {
     std::size_t count = 0;
     m_context.peers.forEach([&](const NodeId &node, const PeerTable::Peer &peer) {
-        const bool isAlive = peer.heardAt && m_context.now - *peer.heardAt < readerDigestTimeout;
+        const bool isAlive
+            = peer.lastMessageAt && m_context.now - *peer.lastMessageAt < readerDigestTimeout;
         const bool isSameZone = peer.zone == m_context.options.zone.str();
         count += isAlive && isSameZone && node < m_context.options.node && matches(peer) ? 1 : 0;
     });
@@ -99,7 +100,7 @@
 std::size_t ReaderRole::precedingReaders() const
 {
     return countPreceding(
-        [](const PeerTable::Peer &peer) { return peer.isReading && !peer.isLeaving; });
+        [](const PeerTable::Peer &peer) { return peer.isReadingPlatform && !peer.isLeaving; });
 }
 
 std::size_t ReaderRole::precedingNodes() const
--- a/lib/Balancer/ReaderRole.h
+++ b/lib/Balancer/ReaderRole.h
@@ -25,7 +25,7 @@
 
     /// Returns whether this node reads the platform's state from now on. Called once per period.
     bool update();
-    bool isReading() const { return m_isReading; }
+    bool isReadingPlatform() const { return m_isReading; }
 
 private:
     bool shouldRead();
--- a/lib/Balancer/RequestLog.cpp
+++ b/lib/Balancer/RequestLog.cpp
@@ -104,7 +104,7 @@
     fields["catalog"] = Json::UInt64(request.routeTable->catalog().version);
     if (includesSteps && m_detailBudget.tryTake(0, LogLevel::Info, m_context.now)) {
         fields["directory"] = Json::UInt64(m_context.directory.revision());
-        fields["nodes"] = Json::UInt64(m_context.peers.live(m_context.now));
+        fields["nodes"] = Json::UInt64(m_context.peers.liveCount(m_context.now));
         fields["steps"] = request.trace.details();
     }
     m_context.emit(Log {{id, {}, request.id, std::move(fields)}});
--- a/lib/Balancer/RequestLog.h
+++ b/lib/Balancer/RequestLog.h
@@ -8,7 +8,7 @@
 #include "BalancedRequest.h"
 #include "BalancerContext.h"
 
-#include "berylridge/Support/LogBudget.h"
+#include "berylridge/Support/LogRateLimiter.h"
 
 #include <cstdint>
 
@@ -34,8 +34,8 @@
                   Json::Value fields, bool includesSteps);
 
     BalancerContext &m_context;
-    LogBudget m_lineBudget;
-    LogBudget m_detailBudget;
+    LogRateLimiter m_lineBudget;
+    LogRateLimiter m_detailBudget;
     std::uint64_t m_answered = 0;
     std::uint64_t m_unlogged = 0; ///< Requests without a line since the last report.
     TimePoint m_lastLoggedAt {};
--- a/lib/Balancer/RequestProcessor.cpp
+++ b/lib/Balancer/RequestProcessor.cpp
@@ -158,7 +158,7 @@
     if (!choice) {
         request.trace.add(at, NoTargetStep {});
         return Refusal {503, "no-target", "no target can accept the request now",
-                        spreadRetry(noTargetRetryAfter, m_random)};
+                        addRetryJitter(noTargetRetryAfter, m_random)};
     }
     PlacementStep step;
     step.choice = *choice;
@@ -167,7 +167,7 @@
     if (!refusal && !m_targetSelector.reserve(*choice, *request.service, chain))
         refusal
             = Refusal {503, "target-cold", "the cold targets have reached their request rate limit",
-                       spreadRetry(noTargetRetryAfter, m_random)};
+                       addRetryJitter(noTargetRetryAfter, m_random)};
     step.isAccepted = !refusal;
     request.trace.add(at, std::move(step));
     if (refusal)
@@ -208,7 +208,7 @@
     return Refusal {
         503, step.isWithinShare ? "full" : "beyond-share",
         "the expected wait at the targets is too long for the request to be done in time",
-        spreadRetry(std::max(excess, fullRetryAfter), m_random)};
+        addRetryJitter(std::max(excess, fullRetryAfter), m_random)};
 }
 
 void RequestProcessor::start(BalancedRequest &request, const TargetChoice &choice)
@@ -241,8 +241,8 @@
     dispatch.isResumed = request.isPartlyDelivered;
     dispatch.workspace = request.workspace;
     dispatch.repeats = request.route->isRetryable() ? Repeats::Allowed : Repeats::Forbidden;
-    dispatch.keptConnections
-        = keptConnections(request.service->connectionLimit, m_context.peers.counted(m_context.now));
+    dispatch.keptConnections = keptConnections(request.service->connectionLimit,
+                                               m_context.peers.limitShareCount(m_context.now));
     m_context.emit(std::move(dispatch));
 }
 
@@ -372,7 +372,7 @@
     if (!event.sentAny)
         return true; // Nothing reached a target, so a retry repeats nothing.
     return m_retries[request.service->name].tryTake(
-        m_context.options.retries, m_context.peers.counted(m_context.now), m_context.now);
+        m_context.options.retries, m_context.peers.limitShareCount(m_context.now), m_context.now);
 }
 
 void RequestProcessor::finishFailed(BalancedRequest &request, const AttemptFailed &event)
@@ -386,7 +386,7 @@
     if (request.verdict == Verdict::NotRun) {
         refuse(request,
                {503, "target-refused", "no target accepted the request",
-                spreadRetry(fullRetryAfter, m_random)});
+                addRetryJitter(fullRetryAfter, m_random)});
         return;
     }
     const bool isLate = m_context.now + std::chrono::milliseconds(5) >= request.deadline;
@@ -403,7 +403,7 @@
         m_interruptedRequests.push_back({request.fingerprint, request.choice.boot});
 }
 
-void RequestProcessor::onRemoteInterruptedRequest(const BrokenRunEntry &entry)
+void RequestProcessor::onRemoteInterruptedRequest(const InterruptedRequestEntry &entry)
 {
     m_crashes.add(entry.fingerprint, entry.boot, m_context.now);
 }
@@ -465,7 +465,7 @@
     }
 }
 
-std::vector<BrokenRunEntry> RequestProcessor::takeInterruptedRequests()
+std::vector<InterruptedRequestEntry> RequestProcessor::takeInterruptedRequests()
 {
     return std::exchange(m_interruptedRequests, {});
 }
--- a/lib/Balancer/RequestProcessor.h
+++ b/lib/Balancer/RequestProcessor.h
@@ -33,7 +33,7 @@
     void onFailed(const AttemptFailed &event);
     /// Records that another node lost a target while the target ran a request with this
     /// fingerprint.
-    void onRemoteInterruptedRequest(const BrokenRunEntry &entry);
+    void onRemoteInterruptedRequest(const InterruptedRequestEntry &entry);
 
     /// Does the periodic work: updates shares and logs, and removes expired entries.
     void tick();
@@ -44,7 +44,7 @@
     void abortAll();
 
     WorkspaceShares &shares() { return m_shares; }
-    std::vector<BrokenRunEntry> takeInterruptedRequests();
+    std::vector<InterruptedRequestEntry> takeInterruptedRequests();
     std::size_t size() const { return m_requests.size(); }
     TimePoint lastArrival() const { return m_lastArrival; }
 
@@ -76,7 +76,8 @@
     CrashRecord m_crashes;
     std::map<std::string, RetryShare> m_retries; ///< Keyed by service.
     std::unordered_map<RequestHandle, BalancedRequest> m_requests;
-    std::vector<BrokenRunEntry> m_interruptedRequests; ///< Entries to be sent with the next digest.
+    std::vector<InterruptedRequestEntry>
+        m_interruptedRequests; ///< Entries to be sent with the next digest.
     RandomEngine m_random;
     TimePoint m_lastArrival {};
     bool m_wasFull = false;
--- a/lib/Balancer/TargetSelector.cpp
+++ b/lib/Balancer/TargetSelector.cpp
@@ -51,7 +51,7 @@
 
 std::size_t TargetSelector::coldSenderCount() const
 {
-    return std::min(maxColdSenders, m_context.peers.counted(m_context.now));
+    return std::min(maxColdSenders, m_context.peers.limitShareCount(m_context.now));
 }
 
 bool TargetSelector::isColdSender(Target &target, TargetKey key) const
@@ -61,8 +61,8 @@
     const std::uint64_t own = hash64(m_context.options.node.str(), key);
     std::size_t before = 0;
     m_context.peers.forEach([&](const NodeId &node, const PeerTable::Peer &peer) {
-        const bool isCounted = m_context.peers.isCounted(peer, m_context.now);
-        before += isCounted && hash64(node.str(), key) < own ? 1 : 0;
+        const bool hasLimitShare = m_context.peers.hasLimitShare(peer, m_context.now);
+        before += hasLimitShare && hash64(node.str(), key) < own ? 1 : 0;
     });
     target.isColdSender = before < maxColdSenders;
     target.coldSenderValidUntil = m_context.now + coldSenderCacheTime;
@@ -117,7 +117,7 @@
     for (const auto &[id, entry] : m_context.directory.entries()) {
         if (entry.record.service != service.name || !m_context.directory.isUsable(entry, now))
             continue;
-        const TargetKey key = shortHash(id);
+        const TargetKey key = hash32(id);
         if (std::find(excludedTargets.begin(), excludedTargets.end(), key) != excludedTargets.end())
             continue;
         Target &target = m_targets[key];
@@ -172,10 +172,10 @@
     m_loads.begin(choice.key, choice.tokens);
     if (!chain)
         return true;
-    const std::uint32_t entered = choice.tokens + chain->outputTokens;
+    const std::uint32_t writtenTokens = choice.tokens + chain->outputTokens;
     m_prompts.setCapacity(choice.key, service.engineTokens);
-    m_prompts.onRead(choice.key, entered, now);
-    target.entered += entered;
+    m_prompts.onRead(choice.key, writtenTokens, now);
+    target.writtenTokens += writtenTokens;
     // Skips the last part, which belongs to this request alone and can't be reused by others.
     for (std::size_t i = 0; i < sharedLinks(*chain); ++i) {
         m_prompts.onPlaced(chain->links[i].key, choice.key, now);
@@ -216,26 +216,27 @@
     found->second += (toSeconds(duration) * 1000 - found->second) * serviceSampleWeight;
 }
 
-std::vector<TargetReadEntry> TargetSelector::takeReads()
+std::vector<TargetCacheWriteEntry> TargetSelector::takeReads()
 {
-    std::vector<TargetReadEntry> reads;
+    std::vector<TargetCacheWriteEntry> reads;
     for (auto &[key, target] : m_targets) {
-        if (target.entered - target.writtenTokensReported < minReportedReadTokens)
+        if (target.writtenTokens - target.writtenTokensReported < minReportedReadTokens)
             continue;
-        target.writtenTokensReported = target.entered;
-        reads.push_back({key, target.entered});
+        target.writtenTokensReported = target.writtenTokens;
+        reads.push_back({key, target.writtenTokens});
     }
     return reads;
 }
 
 void TargetSelector::onRemoteRead(const NodeId &node, Incarnation incarnation,
-                                  const TargetReadEntry &entry)
+                                  const TargetCacheWriteEntry &entry)
 {
     RemoteRead &known = m_remoteReads[{node, entry.target}];
     const bool isSame = known.incarnation == incarnation;
     // The counters wrap around; their unsigned difference stays correct.
-    const std::uint32_t since = isSame ? entry.entered - known.entered : entry.entered;
-    known = {incarnation, entry.entered};
+    const std::uint32_t since
+        = isSame ? entry.writtenTokens - known.writtenTokens : entry.writtenTokens;
+    known = {incarnation, entry.writtenTokens};
     m_prompts.onRead(entry.target, since, m_context.now);
 }
 
@@ -247,7 +248,7 @@
 void TargetSelector::onDirectory()
 {
     for (const auto &[id, entry] : m_context.directory.entries()) {
-        const TargetKey key = shortHash(id);
+        const TargetKey key = hash32(id);
         const auto found = m_targets.find(key);
         if (found == m_targets.end())
             continue;
--- a/lib/Balancer/TargetSelector.h
+++ b/lib/Balancer/TargetSelector.h
@@ -58,7 +58,8 @@
     void onResponseCompleted(const std::string &service, Duration duration);
 
     void onRemotePlacement(ChainKey part, TargetKey target);
-    void onRemoteRead(const NodeId &node, Incarnation incarnation, const TargetReadEntry &entry);
+    void onRemoteRead(const NodeId &node, Incarnation incarnation,
+                      const TargetCacheWriteEntry &entry);
     /// Discards the cached prompts of targets that have restarted or been removed.
     void onDirectory();
     void expire();
@@ -69,7 +70,7 @@
     std::vector<PlacementEntry> takePlacements() { return std::exchange(m_newPlacements, {}); }
     /// Returns the counters of tokens that targets read for this node where they have grown enough
     /// to be reported to the other nodes.
-    std::vector<TargetReadEntry> takeReads();
+    std::vector<TargetCacheWriteEntry> takeReads();
 
 private:
     struct Target
@@ -82,14 +83,14 @@
         TimePoint coldSenderValidUntil {};
         double tokensPerMs = 0; ///< Measured speed; 0 before the first sample.
         std::uint64_t boot = 0;
-        std::uint32_t entered = 0; ///< Tokens that this node had the target read or generate.
-        /// Value of `entered` last reported to the other nodes.
+        std::uint32_t writtenTokens = 0; ///< Tokens that this node had the target read or generate.
+        /// Value of `writtenTokens` last reported to the other nodes.
         std::uint32_t writtenTokensReported = 0;
     };
     struct RemoteRead
     {
         Incarnation incarnation = 0;
-        std::uint32_t entered = 0;
+        std::uint32_t writtenTokens = 0;
     };
 
     /// Returns the number of nodes that share a cold target's rate.
--- a/lib/Catalog/RouteTable.cpp
+++ b/lib/Catalog/RouteTable.cpp
@@ -36,7 +36,7 @@
     for (const WorkspaceSpec &workspace : m_catalog->workspaces) {
         for (const std::string &credential : workspace.credentials) {
             m_workspaces.emplace(credential, &workspace);
-            m_workspacesByHash.emplace(shortHash(credential), &workspace);
+            m_workspacesByHash.emplace(hash32(credential), &workspace);
         }
     }
 }
--- a/lib/CommandLine/CommandLine.cpp
+++ b/lib/CommandLine/CommandLine.cpp
@@ -37,15 +37,15 @@
 }
 
 /// Our own options in the order in which they were added, then TCLAP's, then operands.
-std::vector<const TCLAP::Arg *> inOrder(TCLAP::CmdLineInterface &line)
+std::vector<const TCLAP::Arg *> orderedArguments(TCLAP::CmdLineInterface &line)
 {
     std::vector<const TCLAP::Arg *> options;
     std::vector<const TCLAP::Arg *> common;
     std::vector<const TCLAP::Arg *> operands;
     // TCLAP keeps options with the last one added first, and operands after them.
     const auto &given = line.getArgList();
-    const std::vector<TCLAP::Arg *> inGivenOrder(given.rbegin(), given.rend());
-    for (const auto *argument : inGivenOrder) {
+    const std::vector<TCLAP::Arg *> declarationOrder(given.rbegin(), given.rend());
+    for (const auto *argument : declarationOrder) {
         const auto &name = argument->getName();
         if (name == TCLAP::Arg::ignoreNameString())
             continue;
@@ -62,7 +62,7 @@
 }
 
 /// TCLAP's words in the form of our messages.
-std::string inOurForm(std::string text)
+std::string normalizedMessage(std::string text)
 {
     const auto begin = text.find_first_not_of(' ');
     text = begin == std::string::npos ? std::string() : text.substr(begin);
@@ -76,7 +76,7 @@
 /// "Argument: (--out)" by TCLAP, "--out" here.
 std::string argumentName(const TCLAP::ArgException &error)
 {
-    auto text = inOurForm(error.argId());
+    auto text = normalizedMessage(error.argId());
     for (const std::string_view prefix : {"argument: ", "("}) {
         if (text.starts_with(prefix))
             text.erase(0, prefix.size());
@@ -116,7 +116,7 @@
 
     void failure(TCLAP::CmdLineInterface & /*line*/, TCLAP::ArgException &error) override
     {
-        std::cerr << m_page.name << ": " << inOurForm(error.error());
+        std::cerr << m_page.name << ": " << normalizedMessage(error.error());
         if (const auto argument = argumentName(error); !argument.empty())
             std::cerr << " (" << argument << ")";
         std::cerr << "; see " << m_page.name << " --help\n";
@@ -126,7 +126,7 @@
     std::string synopsis(TCLAP::CmdLineInterface &line) const
     {
         std::string text = m_page.name;
-        for (const auto *argument : inOrder(line))
+        for (const auto *argument : orderedArguments(line))
             text += " " + argument->shortID();
         return text;
     }
@@ -134,7 +134,7 @@
     static void printOptions(TCLAP::CmdLineInterface &line)
     {
         std::cout << "\nOPTIONS\n";
-        for (const auto *argument : inOrder(line)) {
+        for (const auto *argument : orderedArguments(line)) {
             printIndented(argument->longID(), 1);
             printIndented(argument->getDescription(), 2);
         }
@@ -159,10 +159,10 @@
     try {
         m_arguments.parse(argc, argv);
     } catch (const TCLAP::ExitException &) {
-        return exitFine;
+        return exitSuccess;
     } catch (TCLAP::ArgException &error) {
         m_output->failure(m_arguments, error);
-        return exitWrongUsage;
+        return exitUsageError;
     }
     return std::nullopt;
 }
--- a/lib/Config/Diagnostic.cpp
+++ b/lib/Config/Diagnostic.cpp
@@ -1,5 +1,5 @@
 // How a diagnostic is printed.
-#include "berylridge/Config/Reader.h"
+#include "berylridge/Config/DocumentReader.h"
 
 namespace berylridge {
 
--- a/lib/Config/Difference.cpp
+++ b/lib/Config/Difference.cpp
@@ -1,4 +1,4 @@
-// Compares documents field by field.
+// Compares documents compareField by compareField.
 #include "berylridge/Config/Difference.h"
 
 #include "berylridge/Support/Endpoint.h"
@@ -35,19 +35,19 @@
 class ServiceComparison
 {
 public:
-    ServiceComparison(const ServiceDocument &inForce, const ServiceDocument &next,
-                      double allowedCut)
-        : m_inForce(inForce)
+    ServiceComparison(const ServiceDocument &current, const ServiceDocument &next,
+                      double maxShareCut)
+        : m_current(current)
         , m_next(next)
-        , m_allowedCut(allowedCut)
+        , m_maxShareCut(maxShareCut)
     {
     }
 
     Difference run()
     {
         compareLimits();
-        compareNamed("route", routesOf(m_inForce), routesOf(m_next));
-        compareNamed("target", targetsOf(m_inForce), targetsOf(m_next));
+        compareNamed("route", routesOf(m_current), routesOf(m_next));
+        compareNamed("target", targetsOf(m_current), targetsOf(m_next));
         compareWorkspaces();
         compareCapacity();
         return std::move(m_difference);
@@ -65,7 +65,7 @@
     }
 
     template <typename T>
-    void field(const char *name, const T &before, const T &after)
+    void compareField(const char *name, const T &before, const T &after)
     {
         if (before == after)
             return;
@@ -80,15 +80,15 @@
             return std::string(document.kind == ServiceKind::Plain ? "plain" : "model-engine");
         };
         const auto ms = [](Duration duration) { return duration / std::chrono::milliseconds(1); };
-        field("kind", kind(m_inForce), kind(m_next));
-        field("slots", m_inForce.slots, m_next.slots);
-        field("coldSlots", m_inForce.coldSlots, m_next.coldSlots);
-        field("warmAfter", m_inForce.warmAfter, m_next.warmAfter);
-        field("queueTimeoutMs", ms(m_inForce.queueTimeout), ms(m_next.queueTimeout));
-        field("attemptTimeoutMs", ms(m_inForce.attemptTimeout), ms(m_next.attemptTimeout));
-        field("idleTimeoutMs", ms(m_inForce.idleTimeout), ms(m_next.idleTimeout));
-        field("retryBudget", m_inForce.retryBudget, m_next.retryBudget);
-        field("bodyLimit", m_inForce.bodyLimit, m_next.bodyLimit);
+        compareField("kind", kind(m_current), kind(m_next));
+        compareField("slots", m_current.slots, m_next.slots);
+        compareField("coldSlots", m_current.coldSlots, m_next.coldSlots);
+        compareField("warmAfter", m_current.warmAfter, m_next.warmAfter);
+        compareField("queueTimeoutMs", ms(m_current.queueTimeout), ms(m_next.queueTimeout));
+        compareField("attemptTimeoutMs", ms(m_current.attemptTimeout), ms(m_next.attemptTimeout));
+        compareField("idleTimeoutMs", ms(m_current.idleTimeout), ms(m_next.idleTimeout));
+        compareField("retryBudget", m_current.retryBudget, m_next.retryBudget);
+        compareField("bodyLimit", m_current.bodyLimit, m_next.bodyLimit);
     }
 
     static Texts routesOf(const ServiceDocument &document)
@@ -140,14 +140,14 @@
 
     void compareWorkspaces()
     {
-        for (const auto &share : m_inForce.workspaces) {
+        for (const auto &share : m_current.workspaces) {
             if (const auto *next = find(m_next, share.workspace))
                 compareShare(share, *next);
             else
-                removedWorkspace(share.workspace);
+                addRemovedWorkspace(share.workspace);
         }
         for (const auto &share : m_next.workspaces) {
-            if (!find(m_inForce, share.workspace)) {
+            if (!find(m_current, share.workspace)) {
                 m_difference.changes.push_back("workspace " + share.workspace.str()
                                                + " added (share "
                                                + percent(share.weight / weightSum(m_next)) + ")");
@@ -155,7 +155,7 @@
         }
     }
 
-    void removedWorkspace(const WorkspaceId &workspace)
+    void addRemovedWorkspace(const WorkspaceId &workspace)
     {
         m_difference.changes.push_back("workspace " + workspace.str() + " removed");
         m_difference.warnings.push_back("workspace " + workspace.str()
@@ -165,64 +165,64 @@
     void compareShare(const WorkspaceShare &before, const WorkspaceShare &after)
     {
         const auto name = "workspace " + before.workspace.str();
-        field((name + " queueLimit").c_str(), before.queueLimit, after.queueLimit);
+        compareField((name + " queueLimit").c_str(), before.queueLimit, after.queueLimit);
         if (before.credentialDigest != after.credentialDigest)
             m_difference.changes.push_back(name + " has another key");
-        const double shareBefore = before.weight / weightSum(m_inForce);
+        const double shareBefore = before.weight / weightSum(m_current);
         const double shareAfter = after.weight / weightSum(m_next);
         const auto change = name + " share " + percent(shareBefore) + " -> " + percent(shareAfter);
         if (percent(shareBefore) != percent(shareAfter))
             m_difference.changes.push_back(change);
-        if (shareAfter < shareBefore * (1 - m_allowedCut))
+        if (shareAfter < shareBefore * (1 - m_maxShareCut))
             m_difference.warnings.push_back(change + " is a cut");
     }
 
     static std::uint64_t slotSum(const ServiceDocument &document)
     {
-        const auto staying
+        const auto remaining
             = std::count_if(document.targets.begin(), document.targets.end(),
                             [](const TargetSpec &target) { return !target.isLeaving; });
-        return static_cast<std::uint64_t>(staying) * document.slots;
+        return static_cast<std::uint64_t>(remaining) * document.slots;
     }
 
     void compareCapacity()
     {
-        const auto before = slotSum(m_inForce);
+        const auto before = slotSum(m_current);
         const auto after = slotSum(m_next);
-        field("slots of all targets that stay", before, after);
+        compareField("slots of all targets that stay", before, after);
         if (after < before) {
             m_difference.warnings.push_back("the service loses slots: " + std::to_string(before)
                                             + " -> " + std::to_string(after));
         }
     }
 
-    const ServiceDocument &m_inForce;
+    const ServiceDocument &m_current;
     const ServiceDocument &m_next;
-    double m_allowedCut;
+    double m_maxShareCut;
     Difference m_difference;
 };
 
 } // namespace
 
-Difference compareServices(const ServiceDocument &inForce, const ServiceDocument &next,
-                           double allowedCut)
+Difference compareServices(const ServiceDocument &current, const ServiceDocument &next,
+                           double maxShareCut)
 {
-    return ServiceComparison(inForce, next, allowedCut).run();
+    return ServiceComparison(current, next, maxShareCut).run();
 }
 
-Difference compareFleets(const FleetDocument &inForce, const FleetDocument &next)
+Difference compareFleets(const FleetDocument &current, const FleetDocument &next)
 {
     Difference difference;
     const auto isOut = [](const FleetDocument &document, const ZoneId &zone) {
         return std::find(document.zonesOut.begin(), document.zonesOut.end(), zone)
             != document.zonesOut.end();
     };
-    for (const auto &zone : inForce.zonesOut) {
+    for (const auto &zone : current.zonesOut) {
         if (!isOut(next, zone))
             difference.changes.push_back("zone " + zone.str() + " returns to service");
     }
     for (const auto &zone : next.zonesOut) {
-        if (isOut(inForce, zone))
+        if (isOut(current, zone))
             continue;
         difference.changes.push_back("zone " + zone.str() + " goes out of service");
         difference.warnings.push_back("zone " + zone.str() + " gets no new work");
--- a/lib/Config/DocumentReader.cpp
+++ b/lib/Config/DocumentReader.cpp
@@ -1,5 +1,5 @@
 // Reads the "service/<name>" and "fleet" documents.
-#include "berylridge/Config/Reader.h"
+#include "berylridge/Config/DocumentReader.h"
 
 #include "ServiceFields.h"
 
@@ -9,7 +9,7 @@
 
 void readRoutes(FieldReader &fields, std::vector<RouteRule> &routes)
 {
-    Uniqueness unique(fields.source(), "an earlier rule has the same method and pathPrefix");
+    UniquenessCheck unique(fields.source(), "an earlier rule has the same method and pathPrefix");
     fields.list("routes", [&](const Json::Value &element, const std::string &path) {
         RouteRule rule;
         FieldReader entry(fields.source(), element, path);
@@ -25,15 +25,15 @@
 
 void readWorkspaces(FieldReader &fields, std::vector<WorkspaceShare> &workspaces)
 {
-    Uniqueness uniqueNames(fields.source(), "an earlier entry names the same workspace");
-    Uniqueness uniqueKeys(fields.source(), "another workspace has the same credentialDigest");
+    UniquenessCheck uniqueNames(fields.source(), "an earlier entry names the same workspace");
+    UniquenessCheck uniqueKeys(fields.source(), "another workspace has the same credentialDigest");
     fields.list("workspaces", [&](const Json::Value &element, const std::string &path) {
         WorkspaceShare share;
         FieldReader entry(fields.source(), element, path);
         entry.id("workspace", share.workspace);
-        entry.number("weight", share.weight, weightLeast, weightMost);
+        entry.number("weight", share.weight, minWeight, maxWeight);
         entry.text("credentialDigest", share.credentialDigest, digestRule, Presence::Required);
-        entry.integer("queueLimit", share.queueLimit, 1, queueLimitMost);
+        entry.integer("queueLimit", share.queueLimit, 1, maxQueueLimit);
         entry.finish();
         uniqueNames.check(element, path + ".workspace", share.workspace.str());
         uniqueKeys.check(element, path + ".credentialDigest", share.credentialDigest);
@@ -43,8 +43,9 @@
 
 void readTargets(FieldReader &fields, std::vector<TargetSpec> &targets)
 {
-    Uniqueness uniqueNames(fields.source(), "an earlier entry names the same target");
-    Uniqueness uniqueEndpoints(fields.source(), "an earlier target has the same address and port");
+    UniquenessCheck uniqueNames(fields.source(), "an earlier entry names the same target");
+    UniquenessCheck uniqueEndpoints(fields.source(),
+                                    "an earlier target has the same address and port");
     fields.list("targets", [&](const Json::Value &element, const std::string &path) {
         TargetSpec target;
         FieldReader entry(fields.source(), element, path);
@@ -75,7 +76,7 @@
 
 void readZonesOut(FieldReader &fields, std::vector<ZoneId> &zones)
 {
-    Uniqueness unique(fields.source(), "an earlier entry names the same zone");
+    UniquenessCheck unique(fields.source(), "an earlier entry names the same zone");
     fields.list("zonesOut", [&](const Json::Value &element, const std::string &path) {
         auto zone = readText(fields.source(), element, path, nameRule);
         if (!zone)
--- a/lib/Config/DocumentStore.cpp
+++ b/lib/Config/DocumentStore.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-Diagnostic about(const DocumentText &document, std::string name, std::string message)
+Diagnostic makeDiagnostic(const DocumentText &document, std::string name, std::string message)
 {
     return {document.name, 1, std::move(name), std::move(message)};
 }
@@ -20,7 +20,7 @@
     AcceptResult result {AcceptStatus::Stale, current ? current->version : 0, {}};
     if (document.version == 0) {
         result.status = AcceptStatus::Refused;
-        result.diagnostics = {about(document, "version", "must be at least 1")};
+        result.diagnostics = {makeDiagnostic(document, "version", "must be at least 1")};
         return result;
     }
     // Two texts under one version would leave nodes with different rules that both call current,
@@ -28,13 +28,13 @@
     // version.
     if (current && document.version == current->version && document.text != current->text) {
         result.status = AcceptStatus::Refused;
-        result.diagnostics
-            = {about(document, "version", "another text is in force under the same version")};
+        result.diagnostics = {
+            makeDiagnostic(document, "version", "another text is in force under the same version")};
         return result;
     }
     if (current && document.version <= current->version)
         return result;
-    result.diagnostics = putIntoForce(document);
+    result.diagnostics = activateDocument(document);
     if (!result.diagnostics.empty()) {
         result.status = AcceptStatus::Refused;
         return result;
@@ -73,13 +73,13 @@
     return found ? found->version : 0;
 }
 
-std::vector<Diagnostic> DocumentStore::putIntoForce(const DocumentText &document)
+std::vector<Diagnostic> DocumentStore::activateDocument(const DocumentText &document)
 {
     if (document.name == fleetName)
         return readFleet(document);
     if (document.name.starts_with(servicePrefix))
         return readService(document);
-    return {about(document, "name", R"(must be "fleet" or "service/NAME")")};
+    return {makeDiagnostic(document, "name", R"(must be "fleet" or "service/NAME")")};
 }
 
 std::vector<Diagnostic> DocumentStore::readService(const DocumentText &document)
@@ -89,8 +89,8 @@
         return std::move(read.diagnostics);
     const auto wanted = document.name.substr(servicePrefix.size());
     if (read.value->service.str() != wanted)
-        return {
-            about(document, "service", "must be \"" + wanted + "\", as the document's name says")};
+        return {makeDiagnostic(document, "service",
+                               "must be \"" + wanted + "\", as the document's name says")};
     read.value->version = document.version;
     const auto service = read.value->service;
     m_services[service] = std::make_shared<const ServiceDocument>(*std::move(read.value));
--- a/lib/Config/DocumentWriter.cpp
+++ b/lib/Config/DocumentWriter.cpp
@@ -3,7 +3,7 @@
 
 #include "FieldReader.h"
 
-#include "berylridge/Config/JsonList.h"
+#include "berylridge/Config/JsonArray.h"
 
 #include <json/writer.h>
 
@@ -11,7 +11,7 @@
 
 namespace {
 
-std::string compact(const Json::Value &value)
+std::string compactJson(const Json::Value &value)
 {
     Json::StreamWriterBuilder builder;
     builder["indentation"] = "";
@@ -76,10 +76,10 @@
     value["idleTimeoutMs"] = milliseconds(document.idleTimeout);
     value["retryBudget"] = document.retryBudget;
     value["bodyLimit"] = Json::UInt64 {document.bodyLimit};
-    value["routes"] = listOf(document.routes, routeValue);
-    value["workspaces"] = listOf(document.workspaces, workspaceValue);
-    value["targets"] = listOf(document.targets, targetValue);
-    return compact(value);
+    value["routes"] = toJsonArray(document.routes, routeValue);
+    value["workspaces"] = toJsonArray(document.workspaces, workspaceValue);
+    value["targets"] = toJsonArray(document.targets, targetValue);
+    return compactJson(value);
 }
 
 std::string writeFleetDocument(const FleetDocument &document)
@@ -88,7 +88,7 @@
     value["zonesOut"] = Json::Value(Json::arrayValue);
     for (const auto &zone : document.zonesOut)
         value["zonesOut"].append(zone.str());
-    return compact(value);
+    return compactJson(value);
 }
 
 std::string writeEnvelope(const DocumentText &document)
@@ -97,7 +97,7 @@
     value["name"] = document.name;
     value["version"] = Json::UInt64 {document.version};
     value["text"] = document.text;
-    return compact(value);
+    return compactJson(value);
 }
 
 ReadResult<DocumentText> readEnvelope(std::string_view file, std::string_view text)
--- a/lib/Config/FieldReader.cpp
+++ b/lib/Config/FieldReader.cpp
@@ -1,4 +1,4 @@
-// The checks of single fields and the words in which they are reported.
+// The checks of single fields and the choices in which they are reported.
 #include "FieldReader.h"
 
 #include <algorithm>
@@ -40,14 +40,14 @@
     return out.str();
 }
 
-std::string alternatives(const std::vector<std::string_view> &words)
+std::string alternatives(const std::vector<std::string_view> &choices)
 {
     std::string text;
-    for (std::size_t i = 0; i < words.size(); ++i) {
+    for (std::size_t i = 0; i < choices.size(); ++i) {
         if (i > 0)
-            text += i + 1 == words.size() ? " or " : ", ";
+            text += i + 1 == choices.size() ? " or " : ", ";
         text += '"';
-        text += words[i];
+        text += choices[i];
         text += '"';
     }
     return text;
@@ -66,7 +66,7 @@
 
 const TextRule nameRule {isName,
                          "1 to 64 letters, digits, '-', '_' or '.', not beginning with '.'"};
-const TextRule addressRule {isIpNumber, "an IP number, as in \"10.0.1.7\""};
+const TextRule addressRule {isIpAddress, "an IP number, as in \"10.0.1.7\""};
 const TextRule digestRule {isDigest,
                            "64 hex digits in lower case, as `berylctl digest` prints them"};
 const TextRule notEmptyRule {isNotEmpty, "a string that is not empty"};
@@ -94,8 +94,8 @@
     return nullptr;
 }
 
-std::optional<std::uint64_t> FieldReader::integerIn(std::string_view name, std::uint64_t low,
-                                                    std::uint64_t high, Presence presence)
+std::optional<std::uint64_t> FieldReader::integerInRange(std::string_view name, std::uint64_t low,
+                                                         std::uint64_t high, Presence presence)
 {
     const auto allowed = range("an integer", low, high);
     const auto *value = find(name, presence, allowed);
@@ -148,18 +148,19 @@
         out = std::move(*read);
 }
 
-std::optional<std::size_t> FieldReader::word(std::string_view name,
-                                             const std::vector<std::string_view> &words,
-                                             Presence presence)
+std::optional<std::size_t> FieldReader::choice(std::string_view name,
+                                               const std::vector<std::string_view> &choices,
+                                               Presence presence)
 {
-    const auto allowed = alternatives(words);
+    const auto allowed = alternatives(choices);
     const auto *value = find(name, presence, allowed);
     if (!value)
         return std::nullopt;
-    const auto found = value->isString() ? std::find(words.begin(), words.end(), value->asString())
-                                         : words.end();
-    if (found != words.end())
-        return static_cast<std::size_t>(found - words.begin());
+    const auto found = value->isString()
+        ? std::find(choices.begin(), choices.end(), value->asString())
+        : choices.end();
+    if (found != choices.end())
+        return static_cast<std::size_t>(found - choices.begin());
     report(name, "must be " + allowed);
     return std::nullopt;
 }
@@ -170,7 +171,7 @@
     using std::chrono::milliseconds;
     const auto lowMs = static_cast<std::uint64_t>(duration_cast<milliseconds>(low).count());
     const auto highMs = static_cast<std::uint64_t>(duration_cast<milliseconds>(high).count());
-    if (const auto value = integerIn(name, lowMs, highMs, Presence::Optional))
+    if (const auto value = integerInRange(name, lowMs, highMs, Presence::Optional))
         out = milliseconds(*value);
 }
 
@@ -188,7 +189,7 @@
         if (endpoint)
             out = *std::move(endpoint);
         else
-            m_source.report(value, path, endpoint.lastReason());
+            m_source.report(value, path, endpoint.failureReason());
         return;
     }
     FieldReader fields(m_source, value, path);
@@ -219,17 +220,17 @@
         report(name, "must be an object");
         return;
     }
-    FieldReader(m_source, *value, pathOf(name)).eachMember(readMember);
+    FieldReader(m_source, *value, pathOf(name)).forEachMember(readMember);
 }
 
-void FieldReader::eachMember(const MemberReader &readMember)
+void FieldReader::forEachMember(const MemberReader &readMember)
 {
     if (!m_object.isObject())
         return;
     for (auto member = m_object.begin(); member != m_object.end(); ++member) {
         const auto name = member.name();
-        const auto path = pathOf(printable(JsonSource::written(name)));
-        if (JsonSource::isRepeated(name))
+        const auto path = pathOf(printable(JsonSource::originalName(name)));
+        if (JsonSource::isRepeatedName(name))
             m_source.report(*member, path, "given more than once");
         else
             readMember(name, *member, path);
@@ -239,7 +240,7 @@
 std::vector<std::string> FieldReader::names() const
 {
     auto names = m_object.isObject() ? m_object.getMemberNames() : std::vector<std::string>();
-    std::erase_if(names, [](const std::string &name) { return JsonSource::isRepeated(name); });
+    std::erase_if(names, [](const std::string &name) { return JsonSource::isRepeatedName(name); });
     return names;
 }
 
@@ -256,8 +257,8 @@
         return;
     for (auto member = m_object.begin(); member != m_object.end(); ++member) {
         const auto name = member.name();
-        const auto path = pathOf(printable(JsonSource::written(name)));
-        if (JsonSource::isRepeated(name)) {
+        const auto path = pathOf(printable(JsonSource::originalName(name)));
+        if (JsonSource::isRepeatedName(name)) {
             m_source.report(*member, path, "given more than once");
             continue;
         }
--- a/lib/Config/FieldReader.h
+++ b/lib/Config/FieldReader.h
@@ -21,7 +21,7 @@
 
 enum class Presence : std::uint8_t { Required, Optional };
 
-/// A check of a string, and the words that say what it allows.
+/// A check of a string, and the choices that say what it allows.
 struct TextRule
 {
     bool (*isAllowed)(std::string_view text);
@@ -45,7 +45,7 @@
                  std::uint64_t high = std::numeric_limits<Int>::max(),
                  Presence presence = Presence::Optional)
     {
-        if (const auto value = integerIn(name, low, high, presence))
+        if (const auto value = integerInRange(name, low, high, presence))
             out = static_cast<Int>(*value);
     }
     void number(std::string_view name, double &out, double low, double high,
@@ -56,10 +56,10 @@
     void boolean(std::string_view name, bool &out);
     void text(std::string_view name, std::string &out, const TextRule &rule,
               Presence presence = Presence::Optional);
-    /// One of a few words; gives its place in the list.
-    std::optional<std::size_t> word(std::string_view name,
-                                    const std::vector<std::string_view> &words,
-                                    Presence presence = Presence::Optional);
+    /// One of a few choices; gives its place in the list.
+    std::optional<std::size_t> choice(std::string_view name,
+                                      const std::vector<std::string_view> &choices,
+                                      Presence presence = Presence::Optional);
     /// Whole milliseconds; the name ends in Ms.
     void duration(std::string_view name, Duration &out, Duration low, Duration high);
     /// Written "10.0.1.7:7400", or as an object with address and port.
@@ -87,7 +87,7 @@
                  Presence presence = Presence::Optional);
 
     /// The same for the members of this object, which all count as asked for.
-    void eachMember(const MemberReader &readMember);
+    void forEachMember(const MemberReader &readMember);
     /// Names of this object's members, but for repeated ones.
     std::vector<std::string> names() const;
 
@@ -101,8 +101,8 @@
 
 private:
     const Json::Value *find(std::string_view name, Presence presence, std::string_view allowed);
-    std::optional<std::uint64_t> integerIn(std::string_view name, std::uint64_t low,
-                                           std::uint64_t high, Presence presence);
+    std::optional<std::uint64_t> integerInRange(std::string_view name, std::uint64_t low,
+                                                std::uint64_t high, Presence presence);
 
     JsonSource &m_source;
     const Json::Value &m_object;
--- a/lib/Config/JsonSource.cpp
+++ b/lib/Config/JsonSource.cpp
@@ -10,10 +10,10 @@
 namespace {
 
 /// Put before a repeated name; a name of ours never begins with it.
-constexpr char repeatedMark = '\x01';
+constexpr char repeatedNameMarker = '\x01';
 /// A text with more repeated names than this is refused at the first one that is left: each costs a
 /// parse of the whole, and a router reads documents on its control thread.
-constexpr int repeatedLimit = 16;
+constexpr int maxRepeatedNames = 16;
 constexpr std::string_view byteOrderMark = "\xEF\xBB\xBF";
 
 struct Position
@@ -66,8 +66,8 @@
     return errors.empty() ? "* Line 1, Column 1\n  not JSON\n" : errors;
 }
 
-/// The parser's words in the form of our diagnostics: first letter in lower case, no full stop.
-std::string inOurForm(std::string message)
+/// The parser's choices in the form of our diagnostics: first letter in lower case, no full stop.
+std::string normalizedMessage(std::string message)
 {
     while (!message.empty() && (message.back() == '.' || message.back() == ' '))
         message.pop_back();
@@ -91,7 +91,7 @@
     std::string errors = parseInto(m_text, root);
     // The parser gives up an object at its first repeated name. Marking that name and parsing again
     // finds the others, and lets the fields' own checks run over all the rest.
-    for (int i = 0; i < repeatedLimit && !errors.empty() && markRepeated(errors); ++i) {
+    for (int i = 0; i < maxRepeatedNames && !errors.empty() && markRepeatedName(errors); ++i) {
         root = Json::Value();
         errors = parseInto(m_text, root);
     }
@@ -106,14 +106,14 @@
     return root;
 }
 
-bool JsonSource::isRepeated(std::string_view name)
+bool JsonSource::isRepeatedName(std::string_view name)
 {
-    return !name.empty() && name.front() == repeatedMark;
+    return !name.empty() && name.front() == repeatedNameMarker;
 }
 
-std::string_view JsonSource::written(std::string_view name)
+std::string_view JsonSource::originalName(std::string_view name)
 {
-    const auto begin = name.find_first_not_of(repeatedMark);
+    const auto begin = name.find_first_not_of(repeatedNameMarker);
     return begin == std::string_view::npos ? std::string_view() : name.substr(begin);
 }
 
@@ -141,7 +141,7 @@
     return std::move(m_diagnostics);
 }
 
-bool JsonSource::markRepeated(const std::string &parserErrors)
+bool JsonSource::markRepeatedName(const std::string &parserErrors)
 {
     const auto message = parserErrors.find("\n  ");
     if (message == std::string::npos || parserErrors.compare(message + 3, 13, "Duplicate key") != 0)
@@ -155,7 +155,7 @@
     const auto quote = m_lineStarts[line] + static_cast<std::size_t>(position->column) - 1;
     if (quote >= m_text.size() || m_text[quote] != '"')
         return false;
-    m_text.insert(quote + 1, 1, repeatedMark);
+    m_text.insert(quote + 1, 1, repeatedNameMarker);
     m_lineStarts = lineStartsOf(m_text);
     return true;
 }
@@ -168,7 +168,7 @@
     std::string message = "not JSON";
     if (begin != std::string::npos)
         message = parserErrors.substr(begin + 3, parserErrors.find('\n', begin + 3) - begin - 3);
-    report(position.line, "", inOurForm(std::move(message)));
+    report(position.line, "", normalizedMessage(std::move(message)));
 }
 
 } // namespace berylridge
--- a/lib/Config/JsonSource.h
+++ b/lib/Config/JsonSource.h
@@ -1,7 +1,7 @@
 // One text of JSON with comments: parses it and collects what is wrong with it, by line.
 #pragma once
 
-#include "berylridge/Config/Reader.h"
+#include "berylridge/Config/DocumentReader.h"
 
 #include <cstddef>
 #include <json/value.h>
@@ -18,13 +18,13 @@
     JsonSource(std::string_view file, std::string_view text);
 
     /// The root, where the text can be parsed and is an object. A name that stands twice in an
-    /// object is kept under a marked name (isRepeated()), so that all other checks still run.
+    /// object is kept under a marked name (isRepeatedName()), so that all other checks still run.
     std::optional<Json::Value> parse();
 
     /// Whether the parser marked this name as one that already stands in its object.
-    static bool isRepeated(std::string_view name);
-    /// The name as it was written.
-    static std::string_view written(std::string_view name);
+    static bool isRepeatedName(std::string_view name);
+    /// The name as it was originalName.
+    static std::string_view originalName(std::string_view name);
 
     void report(const Json::Value &at, std::string name, std::string message);
     void report(int line, std::string name, std::string message);
@@ -37,7 +37,7 @@
 
 private:
     void reportSyntax(const std::string &parserErrors);
-    bool markRepeated(const std::string &parserErrors);
+    bool markRepeatedName(const std::string &parserErrors);
 
     std::string m_file;
     std::string m_text;
--- a/lib/Config/Publication.cpp
+++ b/lib/Config/Publication.cpp
@@ -19,18 +19,19 @@
     return slash == std::string_view::npos ? path : path.substr(slash + 1);
 }
 
-class Publisher
+class PublicationBuilder
 {
 public:
-    explicit Publisher(std::span<const SourceFile> sources)
+    explicit PublicationBuilder(std::span<const SourceFile> sources)
         : m_sources(sources)
     {
     }
 
     Publication run()
     {
-        if (const auto *file = only(workspacesFileName))
-            m_workspaces = take(readWorkspacesFile(file->path, file->text)).value_or(m_workspaces);
+        if (const auto *file = findUnique(workspacesFileName))
+            m_workspaces
+                = collect(readWorkspacesFile(file->path, file->text)).value_or(m_workspaces);
         for (const auto &source : m_sources) {
             const auto name = baseName(source.path);
             if (name != workspacesFileName && name != fleetFileName)
@@ -49,7 +50,7 @@
     }
 
     /// The file of this name; null where there is none. A second one is an error.
-    const SourceFile *only(std::string_view name)
+    const SourceFile *findUnique(std::string_view name)
     {
         const SourceFile *found = nullptr;
         for (const auto &source : m_sources) {
@@ -64,7 +65,7 @@
     }
 
     template <typename T>
-    std::optional<T> take(ReadResult<T> read)
+    std::optional<T> collect(ReadResult<T> read)
     {
         auto &all = m_publication.diagnostics;
         all.insert(all.end(), read.diagnostics.begin(), read.diagnostics.end());
@@ -73,11 +74,11 @@
 
     void addService(const SourceFile &source)
     {
-        const auto document = take(readServiceFile(source.path, source.text, m_workspaces));
+        const auto document = collect(readServiceFile(source.path, source.text, m_workspaces));
         if (!document)
             return;
         const auto name = document->service.str();
-        const auto [earlier, isNew] = m_fileOfService.emplace(name, source.path);
+        const auto [earlier, isNew] = m_fileByService.emplace(name, source.path);
         if (!isNew) {
             report(source, "service " + name + " is described in " + earlier->second + " too");
             return;
@@ -94,7 +95,7 @@
     {
         m_zones.insert(target.zone);
         const auto endpoint = endpointText({target.address, target.port});
-        const auto [earlier, isNew] = m_serviceAt.emplace(endpoint, service);
+        const auto [earlier, isNew] = m_serviceByEndpoint.emplace(endpoint, service);
         if (!isNew) {
             warn("services " + earlier->second + " and " + service + " share the target at "
                  + endpoint + ": each counts its slots for itself");
@@ -103,12 +104,12 @@
 
     void addFleet()
     {
-        const auto *file = only(fleetFileName);
+        const auto *file = findUnique(fleetFileName);
         if (!file) {
             warn("no " + std::string(fleetFileName) + ": the fleet document stays as it is");
             return;
         }
-        const auto document = take(readFleetDocument(file->path, file->text));
+        const auto document = collect(readFleetDocument(file->path, file->text));
         if (!document)
             return;
         for (const auto &zone : document->zonesOut) {
@@ -122,10 +123,10 @@
     {
         DocumentText document {std::move(name), 0, std::move(text)};
         const auto size = writeEnvelope(document).size();
-        if (size > documentSizeLimit) {
+        if (size > maxDocumentBytes) {
             report(source,
                    "makes a document of " + std::to_string(size) + " bytes; at most "
-                       + std::to_string(documentSizeLimit) + " are allowed");
+                       + std::to_string(maxDocumentBytes) + " are allowed");
         }
         m_publication.documents.push_back(std::move(document));
     }
@@ -135,8 +136,8 @@
     std::span<const SourceFile> m_sources;
     Publication m_publication;
     WorkspacesFile m_workspaces;
-    std::map<std::string, std::string> m_fileOfService;
-    std::map<std::string, std::string> m_serviceAt;
+    std::map<std::string, std::string> m_fileByService;
+    std::map<std::string, std::string> m_serviceByEndpoint;
     std::set<ZoneId> m_zones;
 };
 
@@ -144,7 +145,7 @@
 
 Publication makePublication(std::span<const SourceFile> sources)
 {
-    return Publisher(sources).run();
+    return PublicationBuilder(sources).run();
 }
 
 void assignVersions(std::vector<DocumentText> &documents, const DocumentSet &published)
--- a/lib/Config/ServiceFields.cpp
+++ b/lib/Config/ServiceFields.cpp
@@ -9,7 +9,7 @@
 
 constexpr Duration oneMillisecond = std::chrono::milliseconds(1);
 constexpr Duration oneHour = std::chrono::hours(1);
-constexpr std::uint64_t bodyLimitMost = 1ULL << 30;
+constexpr std::uint64_t maxBodyLimitBytes = 1ULL << 30;
 
 bool isMethod(std::string_view text)
 {
@@ -28,7 +28,7 @@
 const TextRule methodRule {isMethod, "an HTTP method in capitals, as in \"POST\""};
 const TextRule pathPrefixRule {isPathPrefix, "a path that begins with '/', as in \"/v1/orders\""};
 
-void Uniqueness::check(const Json::Value &at, const std::string &path, const std::string &key)
+void UniquenessCheck::check(const Json::Value &at, const std::string &path, const std::string &key)
 {
     if (!key.empty() && !m_seen.insert(key).second)
         m_source.report(at, path, m_message);
@@ -36,7 +36,7 @@
 
 void readServiceLimits(FieldReader &fields, ServiceDocument &document)
 {
-    if (const auto kind = fields.word("kind", {"plain", "model-engine"}))
+    if (const auto kind = fields.choice("kind", {"plain", "model-engine"}))
         document.kind = *kind == 0 ? ServiceKind::Plain : ServiceKind::ModelEngine;
     fields.integer("slots", document.slots, 1, 65536);
     fields.integer("coldSlots", document.coldSlots, 1, 65536);
@@ -48,7 +48,7 @@
     fields.duration("attemptTimeoutMs", document.attemptTimeout, oneMillisecond, 24 * oneHour);
     fields.duration("idleTimeoutMs", document.idleTimeout, oneMillisecond, oneHour);
     fields.number("retryBudget", document.retryBudget, 0, 1);
-    fields.integer("bodyLimit", document.bodyLimit, 1, bodyLimitMost);
+    fields.integer("bodyLimit", document.bodyLimit, 1, maxBodyLimitBytes);
 }
 
 } // namespace berylridge
--- a/lib/Config/ServiceFields.h
+++ b/lib/Config/ServiceFields.h
@@ -14,18 +14,18 @@
 extern const TextRule methodRule;
 extern const TextRule pathPrefixRule;
 
-inline constexpr double weightLeast = 0.001;
-inline constexpr double weightMost = 1e6;
-inline constexpr std::uint64_t queueLimitMost = 1'000'000;
+inline constexpr double minWeight = 0.001;
+inline constexpr double maxWeight = 1e6;
+inline constexpr std::uint64_t maxQueueLimit = 1'000'000;
 
 /// Reads kind, slots, time-outs and limits.
 void readServiceLimits(FieldReader &fields, ServiceDocument &document);
 
 /// Reports each key that an earlier element of the same list already had.
-class Uniqueness
+class UniquenessCheck
 {
 public:
-    Uniqueness(JsonSource &source, std::string message)
+    UniquenessCheck(JsonSource &source, std::string message)
         : m_source(source)
         , m_message(std::move(message))
     {
--- a/lib/Config/ServiceFile.cpp
+++ b/lib/Config/ServiceFile.cpp
@@ -49,7 +49,7 @@
     void readZone(const ZoneId &zone, const Json::Value &targets, const std::string &path)
     {
         FieldReader fields(m_source, targets, path);
-        fields.eachMember(
+        fields.forEachMember(
             [&](const std::string &name, const Json::Value &member, const std::string &memberPath) {
                 TargetSpec target;
                 target.zone = zone;
@@ -74,7 +74,7 @@
             return;
         const auto endpoint = parseEndpoint(at);
         if (!endpoint) {
-            m_source.report(member, path, endpoint.lastReason());
+            m_source.report(member, path, endpoint.failureReason());
             return;
         }
         m_uniqueEndpoints.check(member, path, at);
@@ -85,8 +85,8 @@
     FieldReader &m_fields;
     JsonSource &m_source;
     ServiceDocument &m_document;
-    Uniqueness m_uniqueNames;
-    Uniqueness m_uniqueEndpoints;
+    UniquenessCheck m_uniqueNames;
+    UniquenessCheck m_uniqueEndpoints;
 };
 
 void readRoute(FieldReader &fields, const std::string &name, const Json::Value &member,
@@ -100,10 +100,10 @@
         fields.source().report(member, path,
                                "its name must be a method and a path, as in \"POST /v1/orders\"");
     }
-    const auto word = member.isString() ? member.asString() : std::string();
-    if (word != "idempotent" && word != "once")
+    const auto choice = member.isString() ? member.asString() : std::string();
+    if (choice != "idempotent" && choice != "once")
         fields.source().report(member, path, R"(must be "idempotent" or "once")");
-    rule.isIdempotent = word == "idempotent";
+    rule.isIdempotent = choice == "idempotent";
     document.routes.push_back(std::move(rule));
 }
 
@@ -121,20 +121,20 @@
     ShareEntry entry;
     entry.name = name;
     if (!member.isObject()) {
-        fields.numberAt(member, path, entry.weight, weightLeast, weightMost);
+        fields.numberAt(member, path, entry.weight, minWeight, maxWeight);
         return entry;
     }
     FieldReader object(fields.source(), member, path);
-    object.number("weight", entry.weight, weightLeast, weightMost);
-    object.integer("queueLimit", entry.queueLimit, 1, queueLimitMost);
+    object.number("weight", entry.weight, minWeight, maxWeight);
+    object.integer("queueLimit", entry.queueLimit, 1, maxQueueLimit);
     object.finish();
     return entry;
 }
 
-class SharesReader
+class WorkspaceSharesReader
 {
 public:
-    SharesReader(FieldReader &fields, const WorkspacesFile &workspaces)
+    WorkspaceSharesReader(FieldReader &fields, const WorkspacesFile &workspaces)
         : m_fields(fields)
         , m_workspaces(workspaces)
     {
@@ -147,10 +147,10 @@
             [this](const std::string &name, const Json::Value &member, const std::string &path) {
                 add(readShareEntry(m_fields, name, member, path), member, path);
             });
-        for (auto &[name, share] : m_own)
-            m_shares.insert_or_assign(name, share);
+        for (auto &[name, share] : m_directShares)
+            m_groupShares.insert_or_assign(name, share);
         std::vector<WorkspaceShare> shares;
-        for (auto &[name, share] : m_shares)
+        for (auto &[name, share] : m_groupShares)
             shares.push_back(std::move(share));
         return shares;
     }
@@ -159,7 +159,7 @@
     void add(const ShareEntry &entry, const Json::Value &member, const std::string &path)
     {
         if (m_workspaces.credentialDigests.contains(entry.name)) {
-            m_own[entry.name] = share(entry.name, entry.weight, entry.queueLimit);
+            m_directShares[entry.name] = share(entry.name, entry.weight, entry.queueLimit);
             return;
         }
         const auto group = m_workspaces.groups.find(entry.name);
@@ -169,15 +169,15 @@
             return;
         }
         for (const auto &[name, weight] : group->second)
-            addOfGroup(share(name, weight * entry.weight, entry.queueLimit), member, path);
+            addGroupShare(share(name, weight * entry.weight, entry.queueLimit), member, path);
     }
 
-    void addOfGroup(WorkspaceShare share, const Json::Value &member, const std::string &path)
+    void addGroupShare(WorkspaceShare share, const Json::Value &member, const std::string &path)
     {
         const auto name = share.workspace.str();
-        if (share.weight < weightLeast || share.weight > weightMost)
+        if (share.weight < minWeight || share.weight > maxWeight)
             m_fields.source().report(member, path, "takes the weight of " + name + " out of range");
-        if (!m_shares.emplace(name, std::move(share)).second) {
+        if (!m_groupShares.emplace(name, std::move(share)).second) {
             m_fields.source().report(member, path,
                                      "has workspace " + name + " in common with another group");
         }
@@ -190,8 +190,8 @@
 
     FieldReader &m_fields;
     const WorkspacesFile &m_workspaces;
-    std::map<std::string, WorkspaceShare> m_shares;
-    std::map<std::string, WorkspaceShare> m_own;
+    std::map<std::string, WorkspaceShare> m_groupShares;
+    std::map<std::string, WorkspaceShare> m_directShares;
 };
 
 } // namespace
@@ -209,7 +209,7 @@
                 [&](const std::string &name, const Json::Value &member, const std::string &path) {
                     readRoute(fields, name, member, path, document);
                 });
-            document.workspaces = SharesReader(fields, workspaces).read();
+            document.workspaces = WorkspaceSharesReader(fields, workspaces).read();
         });
 }
 
--- a/lib/Config/SettingsReader.cpp
+++ b/lib/Config/SettingsReader.cpp
@@ -13,12 +13,12 @@
 using std::chrono::milliseconds;
 using std::chrono::minutes;
 
-constexpr std::size_t fleetKeyLeast = 32; // also in fleetKeyRule's words
-constexpr std::size_t fleetKeyMost = 64;
+constexpr std::size_t minFleetKeyBytes = 32; // also in fleetKeyRule's choices
+constexpr std::size_t maxFleetKeyBytes = 64;
 
 bool isFleetKey(std::string_view text)
 {
-    return text.size() >= fleetKeyLeast && text.size() <= fleetKeyMost;
+    return text.size() >= minFleetKeyBytes && text.size() <= maxFleetKeyBytes;
 }
 
 const TextRule fleetKeyRule {isFleetKey, "a string of 32 to 64 bytes"};
@@ -52,7 +52,7 @@
     });
 }
 
-void readPlace(FieldReader &fields, Settings &settings)
+void readIdentityAndEndpoints(FieldReader &fields, Settings &settings)
 {
     fields.id("node", settings.node);
     fields.id("zone", settings.zone);
@@ -71,15 +71,15 @@
     fields.text("chartDirectory", settings.chartDirectory, notEmptyRule, Presence::Required);
 }
 
-void readWords(FieldReader &fields, Settings &settings)
+void readChoices(FieldReader &fields, Settings &settings)
 {
     static const std::vector<std::string_view> sharings {"fleet", "per-node", "round-robin",
                                                          "fifo"};
     static const std::vector<std::string_view> levels {"info", "warning", "error"};
-    if (const auto word = fields.word("sharing", sharings))
-        settings.sharing = sharings[*word];
-    if (const auto word = fields.word("logLevel", levels))
-        settings.logLevel = levels[*word];
+    if (const auto choice = fields.choice("sharing", sharings))
+        settings.sharing = sharings[*choice];
+    if (const auto choice = fields.choice("logLevel", levels))
+        settings.logLevel = levels[*choice];
 }
 
 void readLimits(FieldReader &fields, Settings &settings)
@@ -107,8 +107,8 @@
 ReadResult<Settings> readSettings(std::string_view file, std::string_view text)
 {
     return readRoot<Settings>(file, text, [](FieldReader &fields, Settings &settings) {
-        readPlace(fields, settings);
-        readWords(fields, settings);
+        readIdentityAndEndpoints(fields, settings);
+        readChoices(fields, settings);
         readLimits(fields, settings);
     });
 }
--- a/lib/Config/WorkspacesFile.cpp
+++ b/lib/Config/WorkspacesFile.cpp
@@ -9,7 +9,7 @@
 
 void readDigests(FieldReader &fields, WorkspacesFile &workspaces)
 {
-    Uniqueness unique(fields.source(), "another workspace has the same digest");
+    UniquenessCheck unique(fields.source(), "another workspace has the same digest");
     fields.members(
         "workspaces",
         [&](const std::string &name, const Json::Value &member, const std::string &path) {
@@ -30,7 +30,7 @@
     FieldReader fields(source, group, path);
     for (const auto &name : fields.names()) {
         double weight = 1;
-        fields.number(name, weight, weightLeast, weightMost);
+        fields.number(name, weight, minWeight, maxWeight);
         if (!workspaces.credentialDigests.contains(name))
             fields.report(name, "names no workspace of this file");
         weights[name] = weight;
--- a/lib/Fleet/Membership.cpp
+++ b/lib/Fleet/Membership.cpp
@@ -11,19 +11,19 @@
 
 /// To nodes that were never heard, or whose run has ended: they may come back before the VM list
 /// tells.
-constexpr Duration greetingPeriod = std::chrono::milliseconds(1000);
+constexpr Duration absentNodeHeartbeatPeriod = std::chrono::milliseconds(1000);
 /// Between zones. A lost owner is found by its own zone; the word of it is pushed at once.
-constexpr Duration crossZonePeriod = std::chrono::milliseconds(500);
+constexpr Duration crossZoneHeartbeatPeriod = std::chrono::milliseconds(500);
 /// A zone of which no node was heard for this long counts as cut off.
-constexpr Duration zoneSilence = std::chrono::milliseconds(2500);
+constexpr Duration zoneSilenceTimeout = std::chrono::milliseconds(2500);
 /// A node of another zone that does not answer for this long is replaced as counterpart.
-constexpr Duration counterpartSilence = std::chrono::milliseconds(1500);
+constexpr Duration counterpartTimeout = std::chrono::milliseconds(1500);
 /// Nodes of a zone that greet each other at the full pace.
-constexpr unsigned nodesAtFullPace = 8;
+constexpr unsigned fullRateZoneNodes = 8;
 constexpr Duration probePeriod = std::chrono::milliseconds(500);
 
 /// Whether a node in this state holds a view of its zone that counts beside others'.
-bool holdsView(MemberState state)
+bool hasZoneView(MemberState state)
 {
     return state == MemberState::Live || state == MemberState::Leaving;
 }
@@ -34,7 +34,7 @@
     : m_chart(&chart)
     , m_options(std::move(options))
 {
-    m_zoneHeardAt[m_options.zone] = now;
+    m_zoneLastMessageAt[m_options.zone] = now;
 }
 
 void Membership::addSeeds(std::span<const VmEntry> seeds)
@@ -67,7 +67,7 @@
         entry.isListed = true;
         // A heartbeat tells where its sender is, other messages don't: a node that was heard by one
         // of those alone would never be answered.
-        if (!entry.wasHeard || entry.endpoint.address.empty()) {
+        if (!entry.hasDirectContact || entry.endpoint.address.empty()) {
             entry.zone = vm.zone;
             entry.endpoint = {vm.address, vm.port};
         }
@@ -84,13 +84,13 @@
     // come.
     std::erase_if(m_members, [&](const auto &entry) {
         return !entry.second.isListed && entry.second.state == MemberState::Gone
-            && now - entry.second.heardAt > std::chrono::minutes(5);
+            && now - entry.second.lastMessageAt > std::chrono::minutes(5);
     });
     ++m_changes;
     return true;
 }
 
-bool Membership::onHeard(const NodeId &from, Incarnation incarnation, TimePoint now)
+bool Membership::onMessageReceived(const NodeId &from, Incarnation incarnation, TimePoint now)
 {
     if (from == m_options.self)
         return false;
@@ -98,18 +98,18 @@
     if (incarnation < entry.incarnation)
         return false;
     if (incarnation > entry.incarnation) {
-        const bool hadRun = entry.incarnation != 0;
-        if (hadRun)
-            endRun(entry);
+        const bool hadIncarnation = entry.incarnation != 0;
+        if (hadIncarnation)
+            recordEndedIncarnation(entry);
         entry.incarnation = incarnation;
         // Also of a run that was known to be over: its successor is another one.
         step(entry, MemberSign::NewIncarnation);
-        note(LogEventId::MemberJoined, entry);
+        logMemberEvent(LogEventId::MemberJoined, entry);
     }
-    entry.heardAt = now;
-    entry.wasHeard = true;
+    entry.lastMessageAt = now;
+    entry.hasDirectContact = true;
     if (!entry.zone.isEmpty() && entry.zone != m_options.zone)
-        m_zoneHeardAt[entry.zone] = now;
+        m_zoneLastMessageAt[entry.zone] = now;
     return true;
 }
 
@@ -118,10 +118,10 @@
     Member &entry = member(from);
     entry.zone = ZoneId(heartbeat.zone);
     if (entry.zone != m_options.zone)
-        m_zoneHeardAt[entry.zone] = now;
+        m_zoneLastMessageAt[entry.zone] = now;
     entry.endpoint = {heartbeat.address, heartbeat.port};
     entry.zoneDigest = heartbeat.zoneDigest;
-    entry.knownDigest = heartbeat.knownDigest;
+    entry.counterpartZoneDigest = heartbeat.counterpartZoneDigest;
     entry.documentsDigest = heartbeat.documentsDigest;
     entry.vmListRevision = heartbeat.vmListRevision;
     switch (static_cast<MemberState>(heartbeat.nodeState)) {
@@ -142,27 +142,27 @@
     const ZoneId zone(view.zone);
     if (zone == m_options.zone)
         return;
-    m_zoneHeardAt[zone] = now;
-    for (const ZoneMember &told : view.members) {
-        const NodeId node(told.node);
+    m_zoneLastMessageAt[zone] = now;
+    for (const ZoneMember &reported : view.members) {
+        const NodeId node(reported.node);
         if (node == m_options.self)
             continue;
         Member &entry = member(node);
-        if (told.incarnation < entry.incarnation)
+        if (reported.incarnation < entry.incarnation)
             continue;
         entry.zone = zone;
-        if (!told.address.empty())
-            entry.endpoint = {told.address, told.port};
-        if (told.incarnation > entry.incarnation) {
+        if (!reported.address.empty())
+            entry.endpoint = {reported.address, reported.port};
+        if (reported.incarnation > entry.incarnation) {
             if (entry.incarnation != 0)
-                endRun(entry);
-            entry.incarnation = told.incarnation;
+                recordEndedIncarnation(entry);
+            entry.incarnation = reported.incarnation;
         }
-        const auto state = static_cast<MemberState>(told.state);
+        const auto state = static_cast<MemberState>(reported.state);
         if (state == entry.state)
             continue;
         if (state == MemberState::Gone)
-            endRun(entry);
+            recordEndedIncarnation(entry);
         entry.state = state;
         ++m_changes;
     }
@@ -181,37 +181,38 @@
     // Heard again while the probe was on its way: a new run may just have opened its port.
     if (found->second.state != MemberState::Suspect && found->second.state != MemberState::Unknown)
         return;
-    found->second.refusedRun = incarnation;
+    found->second.refusedIncarnation = incarnation;
     step(found->second, MemberSign::ProbeRefused);
 }
 
-void Membership::onWoke(TimePoint now)
+void Membership::onProcessResumed(TimePoint now)
 {
     for (auto &[node, entry] : m_members)
-        entry.heardAt = now;
-    for (auto &[zone, heardAt] : m_zoneHeardAt)
-        heardAt = now;
+        entry.lastMessageAt = now;
+    for (auto &[zone, lastMessageAt] : m_zoneLastMessageAt)
+        lastMessageAt = now;
 }
 
 std::vector<Member> Membership::tick(TimePoint now)
 {
-    m_zoneFactor = zoneFactor();
+    m_heartbeatSlowdown = heartbeatSlowdown();
 
     std::vector<Member> probes;
     for (auto &[node, entry] : m_members) {
         // A node of another zone is judged by its own zone, as long as that zone is heard of.
         const bool isOwnZone = entry.zone == m_options.zone;
         if (isOwnZone
-            && (!entry.wasHeard || now - entry.heardAt <= m_zoneFactor * m_options.suspectAfter))
+            && (!entry.hasDirectContact
+                || now - entry.lastMessageAt <= m_heartbeatSlowdown * m_options.suspectAfter))
             continue;
         if (!isOwnZone && (entry.incarnation == 0 || isZoneViewFresh(entry.zone, now)))
             continue;
         step(entry, MemberSign::Silence);
         if (entry.state == MemberState::Suspect && !entry.isListed && m_vmList.revision != 0)
             step(entry, MemberSign::Unlisted);
-        if (entry.state != MemberState::Suspect || now - entry.probedAt < probePeriod)
+        if (entry.state != MemberState::Suspect || now - entry.lastProbeAt < probePeriod)
             continue;
-        entry.probedAt = now;
+        entry.lastProbeAt = now;
         probes.push_back(entry);
     }
     return probes;
@@ -226,31 +227,32 @@
             otherZones.insert(entry.zone);
             continue;
         }
-        const bool isPresent = entry.wasHeard && entry.state != MemberState::Gone;
-        const Duration period
-            = isPresent ? m_zoneFactor * m_options.heartbeatPeriod : greetingPeriod;
-        if (now - entry.sentAt < period)
+        const bool isPresent = entry.hasDirectContact && entry.state != MemberState::Gone;
+        const Duration period = isPresent ? m_heartbeatSlowdown * m_options.heartbeatPeriod
+                                          : absentNodeHeartbeatPeriod;
+        if (now - entry.lastHeartbeatAt < period)
             continue;
-        entry.sentAt = now;
+        entry.lastHeartbeatAt = now;
         due.push_back(entry);
     }
     for (const ZoneId &zone : otherZones) {
         const Member *chosen = counterpart(zone);
-        if (!chosen || now - chosen->sentAt < crossZonePeriod)
+        if (!chosen || now - chosen->lastHeartbeatAt < crossZoneHeartbeatPeriod)
             continue;
         Member &entry = member(chosen->node);
-        entry.sentAt = now;
+        entry.lastHeartbeatAt = now;
         due.push_back(entry);
     }
     // Those of other zones that took this node as their counterpart want an answer: without it they
     // would take it for silent and try the next.
     for (auto &[node, entry] : m_members) {
-        const bool asksForAnswer = entry.zone != m_options.zone && entry.wasHeard
-            && now - entry.heardAt < 2 * crossZonePeriod && entry.sentAt < entry.heardAt
-            && now - entry.sentAt >= crossZonePeriod;
+        const bool asksForAnswer = entry.zone != m_options.zone && entry.hasDirectContact
+            && now - entry.lastMessageAt < 2 * crossZoneHeartbeatPeriod
+            && entry.lastHeartbeatAt < entry.lastMessageAt
+            && now - entry.lastHeartbeatAt >= crossZoneHeartbeatPeriod;
         if (!asksForAnswer)
             continue;
-        entry.sentAt = now;
+        entry.lastHeartbeatAt = now;
         due.push_back(entry);
     }
     return due;
@@ -293,24 +295,25 @@
     });
 }
 
-std::vector<NodeId> Membership::eligibleAnywhere(TimePoint now) const
+std::vector<NodeId> Membership::eligibleOwnersInFleet(TimePoint now) const
 {
     std::set<ZoneId> zones {m_options.zone};
     for (const auto &[node, entry] : m_members)
         zones.insert(entry.zone);
     std::vector<NodeId> nodes;
     for (const ZoneId &zone : zones) {
-        const std::vector<NodeId> ofZone = eligible(zone, now);
+        const std::vector<NodeId> ofZone = eligibleOwners(zone, now);
         nodes.insert(nodes.end(), ofZone.begin(), ofZone.end());
     }
     return nodes;
 }
 
-std::uint32_t Membership::listedAnywhere() const
+std::uint32_t Membership::nodeCountInFleet() const
 {
     std::uint32_t count = 1;
     for (const auto &[node, entry] : m_members)
-        count += entry.state != MemberState::Gone && (entry.isListed || entry.wasHeard) ? 1 : 0;
+        count += entry.state != MemberState::Gone && (entry.isListed || entry.hasDirectContact) ? 1
+                                                                                                : 0;
     return count;
 }
 
@@ -322,15 +325,16 @@
     ++m_changes;
 }
 
-std::vector<NodeId> Membership::eligible(const ZoneId &zone, TimePoint now) const
+std::vector<NodeId> Membership::eligibleOwners(const ZoneId &zone, TimePoint now) const
 {
-    const std::vector<NodeId> live = inState(zone, MemberState::Live, now);
+    const std::vector<NodeId> live = nodesInState(zone, MemberState::Live, now);
     // When the last nodes of a zone stop by plan there is no successor: they go on owning its pools
     // until they end, or what still waits on them would find no slot.
-    return live.empty() ? inState(zone, MemberState::Leaving, now) : live;
+    return live.empty() ? nodesInState(zone, MemberState::Leaving, now) : live;
 }
 
-std::vector<NodeId> Membership::inState(const ZoneId &zone, MemberState state, TimePoint now) const
+std::vector<NodeId> Membership::nodesInState(const ZoneId &zone, MemberState state,
+                                             TimePoint now) const
 {
     std::vector<NodeId> nodes;
     const bool isOwnZone = zone == m_options.zone;
@@ -345,24 +349,24 @@
     return nodes;
 }
 
-std::uint32_t Membership::listedInZone() const
+std::uint32_t Membership::nodeCountInZone() const
 {
     std::uint32_t count = 1;
     for (const auto &[node, entry] : m_members) {
         const bool counts = entry.zone == m_options.zone && entry.state != MemberState::Gone
-            && (entry.isListed || entry.wasHeard);
+            && (entry.isListed || entry.hasDirectContact);
         count += counts ? 1 : 0;
     }
     return count;
 }
 
-std::uint32_t Membership::agreeingInZone(TimePoint now) const
+std::uint32_t Membership::agreeingNodeCountInZone(TimePoint now) const
 {
     const std::uint64_t own = zoneDigest(m_options.zone, now);
     std::uint32_t count = 1;
     for (const auto &[node, entry] : m_members) {
         const bool agrees
-            = entry.zone == m_options.zone && holdsView(entry.state) && entry.zoneDigest == own;
+            = entry.zone == m_options.zone && hasZoneView(entry.state) && entry.zoneDigest == own;
         count += agrees ? 1 : 0;
     }
     return count;
@@ -370,7 +374,7 @@
 
 std::uint64_t Membership::zoneDigest(const ZoneId &zone, TimePoint now) const
 {
-    std::vector<NodeId> nodes = eligible(zone, now);
+    std::vector<NodeId> nodes = eligibleOwners(zone, now);
     std::sort(nodes.begin(), nodes.end());
     std::uint64_t digest = 0;
     for (const NodeId &node : nodes) {
@@ -382,12 +386,12 @@
     return digest;
 }
 
-std::vector<EndedRun> Membership::takeEndedRuns()
+std::vector<EndedIncarnation> Membership::takeEndedIncarnations()
 {
-    return std::exchange(m_ended, {});
+    return std::exchange(m_endedIncarnations, {});
 }
 
-std::vector<LogRecord> Membership::takeLog()
+std::vector<LogRecord> Membership::takeLogRecords()
 {
     return std::exchange(m_log, {});
 }
@@ -402,9 +406,9 @@
 
 /// All nodes of a zone greet each other, so what one node spends grows with the zone. Beyond some
 /// nodes it greets more slowly instead, and silence is noticed later by the same factor.
-unsigned Membership::zoneFactor() const
+unsigned Membership::heartbeatSlowdown() const
 {
-    return std::max(1U, (listedInZone() + nodesAtFullPace - 1) / nodesAtFullPace);
+    return std::max(1U, (nodeCountInZone() + fullRateZoneNodes - 1) / fullRateZoneNodes);
 }
 
 void Membership::step(Member &member, MemberSign sign)
@@ -415,32 +419,32 @@
     ++m_changes;
     switch (member.state) {
     case MemberState::Suspect:
-        note(LogEventId::MemberSuspect, member);
+        logMemberEvent(LogEventId::MemberSuspect, member);
         break;
     case MemberState::Gone:
-        note(LogEventId::MemberGone, member);
-        endRun(member);
+        logMemberEvent(LogEventId::MemberGone, member);
+        recordEndedIncarnation(member);
         break;
     case MemberState::Live:
         if (before == MemberState::Suspect)
-            note(LogEventId::MemberReturned, member);
+            logMemberEvent(LogEventId::MemberReturned, member);
         break;
     default:
         break;
     }
 }
 
-void Membership::note(LogEventId id, const Member &member)
+void Membership::logMemberEvent(LogEventId id, const Member &member)
 {
     m_log.push_back({id,
                      member.node.str() + " zone " + member.zone.str() + " incarnation "
                          + std::to_string(member.incarnation)});
 }
 
-void Membership::endRun(const Member &member)
+void Membership::recordEndedIncarnation(const Member &member)
 {
     if (member.incarnation != 0)
-        m_ended.push_back({member.node, member.incarnation});
+        m_endedIncarnations.push_back({member.node, member.incarnation});
 }
 
 /// The node of another zone that this one exchanges heartbeats with.
@@ -453,7 +457,7 @@
             continue;
         // One that was asked and did not answer gives way to the others for as long as it is
         // silent.
-        const bool isSilent = entry.sentAt > entry.heardAt + counterpartSilence;
+        const bool isSilent = entry.lastHeartbeatAt > entry.lastMessageAt + counterpartTimeout;
         std::uint64_t weight = rendezvousWeight(m_options.self.str(), node.str()) >> 1;
         if (!isSilent)
             weight |= std::uint64_t {1} << 63;
@@ -467,8 +471,8 @@
 
 bool Membership::isZoneViewFresh(const ZoneId &zone, TimePoint now) const
 {
-    const auto found = m_zoneHeardAt.find(zone);
-    return found != m_zoneHeardAt.end() && now - found->second <= zoneSilence;
+    const auto found = m_zoneLastMessageAt.find(zone);
+    return found != m_zoneLastMessageAt.end() && now - found->second <= zoneSilenceTimeout;
 }
 
 } // namespace berylridge
--- a/lib/Fleet/PeerTable.cpp
+++ b/lib/Fleet/PeerTable.cpp
@@ -8,8 +8,8 @@
 namespace {
 
 /// All nodes of a zone silent for so long: three digests from each would have to be lost.
-constexpr Duration zoneSilentLimit = std::chrono::milliseconds(700);
-constexpr std::size_t countedLeast = 2;
+constexpr Duration zoneSilenceTimeout = std::chrono::milliseconds(700);
+constexpr std::size_t minLimitShareCount = 2;
 
 } // namespace
 
@@ -20,8 +20,8 @@
 {
 }
 
-bool PeerTable::onHeard(const NodeId &node, Incarnation incarnation, const LoadDigest &digest,
-                        TimePoint now)
+bool PeerTable::onMessageReceived(const NodeId &node, Incarnation incarnation,
+                                  const LoadDigest &digest, TimePoint now)
 {
     if (node == m_options.self)
         return false;
@@ -31,16 +31,16 @@
     peer.incarnation = incarnation;
     peer.zone = digest.zone;
     peer.endpoint = {digest.address, digest.port};
-    peer.heardAt = now;
+    peer.lastMessageAt = now;
     peer.isLeaving = digest.isLeaving;
-    peer.isReading = digest.isReading;
+    peer.isReadingPlatform = digest.isReadingPlatform;
     for (const PeerEntry &entry : digest.peers) {
         const NodeId named(entry.node);
         if (named == m_options.self)
             continue;
         Peer &other = m_peers[named];
-        other.listedAt = now;
-        if (other.heardAt)
+        other.lastListedAt = now;
+        if (other.lastMessageAt)
             continue;
         other.zone = entry.zone;
         other.endpoint = {entry.address, entry.port};
@@ -48,21 +48,22 @@
     return true;
 }
 
-void PeerTable::forgetSilent(TimePoint now)
+void PeerTable::removeSilent(TimePoint now)
 {
     std::erase_if(m_peers, [&](const auto &entry) {
         const Peer &peer = entry.second;
-        const TimePoint last = std::max(peer.heardAt.value_or(peer.listedAt), peer.listedAt);
-        return now - last > forgetLimit;
+        const TimePoint last
+            = std::max(peer.lastMessageAt.value_or(peer.lastListedAt), peer.lastListedAt);
+        return now - last > removalTimeout;
     });
 }
 
-void PeerTable::onWoke(Duration gap)
+void PeerTable::onProcessResumed(Duration gap)
 {
     for (auto &[node, peer] : m_peers) {
-        if (peer.heardAt)
-            *peer.heardAt += gap;
-        peer.listedAt += gap;
+        if (peer.lastMessageAt)
+            *peer.lastMessageAt += gap;
+        peer.lastListedAt += gap;
     }
 }
 
@@ -93,17 +94,17 @@
     return receivers;
 }
 
-unsigned PeerTable::periodsPerTurn() const
+unsigned PeerTable::periodsPerRotation() const
 {
     const std::size_t periods = (m_peers.size() + fanOut - 1) / fanOut;
     return static_cast<unsigned>(std::max<std::size_t>(periods, 1));
 }
 
-std::vector<PeerEntry> PeerTable::someLiveEntries(std::size_t most, TimePoint now)
+std::vector<PeerEntry> PeerTable::nextLiveEntries(std::size_t maxCount, TimePoint now)
 {
     std::vector<PeerEntry> entries;
     auto next = m_peers.upper_bound(m_lastListed);
-    for (std::size_t i = 0; i < m_peers.size() && entries.size() < most; ++i, ++next) {
+    for (std::size_t i = 0; i < m_peers.size() && entries.size() < maxCount; ++i, ++next) {
         if (next == m_peers.end())
             next = m_peers.begin();
         const auto &[node, peer] = *next;
@@ -116,7 +117,7 @@
 
 bool PeerTable::isLive(const Peer &peer, TimePoint now) const
 {
-    return peer.heardAt && now - *peer.heardAt < liveLimit;
+    return peer.lastMessageAt && now - *peer.lastMessageAt < liveTimeout;
 }
 
 const PeerTable::Peer *PeerTable::find(const NodeId &node) const
@@ -125,34 +126,35 @@
     return found == m_peers.end() ? nullptr : &found->second;
 }
 
-std::size_t PeerTable::counted(TimePoint now) const
+std::size_t PeerTable::limitShareCount(TimePoint now) const
 {
-    const auto heard = std::count_if(m_peers.begin(), m_peers.end(), [&](const auto &entry) {
-        return isCounted(entry.second, now);
+    const auto peerCount = std::count_if(m_peers.begin(), m_peers.end(), [&](const auto &entry) {
+        return hasLimitShare(entry.second, now);
     });
-    return std::max(countedLeast, static_cast<std::size_t>(heard) + 1);
+    return std::max(minLimitShareCount, static_cast<std::size_t>(peerCount) + 1);
 }
 
-std::size_t PeerTable::live(TimePoint now) const
+std::size_t PeerTable::liveCount(TimePoint now) const
 {
-    const auto heard = std::count_if(m_peers.begin(), m_peers.end(),
-                                     [&](const auto &entry) { return isLive(entry.second, now); });
-    return static_cast<std::size_t>(heard) + 1;
+    const auto peerCount = std::count_if(m_peers.begin(), m_peers.end(), [&](const auto &entry) {
+        return isLive(entry.second, now);
+    });
+    return static_cast<std::size_t>(peerCount) + 1;
 }
 
 bool PeerTable::isZoneSilent(const std::string &zone, TimePoint now) const
 {
     if (zone == m_options.zone.str())
         return false;
-    bool isAnyHeard = false;
+    bool hasCountedNode = false;
     for (const auto &[node, peer] : m_peers) {
-        if (peer.zone != zone || !peer.heardAt || peer.isLeaving)
+        if (peer.zone != zone || !peer.lastMessageAt || peer.isLeaving)
             continue;
-        if (now - *peer.heardAt < zoneSilentLimit)
+        if (now - *peer.lastMessageAt < zoneSilenceTimeout)
             return false;
-        isAnyHeard = isAnyHeard || isCounted(peer, now);
+        hasCountedNode = hasCountedNode || hasLimitShare(peer, now);
     }
-    return isAnyHeard;
+    return hasCountedNode;
 }
 
 } // namespace berylridge
--- a/lib/Net/AdminFace.cpp
+++ b/lib/Net/AdminFace.cpp
@@ -67,7 +67,7 @@
 {
     const std::string_view given = view(request[http::field::authorization]);
     return given.starts_with(bearer)
-        && hasDigest(given.substr(bearer.size()), m_sources.operatorsKeyDigest);
+        && matchesDigest(given.substr(bearer.size()), m_sources.operatorsKeyDigest);
 }
 
 } // namespace berylridge
--- a/lib/Net/Datagram.cpp
+++ b/lib/Net/Datagram.cpp
@@ -200,7 +200,7 @@
         buffer.write(message.data(), message.size());
     std::string sealed(buffer.data(), buffer.size());
     std::array<std::byte, authenticatorSize> tag {};
-    authenticate(m_fleetKey, bytesOf(sealed), tag);
+    computeAuthenticator(m_fleetKey, bytesOf(sealed), tag);
     sealed.append(reinterpret_cast<const char *>(tag.data()), tag.size());
     return sealed;
 }
--- a/lib/Net/HttpListener.cpp
+++ b/lib/Net/HttpListener.cpp
@@ -123,7 +123,7 @@
 {
     const auto place = asioEndpoint<tcp>(endpoint);
     if (!place)
-        return place.lastReason();
+        return place.failureReason();
     error_code error;
     acceptor.open(place->protocol(), error);
     if (!error)
--- a/lib/Net/LogSink.cpp
+++ b/lib/Net/LogSink.cpp
@@ -4,7 +4,7 @@
 #include "ThreadName.h"
 
 #include "berylridge/Support/FatalSignal.h"
-#include "berylridge/Support/LogBudget.h"
+#include "berylridge/Support/LogRateLimiter.h"
 
 #include <condition_variable>
 #include <deque>
@@ -100,7 +100,7 @@
 void LogSink::Shared::writeAll()
 {
     const SystemClock clock;
-    LogBudget budget {LogBudget::Limits()};
+    LogRateLimiter budget {LogRateLimiter::Limits()};
     while (const auto entry = next()) {
         const LogLevel level = logEventInfo(entry->record.id).level;
         const std::string line = logLine(entry->record, entry->time);
@@ -124,7 +124,7 @@
     m_shared->write = std::move(write);
     m_writer = std::thread([shared = m_shared] {
         nameThread("log");
-        const SignalStack stack;
+        const AlternateSignalStack stack;
         shared->writeAll();
         const std::lock_guard lock(shared->mutex);
         shared->isDone = true;
--- a/lib/Net/PeerLink.cpp
+++ b/lib/Net/PeerLink.cpp
@@ -92,7 +92,7 @@
 {
     auto datagram = openDatagram(m_fleetKey, bytes);
     if (!datagram) {
-        reject(datagram.lastReason());
+        reject(datagram.failureReason());
         return;
     }
     for (PeerMessage &message : (*datagram).messages) {
--- a/lib/Net/RouterNode.cpp
+++ b/lib/Net/RouterNode.cpp
@@ -224,7 +224,7 @@
 void RouterNode::Impl::run()
 {
     nameThread("control");
-    const SignalStack stack;
+    const AlternateSignalStack stack;
     for (const auto &thread : m_threads)
         thread->start();
     handleNow(TimerDue {});
--- a/lib/Net/TrafficThread.cpp
+++ b/lib/Net/TrafficThread.cpp
@@ -75,7 +75,7 @@
 void TrafficThread::run()
 {
     nameThread("traffic-" + std::to_string(m_index));
-    const SignalStack stack;
+    const AlternateSignalStack stack;
     m_context.run();
 }
 
@@ -205,7 +205,7 @@
 {
     if (m_options.acceptedLag == Duration(0))
         return false;
-    return m_load.sheds(shortHash(credential), m_options.now());
+    return m_load.sheds(hash32(credential), m_options.now());
 }
 
 Screening TrafficThread::screen(std::string_view bytes, bool keepsConnection)
@@ -225,7 +225,7 @@
 Problem TrafficThread::busyProblem()
 {
     return {503, busyType, "the router has more to do than it can", Verdict::NotRun,
-            spreadRetry(busyRetryAfter, m_random)};
+            addRetryJitter(busyRetryAfter, m_random)};
 }
 
 void TrafficThread::drain(std::function<void()> done)
--- a/lib/Policy/LeaseHolder.cpp
+++ b/lib/Policy/LeaseHolder.cpp
@@ -19,7 +19,8 @@
     // The term counts from when this node asked, by its own clock: that was before the owner's own
     // count began, so the lease ends here before the owner gives its slot away, however late the
     // grant came.
-    const TimePoint startsBy(Duration(grant.echo) + std::chrono::milliseconds(grant.termMs));
+    const TimePoint startsBy(Duration(grant.demandSentAt)
+                             + std::chrono::milliseconds(grant.termMs));
     for (const GrantedLease &granted : grant.leases) {
         --m_told[granted.flow];
         Held held;
@@ -97,7 +98,7 @@
 PoolDemand LeaseHolder::demandMessage(std::vector<FlowDemand> demand, TimePoint now)
 {
     PoolDemand message = urgentMessage(std::move(demand), now);
-    message.listsHeld = true;
+    message.hasHeldList = true;
     for (const auto &[lease, held] : m_leases)
         message.held.push_back(
             {lease, held.target, held.flow, toMilliseconds(now - held.grantedAt)});
@@ -114,8 +115,8 @@
     message.owner = m_ownerIncarnation;
     message.lastGrant = m_lastGrant;
     // Where nothing is held the message is whole as it is.
-    message.listsHeld = m_leases.empty();
-    if (message.listsHeld)
+    message.hasHeldList = m_leases.empty();
+    if (message.hasHeldList)
         listedAt = now;
     toldAt = now;
     m_told.clear();
--- a/lib/Policy/PoolOwner.cpp
+++ b/lib/Policy/PoolOwner.cpp
@@ -75,7 +75,7 @@
     current.sentAt = message.sentAt;
     current.heardAt = now;
     noteGrantsReceived(from, current, message);
-    if (message.listsHeld)
+    if (message.hasHeldList)
         reconcile(from, current, message, now);
     current.wants.clear();
     for (const FlowDemand &demand : message.demand) {
@@ -181,9 +181,9 @@
     if (m_isHandedOver || !isWaiting(now))
         return;
     m_isHandedOver = true;
-    for (const HandedFlow &flow : message.flows)
+    for (const HandoverFlow &flow : message.flows)
         m_shares.restore(flow.flow, flow.virtualTime, now);
-    for (const HandedLease &handed : message.leases) {
+    for (const HandoverLease &handed : message.leases) {
         if (m_leases.contains(handed.lease))
             continue;
         Lease lease;
@@ -223,7 +223,7 @@
     }
 }
 
-void PoolOwner::onNews(const TargetNews &news, TimePoint now)
+void PoolOwner::onNews(const TargetObservation &news, TimePoint now)
 {
     const auto target = m_targets.find(news.target);
     if (target == m_targets.end())
@@ -260,7 +260,7 @@
         m_holders.erase(holder);
 }
 
-void PoolOwner::onRemoteService(const PoolService &message)
+void PoolOwner::onRemoteService(const PoolUsage &message)
 {
     auto &[epoch, known] = m_remote[message.pool];
     // From an owner that was not heard before, only what comes from now on counts: flows were level
@@ -270,7 +270,7 @@
         epoch = message.epoch;
         known.clear();
     }
-    for (const FlowService &flow : message.flows) {
+    for (const FlowUsage &flow : message.flows) {
         std::uint64_t &last = known[flow.flow];
         if (!isNew && flow.servedMs > last) {
             m_shares.addRemote(flow.flow, std::chrono::milliseconds(flow.servedMs - last));
@@ -337,9 +337,9 @@
     return due;
 }
 
-PoolService PoolOwner::serviceReport(TimePoint now) const
+PoolUsage PoolOwner::serviceReport(TimePoint now) const
 {
-    PoolService report;
+    PoolUsage report;
     report.service = m_service.str();
     report.pool = m_pool;
     report.epoch = hash64("epoch",
--- a/lib/Policy/PoolOwnerGrants.cpp
+++ b/lib/Policy/PoolOwnerGrants.cpp
@@ -49,7 +49,7 @@
                 holder.lastNumber + 1, static_cast<std::uint64_t>(now.time_since_epoch().count()));
             entry->second.pool = m_pool;
             entry->second.number = holder.lastNumber;
-            entry->second.echo = holder.sentAt;
+            entry->second.demandSentAt = holder.sentAt;
             entry->second.termMs = toMilliseconds(m_options.leaseTerm);
             entry->second.quantumMs = toMilliseconds(quantum);
         }
--- a/lib/Policy/PromptDirectory.cpp
+++ b/lib/Policy/PromptDirectory.cpp
@@ -19,7 +19,7 @@
     std::array<char, sizeof(before) + sizeof(part)> bytes {};
     std::memcpy(bytes.data(), &before, sizeof(before));
     std::memcpy(bytes.data() + sizeof(before), &part, sizeof(part));
-    return shortHash({bytes.data(), bytes.size()});
+    return hash32({bytes.data(), bytes.size()});
 }
 
 } // namespace
@@ -29,7 +29,7 @@
     PromptChain chain;
     chain.inputTokens = prompt.inputTokens;
     chain.outputTokens = prompt.outputTokens;
-    ChainKey key = shortHash(prompt.model);
+    ChainKey key = hash32(prompt.model);
     for (const PromptPart &part : prompt.parts) {
         key = extend(key, part.id);
         chain.links.push_back({key, part.tokens});
--- a/lib/Router/Core.cpp
+++ b/lib/Router/Core.cpp
@@ -82,45 +82,46 @@
     if (gap <= pauseLimit)
         return;
     m_context.log(LogEventId::WokeLate, std::to_string(gap.count() / 1000) + " ms");
-    m_fleet.onWoke();
-    m_pools.onWoke();
+    m_fleet.onProcessResumed();
+    m_pools.onProcessResumed();
 }
 
 void Core::Impl::dispatch(const Event &event)
 {
-    std::visit(Overloaded {
-                   [&](const RequestArrived &e) { m_requests.onArrived(e, m_fleet.isJoining()); },
-                   [&](const KeyIssueAsked &e) { m_requests.onKeyIssueAsked(e); },
-                   [&](const CallerGone &e) { m_requests.onCallerGone(e); },
-                   [&](const AttemptHead &e) { m_requests.onHead(e); },
-                   [&](const AttemptDone &e) { m_requests.onDone(e); },
-                   [&](const AttemptFailed &e) { m_requests.onFailed(e); },
-                   [&](const TargetReport &e) {
-                       m_pools.onReport(e);
-                       m_requests.onReport(e);
-                   },
-                   [&](const TargetPollFailed &e) {
-                       m_pools.onPollFailed(e);
-                       m_requests.onPollFailed(e);
-                   },
-                   [&](const NodeMessage &e) {
-                       if (m_context.membership.onHeard(e.from, e.incarnation, m_context.now))
-                           onNodeMessage(e.from, e.incarnation, e.message);
-                   },
-                   [&](const ProbeEnded &e) { m_fleet.onProbeEnded(e); },
-                   [&](const DocumentArrived &e) { m_fleet.onDocument(e.document, "platform"); },
-                   [&](const VmListArrived &e) { m_fleet.onVmList(e.list); },
-                   [&](const PlatformReach &e) { m_fleet.onPlatformReach(e.isReachable); },
-                   [&](const LeaveOrdered &e) { m_fleet.onLeave(e.who); },
-                   [&](const ReturnOrdered &e) { m_fleet.onReturn(e.who); },
-                   // What the balancer alone takes in (lib/Balancer).
-                   [](const CatalogArrived &) {},
-                   [](const DirectoryArrived &) {},
-                   [](const SeedsChanged &) {},
-                   [](const TrafficLag &) {},
-                   [](const TimerDue &) {},
-               },
-               event);
+    std::visit(
+        Overloaded {
+            [&](const RequestArrived &e) { m_requests.onArrived(e, m_fleet.isJoining()); },
+            [&](const KeyIssueAsked &e) { m_requests.onKeyIssueAsked(e); },
+            [&](const CallerGone &e) { m_requests.onCallerGone(e); },
+            [&](const AttemptHead &e) { m_requests.onHead(e); },
+            [&](const AttemptDone &e) { m_requests.onDone(e); },
+            [&](const AttemptFailed &e) { m_requests.onFailed(e); },
+            [&](const TargetReport &e) {
+                m_pools.onReport(e);
+                m_requests.onReport(e);
+            },
+            [&](const TargetPollFailed &e) {
+                m_pools.onPollFailed(e);
+                m_requests.onPollFailed(e);
+            },
+            [&](const NodeMessage &e) {
+                if (m_context.membership.onMessageReceived(e.from, e.incarnation, m_context.now))
+                    onNodeMessage(e.from, e.incarnation, e.message);
+            },
+            [&](const ProbeEnded &e) { m_fleet.onProbeEnded(e); },
+            [&](const DocumentArrived &e) { m_fleet.onDocument(e.document, "platform"); },
+            [&](const VmListArrived &e) { m_fleet.onVmList(e.list); },
+            [&](const PlatformReach &e) { m_fleet.onPlatformReach(e.isReachable); },
+            [&](const LeaveOrdered &e) { m_fleet.onLeave(e.who); },
+            [&](const ReturnOrdered &e) { m_fleet.onReturn(e.who); },
+            // What the balancer alone takes in (lib/Balancer).
+            [](const CatalogArrived &) {},
+            [](const DirectoryArrived &) {},
+            [](const SeedsChanged &) {},
+            [](const TrafficLag &) {},
+            [](const TimerDue &) {},
+        },
+        event);
 }
 
 void Core::Impl::onNodeMessage(const NodeId &from, Incarnation incarnation,
@@ -147,9 +148,9 @@
                    [&](const PoolDemand &m) { m_pools.onDemand(from, incarnation, m); },
                    [&](const PoolGrant &m) { m_pools.onGrant(from, incarnation, m); },
                    [&](const PoolReturn &m) { m_pools.onReturn(from, m); },
-                   [&](const TargetNews &m) { m_pools.onNews(m); },
-                   [&](const PoolService &m) { m_pools.onRemoteService(m); },
-                   [&](const CrashNews &m) { m_requests.onCrashNews(m); },
+                   [&](const TargetObservation &m) { m_pools.onNews(m); },
+                   [&](const PoolUsage &m) { m_pools.onRemoteService(m); },
+                   [&](const CrashReport &m) { m_requests.onCrashNews(m); },
                    [&](const Goodbye &) { m_fleet.onGoodbye(from); },
                    [&](const PoolHandover &m) { m_pools.onHandover(m); },
                },
@@ -195,7 +196,7 @@
         m_requests.onVmList(m_context.membership.vmList());
     if (!changes.members)
         return;
-    m_pools.onEndedRuns(m_context.membership.takeEndedRuns());
+    m_pools.onEndedRuns(m_context.membership.takeEndedIncarnations());
     m_pools.onMembers();
     m_requests.onMembers();
 }
@@ -236,7 +237,7 @@
 {
     Expected<Charts> charts = Charts::load(options.chartDirectory);
     if (!charts)
-        return Reason {charts.lastReason()};
+        return Reason {charts.failureReason()};
     auto impl = std::make_unique<Impl>(std::move(options), *std::move(charts), now, wall);
     return std::unique_ptr<Core>(new Core(std::move(impl)));
 }
--- a/lib/Router/CoreContext.cpp
+++ b/lib/Router/CoreContext.cpp
@@ -8,16 +8,16 @@
 {
     Expected<MemberLife> member = loadMemberLife(directory);
     if (!member)
-        return Reason {member.lastReason()};
+        return Reason {member.failureReason()};
     Expected<NodeLife> node = loadNodeLife(directory);
     if (!node)
-        return Reason {node.lastReason()};
+        return Reason {node.failureReason()};
     Expected<RequestLife> request = loadRequestLife(directory);
     if (!request)
-        return Reason {request.lastReason()};
+        return Reason {request.failureReason()};
     Expected<TargetLife> target = loadTargetLife(directory);
     if (!target)
-        return Reason {target.lastReason()};
+        return Reason {target.failureReason()};
     return Charts {*std::move(member), *std::move(node), *std::move(request), *std::move(target)};
 }
 
--- a/lib/Router/FleetSync.cpp
+++ b/lib/Router/FleetSync.cpp
@@ -51,7 +51,7 @@
     const bool isOtherZone = ZoneId(message.zone) != m_context.options.zone;
     const std::uint64_t digest
         = hash64("view", membership.zoneDigest(m_context.options.zone, m_context.now));
-    if (isOtherZone && message.knownDigest != digest)
+    if (isOtherZone && message.counterpartZoneDigest != digest)
         m_context.send(from, FleetMessage(membership.ownZoneView()));
 }
 
@@ -79,9 +79,9 @@
     std::size_t bytes = 0;
     for (const auto &entry : m_context.documents.texts()) {
         const DocumentText &document = entry.second;
-        const auto known
-            = std::find_if(message.have.begin(), message.have.end(),
-                           [&](const DocumentHead &head) { return head.name == document.name; });
+        const auto known = std::find_if(
+            message.have.begin(), message.have.end(),
+            [&](const DocumentVersionEntry &head) { return head.name == document.name; });
         if (known != message.have.end() && known->version >= document.version)
             continue;
         bytes += document.text.size();
@@ -190,9 +190,9 @@
     announce();
 }
 
-void FleetSync::onWoke()
+void FleetSync::onProcessResumed()
 {
-    m_context.membership.onWoke(m_context.now);
+    m_context.membership.onProcessResumed(m_context.now);
     m_wokeAt = m_context.now;
 }
 
@@ -206,7 +206,7 @@
     for (const Member &member : m_context.membership.dueHeartbeats(m_context.now))
         sendHeartbeat(member);
     pushZoneView();
-    for (LogRecord &record : m_context.membership.takeLog())
+    for (LogRecord &record : m_context.membership.takeLogRecords())
         m_context.log(record.id, std::move(record.detail));
 }
 
@@ -249,7 +249,8 @@
         entry.zone = member.zone;
         entry.state = m_context.charts.member.name(member.state);
         entry.incarnation = member.incarnation;
-        entry.silentSeconds = member.wasHeard ? toSeconds(m_context.now - member.heardAt) : -1;
+        entry.silentSeconds
+            = member.hasDirectContact ? toSeconds(m_context.now - member.lastMessageAt) : -1;
         status.members.push_back(std::move(entry));
     }
 }
@@ -327,7 +328,8 @@
     heartbeat.address = m_context.options.endpoint.address;
     heartbeat.port = m_context.options.endpoint.port;
     heartbeat.zoneDigest = membership.zoneDigest(m_context.options.zone, m_context.now);
-    heartbeat.knownDigest = hash64("view", membership.zoneDigest(member.zone, m_context.now));
+    heartbeat.counterpartZoneDigest
+        = hash64("view", membership.zoneDigest(member.zone, m_context.now));
     m_context.send(member.node, FleetMessage(std::move(heartbeat)));
 }
 
@@ -335,7 +337,7 @@
 {
     for (const auto &[node, member] : m_context.membership.members()) {
         const bool isNear = member.zone == m_context.options.zone;
-        const bool isHeard = member.wasHeard && member.state != MemberState::Gone;
+        const bool isHeard = member.hasDirectContact && member.state != MemberState::Gone;
         if (isNear || isHeard)
             sendHeartbeat(member);
     }
@@ -351,8 +353,8 @@
     m_pushedDigest = digest;
     const ZoneView view = membership.ownZoneView();
     for (const auto &[node, member] : membership.members()) {
-        const bool isPartner = member.zone != m_context.options.zone && member.wasHeard
-            && m_context.now - member.heardAt < std::chrono::seconds(2);
+        const bool isPartner = member.zone != m_context.options.zone && member.hasDirectContact
+            && m_context.now - member.lastMessageAt < std::chrono::seconds(2);
         if (isPartner)
             m_context.send(node, FleetMessage(view));
     }
--- a/lib/Router/FleetSync.h
+++ b/lib/Router/FleetSync.h
@@ -38,7 +38,7 @@
     void onPlatformReach(bool isReachable);
     void onLeave(const std::string &who);
     void onReturn(const std::string &who);
-    void onWoke();
+    void onProcessResumed();
 
     /// takesKeys: whether callers' idempotency keys find witnesses.
     void tick(bool takesKeys);
--- a/lib/Router/PoolManager.cpp
+++ b/lib/Router/PoolManager.cpp
@@ -104,18 +104,18 @@
     }
 }
 
-void PoolManager::onEndedRuns(const std::vector<EndedRun> &runs)
+void PoolManager::onEndedRuns(const std::vector<EndedIncarnation> &runs)
 {
     for (auto &[id, entry] : m_pools) {
         if (!entry.own)
             continue;
-        for (const EndedRun &run : runs)
+        for (const EndedIncarnation &run : runs)
             entry.own->onHolderGone(run.node, run.incarnation, m_context.now);
         entry.isOwnChanged = true;
     }
 }
 
-void PoolManager::onWoke()
+void PoolManager::onProcessResumed()
 {
     for (auto &[id, entry] : m_pools) {
         entry.holder.dropIdle();
@@ -162,7 +162,7 @@
     found->second.isOwnChanged = true;
 }
 
-void PoolManager::onNews(const TargetNews &message)
+void PoolManager::onNews(const TargetObservation &message)
 {
     const auto found = m_pools.find(message.pool);
     if (found == m_pools.end() || !found->second.own)
@@ -171,7 +171,7 @@
     found->second.isOwnChanged = true;
 }
 
-void PoolManager::onRemoteService(const PoolService &message)
+void PoolManager::onRemoteService(const PoolUsage &message)
 {
     const auto pools = m_byService.find(ServiceId(message.service));
     if (pools == m_byService.end())
@@ -237,7 +237,7 @@
     const auto found = m_pools.find(pool);
     if (found == m_pools.end() || found->second.owner.isEmpty())
         return;
-    TargetNews news {pool, target, static_cast<std::uint8_t>(sign), bootId};
+    TargetObservation news {pool, target, static_cast<std::uint8_t>(sign), bootId};
     m_context.send(found->second.owner, FleetMessage(std::move(news)));
 }
 
@@ -384,17 +384,19 @@
 NodeId PoolManager::ownerOf(const Pool &pool) const
 {
     if (m_context.membership.isZoneVacant(pool.zone))
-        return rendezvousWinner(pool.name, m_context.membership.eligibleAnywhere(m_context.now));
-    return rendezvousWinner(pool.name, m_context.membership.eligible(pool.zone, m_context.now));
+        return rendezvousWinner(pool.name,
+                                m_context.membership.eligibleOwnersInFleet(m_context.now));
+    return rendezvousWinner(pool.name,
+                            m_context.membership.eligibleOwners(pool.zone, m_context.now));
 }
 
 OwnerPart PoolManager::partOf(const Pool &pool) const
 {
     const Membership &membership = m_context.membership;
     if (pool.zone == m_context.options.zone)
-        return {membership.agreeingInZone(m_context.now), membership.listedInZone()};
-    const auto eligible = membership.eligibleAnywhere(m_context.now).size();
-    return {static_cast<std::uint32_t>(eligible), membership.listedAnywhere()};
+        return {membership.agreeingNodeCountInZone(m_context.now), membership.nodeCountInZone()};
+    const auto eligibleOwners = membership.eligibleOwnersInFleet(m_context.now).size();
+    return {static_cast<std::uint32_t>(eligibleOwners), membership.nodeCountInFleet()};
 }
 
 bool PoolManager::isOpen(const Pool &pool, const TargetSpec &target) const
--- a/lib/Router/PoolManager.h
+++ b/lib/Router/PoolManager.h
@@ -43,15 +43,15 @@
     void onDocuments();
     /// Members or their states have changed: owners may be others now.
     void onMembers();
-    void onEndedRuns(const std::vector<EndedRun> &runs);
+    void onEndedRuns(const std::vector<EndedIncarnation> &runs);
     /// After a pause: others may own what this node owned, and leases have run out.
-    void onWoke();
+    void onProcessResumed();
 
     void onDemand(const NodeId &from, Incarnation incarnation, const PoolDemand &message);
     void onGrant(const NodeId &from, Incarnation incarnation, const PoolGrant &message);
     void onReturn(const NodeId &from, const PoolReturn &message);
-    void onNews(const TargetNews &message);
-    void onRemoteService(const PoolService &message);
+    void onNews(const TargetObservation &message);
+    void onRemoteService(const PoolUsage &message);
     void onHandover(const PoolHandover &message);
     void onReport(const TargetReport &report);
     void onPollFailed(const TargetPollFailed &failure);
--- a/lib/Router/PoolMessages.cpp
+++ b/lib/Router/PoolMessages.cpp
@@ -99,7 +99,7 @@
         const std::set<NodeId> owners = nextPartners(entry);
         if (owners.empty())
             continue;
-        const PoolService report = entry.own->serviceReport(m_context.now);
+        const PoolUsage report = entry.own->serviceReport(m_context.now);
         if (report.flows.empty())
             continue;
         for (const NodeId &owner : owners)
--- a/lib/Router/RequestCrashes.cpp
+++ b/lib/Router/RequestCrashes.cpp
@@ -122,7 +122,7 @@
     refuse(request, crashingRefusal(502, request.fingerprint));
 }
 
-void RequestManager::onCrashNews(const CrashNews &news)
+void RequestManager::onCrashNews(const CrashReport &news)
 {
     m_crashes.add(news.fingerprint, news.boot, m_context.now);
     refuseCrashing(news.fingerprint);
@@ -154,11 +154,11 @@
 void RequestManager::tellCrashes()
 {
     for (const auto &[node, member] : m_context.membership.members()) {
-        if (!member.wasHeard || member.incarnation == m_crashesToldTo[node])
+        if (!member.hasDirectContact || member.incarnation == m_crashesToldTo[node])
             continue;
         m_crashesToldTo[node] = member.incarnation;
         m_crashes.forEach([&, to = node](std::uint64_t fingerprint, std::uint64_t boot) {
-            m_context.send(to, FleetMessage(CrashNews {fingerprint, boot}));
+            m_context.send(to, FleetMessage(CrashReport {fingerprint, boot}));
         });
     }
 }
--- a/lib/Router/RequestManager.cpp
+++ b/lib/Router/RequestManager.cpp
@@ -251,7 +251,8 @@
         entry.isLeaving = member.state == MemberState::Leaving;
         // Not by the state: a node that a late VM list leaves out counts as gone there, but it may
         // live and vote for keys. A closed port is a proof.
-        entry.isTerminated = member.incarnation != 0 && member.refusedRun == member.incarnation;
+        entry.isTerminated
+            = member.incarnation != 0 && member.refusedIncarnation == member.incarnation;
         members.push_back(std::move(entry));
     }
     KeyOutput output;
--- a/lib/Router/RequestManager.h
+++ b/lib/Router/RequestManager.h
@@ -35,7 +35,7 @@
     void onFailed(const AttemptFailed &event);
     void onReport(const TargetReport &report);
     void onPollFailed(const TargetPollFailed &failure);
-    void onCrashNews(const CrashNews &news);
+    void onCrashNews(const CrashReport &news);
     void onDocuments();
 
     void onKeyMessage(const NodeId &from, Incarnation incarnation, const KeyMessage &message);
@@ -123,7 +123,7 @@
     /// Word of a crash that is still to be repeated.
     struct CrashEcho
     {
-        CrashNews news;
+        CrashReport news;
         TimePoint at;
         int left = 0;
     };
--- a/lib/Support/Endpoint.cpp
+++ b/lib/Support/Endpoint.cpp
@@ -7,7 +7,7 @@
 
 namespace berylridge {
 
-bool isIpNumber(std::string_view text)
+bool isIpAddress(std::string_view text)
 {
     if (text.find('\0') != std::string_view::npos)
         return false;
@@ -19,29 +19,29 @@
 
 Expected<Endpoint> parseEndpoint(std::string_view text)
 {
-    const Reason wrong {"must be an IP number and a port, as in \"10.0.1.7:7400\""};
+    const Reason invalid {"must be an IP number and a port, as in \"10.0.1.7:7400\""};
     const auto colon = text.rfind(':');
     if (colon == std::string_view::npos)
-        return wrong;
+        return invalid;
     auto address = text.substr(0, colon);
     const auto digits = text.substr(colon + 1);
     const bool isBracketed = address.size() > 2 && address.front() == '[' && address.back() == ']';
     if (isBracketed)
         address = address.substr(1, address.size() - 2);
     // Without brackets the last group of an IPv6 number would be taken for the port.
-    if (!isIpNumber(address) || isBracketed != (address.find(':') != std::string_view::npos))
-        return wrong;
+    if (!isIpAddress(address) || isBracketed != (address.find(':') != std::string_view::npos))
+        return invalid;
     std::uint16_t port = 0;
     const auto read = std::from_chars(digits.data(), digits.data() + digits.size(), port);
     if (read.ec != std::errc() || read.ptr != digits.data() + digits.size() || port == 0)
-        return wrong;
+        return invalid;
     return Endpoint {std::string(address), port};
 }
 
 std::string endpointText(const Endpoint &endpoint)
 {
-    const bool isSix = endpoint.address.find(':') != std::string::npos;
-    return (isSix ? "[" + endpoint.address + "]" : endpoint.address) + ":"
+    const bool isIpv6 = endpoint.address.find(':') != std::string::npos;
+    return (isIpv6 ? "[" + endpoint.address + "]" : endpoint.address) + ":"
         + std::to_string(endpoint.port);
 }
 
--- a/lib/Support/FatalSignal.cpp
+++ b/lib/Support/FatalSignal.cpp
@@ -23,8 +23,8 @@
 
 namespace {
 
-constexpr std::size_t stackBytes = 64 << 10;
-constexpr int mostFrames = 48;
+constexpr std::size_t signalStackBytes = 64 << 10;
+constexpr int maxFrames = 48;
 constexpr auto fatalSignals = std::to_array<int>({SIGSEGV, SIGBUS, SIGFPE, SIGILL, SIGABRT});
 
 std::uintptr_t addressOf(const void *place)
@@ -33,10 +33,10 @@
 }
 
 /// A line put together without memory from the heap, which a handler must not ask for.
-class FixedLine
+class FixedSizeLine
 {
 public:
-    FixedLine &text(std::string_view text)
+    FixedSizeLine &text(std::string_view text)
     {
         const std::size_t size = std::min(text.size(), m_bytes.size() - m_size);
         std::copy_n(text.begin(), size, m_bytes.begin() + static_cast<std::ptrdiff_t>(m_size));
@@ -44,7 +44,7 @@
         return *this;
     }
 
-    FixedLine &number(std::uint64_t number, int base = 10)
+    FixedSizeLine &number(std::uint64_t number, int base = 10)
     {
         std::array<char, 24> digits {};
         const auto end = std::to_chars(digits.begin(), digits.end(), number, base).ptr;
@@ -71,10 +71,10 @@
 }
 
 /// Offsets in the program file, as symbol tables have them; addresses elsewhere are given whole.
-void addFrames(FixedLine &line)
+void appendFrames(FixedSizeLine &line)
 {
-    std::array<void *, mostFrames> frames {};
-    const int count = ::backtrace(frames.data(), mostFrames);
+    std::array<void *, maxFrames> frames {};
+    const int count = ::backtrace(frames.data(), maxFrames);
     const std::uintptr_t begin = addressOf(&__executable_start);
     const std::uintptr_t end = addressOf(&etext);
     line.text(",\"frames\":[");
@@ -92,14 +92,14 @@
     std::array<char, 16> thread {};
     ::prctl(PR_GET_NAME, thread.data());
     const LogEventInfo &event = logEventInfo(LogEventId::FatalSignal);
-    FixedLine line;
+    FixedSizeLine line;
     line.text("{\"unixMs\":").number(unixMs()).text(",\"level\":\"");
     line.text(logLevelName(event.level)).text("\",\"event\":");
     line.number(static_cast<std::uint64_t>(event.id)).text(",\"name\":\"").text(event.name);
     line.text("\",\"signal\":").number(static_cast<std::uint64_t>(number));
     line.text(",\"address\":\"0x").number(addressOf(info->si_addr), 16);
     line.text("\",\"thread\":\"").text(thread.data()).text("\"");
-    addFrames(line);
+    appendFrames(line);
     line.text("}\n").write();
     // The handler is reset by now: once more, and the signal ends the process.
     ::raise(number);
@@ -107,7 +107,7 @@
 
 } // namespace
 
-void reportFatalSignals()
+void installFatalSignalHandlers()
 {
     // The first call loads what unwinds stacks; a handler could not.
     std::array<void *, 1> frame {};
@@ -124,16 +124,16 @@
     }
 }
 
-SignalStack::SignalStack()
-    : m_memory(std::make_unique<std::byte[]>(stackBytes))
+AlternateSignalStack::AlternateSignalStack()
+    : m_memory(std::make_unique<std::byte[]>(signalStackBytes))
 {
     stack_t stack = {};
     stack.ss_sp = m_memory.get();
-    stack.ss_size = stackBytes;
+    stack.ss_size = signalStackBytes;
     ::sigaltstack(&stack, nullptr);
 }
 
-SignalStack::~SignalStack()
+AlternateSignalStack::~AlternateSignalStack()
 {
     stack_t none = {};
     none.ss_flags = SS_DISABLE;
--- a/lib/Support/Hash.cpp
+++ b/lib/Support/Hash.cpp
@@ -21,7 +21,7 @@
     return XXH3_64bits_withSeed(text.data(), text.size(), seed);
 }
 
-std::uint32_t shortHash(std::string_view text)
+std::uint32_t hash32(std::string_view text)
 {
     return static_cast<std::uint32_t>(hash64(text));
 }
@@ -42,7 +42,7 @@
     return hex;
 }
 
-bool hasDigest(std::string_view credential, std::string_view digest)
+bool matchesDigest(std::string_view credential, std::string_view digest)
 {
     const auto wanted = credentialDigest(credential);
     // A comparison that ends at the first wrong digit would tell by its time how far a guess is
@@ -51,8 +51,8 @@
         && sodium_memcmp(wanted.data(), digest.data(), wanted.size()) == 0;
 }
 
-void authenticate(std::string_view key, std::span<const std::byte> bytes,
-                  std::span<std::byte, authenticatorSize> out)
+void computeAuthenticator(std::string_view key, std::span<const std::byte> bytes,
+                          std::span<std::byte, authenticatorSize> out)
 {
     assert(key.size() >= crypto_generichash_KEYBYTES_MIN && "fleet key too short");
     assert(key.size() <= crypto_generichash_KEYBYTES_MAX && "fleet key too long");
@@ -67,7 +67,7 @@
                  std::span<const std::byte, authenticatorSize> given)
 {
     std::array<std::byte, authenticatorSize> wanted {};
-    authenticate(key, bytes, wanted);
+    computeAuthenticator(key, bytes, wanted);
     return sodium_memcmp(wanted.data(), given.data(), wanted.size()) == 0;
 }
 
--- a/test/berylctl/fake_routers.cpp
+++ b/test/berylctl/fake_routers.cpp
@@ -96,7 +96,8 @@
         made.state = m_state;
         made.isReader = m_node == "a1";
         made.vmListRevision = 4;
-        made.documents = {DocumentHead {"fleet", m_fleetVersion}, DocumentHead {"service/shop", 2}};
+        made.documents = {DocumentVersionEntry {"fleet", m_fleetVersion},
+                          DocumentVersionEntry {"service/shop", 2}};
         made.members = {{NodeId("c1"), ZoneId("c"), "suspect", 7, 1.25}};
         TargetStatus target;
         target.service = ServiceId("shop");
--- a/test/rig/EventQueue.h
+++ b/test/rig/EventQueue.h
@@ -49,7 +49,7 @@
         }
     };
 
-    PausedClock m_clock;
+    ManualClock m_clock;
     std::priority_queue<Entry> m_entries;
     std::uint64_t m_sequence = 0;
 };
--- a/test/rig/FakeNode.cpp
+++ b/test/rig/FakeNode.cpp
@@ -40,7 +40,7 @@
     m_clockOffset = std::chrono::seconds(1 + m_world.random() % 100000);
     auto core = Core::create(m_options, localNow(), m_world.queue.wallNow());
     if (!core) {
-        m_world.journal.fail("start", core.lastReason());
+        m_world.journal.fail("start", core.failureReason());
         return;
     }
     m_core = *std::move(core);
@@ -307,7 +307,7 @@
     m_traffic.receivedBytes += sealed.size() + headerBytes;
     auto datagram = openDatagram(fleetKey, std::as_bytes(std::span(sealed)));
     if (!datagram) {
-        m_world.journal.fail("codec", datagram.lastReason());
+        m_world.journal.fail("codec", datagram.failureReason());
         return;
     }
     if (m_isPaused && m_waiting.size() > mostWaiting)
--- a/test/standins/HttpServer.cpp
+++ b/test/standins/HttpServer.cpp
@@ -204,7 +204,7 @@
 {
     const auto listening = server.listen(endpoint);
     if (!listening) {
-        std::cerr << listening.lastReason() << '\n';
+        std::cerr << listening.failureReason() << '\n';
         return 1;
     }
     std::cout << "listening on " << listening->address << ':' << listening->port << std::endl;
--- a/test/standins/Platform.cpp
+++ b/test/standins/Platform.cpp
@@ -47,7 +47,7 @@
     for (const auto &name : jsonFiles(directory)) {
         const auto file = parseJsonFile(name);
         if (!file)
-            return file.lastReason();
+            return file.failureReason();
         if (const auto error = takeDocument(*file, documents))
             return name + ": " + *error;
     }
@@ -56,7 +56,7 @@
         return std::nullopt;
     const auto list = parseJsonFile(vmFile);
     if (!list)
-        return list.lastReason();
+        return list.failureReason();
     m_vms.set((*list)["vms"]);
     return std::nullopt;
 }
--- a/tools/berylctl/Charts.cpp
+++ b/tools/berylctl/Charts.cpp
@@ -62,14 +62,14 @@
         complain(folder.getValue() + ": " + (error ? error.message() : "holds no chart"));
         return exitErrorsFound;
     }
-    int status = exitFine;
+    int status = exitSuccess;
     for (const auto &file : files) {
         const auto chart = Chart::load(file);
         if (chart) {
             printChart(file, *chart);
             continue;
         }
-        std::cerr << chart.lastReason() << '\n';
+        std::cerr << chart.failureReason() << '\n';
         status = exitErrorsFound;
     }
     return status;
--- a/tools/berylctl/Check.cpp
+++ b/tools/berylctl/Check.cpp
@@ -26,7 +26,7 @@
          {"EXAMPLES", "berylctl check services/\nberylctl check --against published services/"}}};
 }
 
-Difference compareTexts(const DocumentText &inForce, const DocumentText &next, double allowedCut)
+Difference compareTexts(const DocumentText &inForce, const DocumentText &next, double maxShareCut)
 {
     if (next.name == DocumentStore::fleetName) {
         const auto before = readFleetDocument(inForce.name, inForce.text);
@@ -37,7 +37,7 @@
         const auto before = readServiceDocument(inForce.name, inForce.text);
         const auto after = readServiceDocument(next.name, next.text);
         if (before.value && after.value)
-            return compareServices(*before.value, *after.value, allowedCut);
+            return compareServices(*before.value, *after.value, maxShareCut);
     }
     return {{}, {"the document in force can't be read by this release"}};
 }
@@ -51,7 +51,7 @@
 }
 
 void compareWith(const DocumentSet &published, const std::vector<DocumentText> &documents,
-                 double allowedCut)
+                 double maxShareCut)
 {
     std::size_t changed = 0;
     for (const auto &document : documents) {
@@ -59,7 +59,7 @@
         if (found == published.end())
             std::cout << document.name << ": new\n";
         else if (found->second.text != document.text)
-            printDifference(document.name, compareTexts(found->second, document, allowedCut));
+            printDifference(document.name, compareTexts(found->second, document, maxShareCut));
         else
             continue;
         ++changed;
@@ -74,10 +74,10 @@
     CommandLine line(checkPage());
     TCLAP::ValueArg<std::string> against("a", "against", "a folder of documents to compare with",
                                          false, "", "FOLDER", line.arguments());
-    TCLAP::ValueArg<double> allowedCut("", "allowed-cut",
-                                       "the part of its share that a workspace may lose without a "
-                                       "warning; 0.1 without this option",
-                                       false, 0.1, "PART", line.arguments());
+    TCLAP::ValueArg<double> maxShareCut("", "allowed-cut",
+                                        "the part of its share that a workspace may lose without a "
+                                        "warning; 0.1 without this option",
+                                        false, 0.1, "PART", line.arguments());
     Remote remote(line, false);
     TCLAP::UnlabeledMultiArg<std::string> paths("path", "folders and files to read", true, "PATH",
                                                 line.arguments());
@@ -88,13 +88,13 @@
         return exitErrorsFound;
     if (!against.isSet() && remote.routers().empty()) {
         std::cout << publication->documents.size() << " documents, no errors\n";
-        return exitFine;
+        return exitSuccess;
     }
     const auto published = publishedDocuments(against.getValue(), remote);
     if (!published)
         return exitErrorsFound;
-    compareWith(*published, publication->documents, allowedCut.getValue());
-    return exitFine;
+    compareWith(*published, publication->documents, maxShareCut.getValue());
+    return exitSuccess;
 }
 
 } // namespace berylridge::ctl
--- a/tools/berylctl/Collect.cpp
+++ b/tools/berylctl/Collect.cpp
@@ -49,7 +49,7 @@
         }
         std::cout << (before == 0 ? ", new\n" : ", was " + std::to_string(before) + "\n");
         if (const auto written = writeDocument(folder, document); !written) {
-            complain(written.lastReason());
+            complain(written.failureReason());
             return false;
         }
         ++changed;
@@ -100,7 +100,7 @@
         return exitErrorsFound;
     assignVersions(publication->documents, *published);
     warnOfOrphans(publication->documents, *published);
-    return writeChanged(out.getValue(), publication->documents, *inFolder) ? exitFine
+    return writeChanged(out.getValue(), publication->documents, *inFolder) ? exitSuccess
                                                                            : exitErrorsFound;
 }
 
--- a/tools/berylctl/Digest.cpp
+++ b/tools/berylctl/Digest.cpp
@@ -32,7 +32,7 @@
     }
     if (!hasAny)
         std::cerr << "berylctl: no key on standard input\n";
-    return hasAny ? exitFine : exitErrorsFound;
+    return hasAny ? exitSuccess : exitErrorsFound;
 }
 
 } // namespace berylridge::ctl
--- a/tools/berylctl/Events.cpp
+++ b/tools/berylctl/Events.cpp
@@ -54,7 +54,7 @@
         std::cout << "| " << number << " | " << info.name << " | " << logLevelName(info.level)
                   << " | " << info.text << " |\n";
     }
-    return exitFine;
+    return exitSuccess;
 }
 
 } // namespace berylridge::ctl
--- a/tools/berylctl/Files.cpp
+++ b/tools/berylctl/Files.cpp
@@ -81,7 +81,7 @@
     for (const auto &path : paths) {
         const auto found = listPath(path);
         if (!found)
-            return Reason {found.lastReason()};
+            return Reason {found.failureReason()};
         names.insert(names.end(), found->begin(), found->end());
     }
     // Folders that overlap would else make a service clash with itself.
@@ -91,7 +91,7 @@
     for (const auto &name : names) {
         auto text = readFile(name);
         if (!text)
-            return Reason {text.lastReason()};
+            return Reason {text.failureReason()};
         sources.push_back({name, *std::move(text)});
     }
     return sources;
@@ -110,7 +110,7 @@
         const auto path = entry->path().string();
         const auto text = readFile(path);
         if (!text)
-            return Reason {text.lastReason()};
+            return Reason {text.failureReason()};
         auto read = readEnvelope(path, *text);
         if (!read.value)
             return Reason {read.diagnostics.front().str()};
--- a/tools/berylctl/Operate.cpp
+++ b/tools/berylctl/Operate.cpp
@@ -45,7 +45,7 @@
         history.read(log);
     }
     if (history.print(std::cout))
-        return exitFine;
+        return exitSuccess;
     complain("no log names the request " + requestId);
     return exitErrorsFound;
 }
@@ -75,7 +75,7 @@
         return explainFromLogs(logs.getValue(), id.getValue());
     if (remote.routers().empty()) {
         complain("give a router or a log");
-        return exitWrongUsage;
+        return exitUsageError;
     }
     Json::Value parameters;
     parameters["requestId"] = id.getValue();
@@ -87,7 +87,7 @@
             isKnown = true;
         }
     }
-    if (const auto status = reportFailures(replies); status != exitFine || isKnown)
+    if (const auto status = reportFailures(replies); status != exitSuccess || isKnown)
         return status;
     std::cerr << "berylctl: no router knows the request " << id.getValue() << '\n';
     return exitErrorsFound;
--- a/tools/berylctl/Remote.cpp
+++ b/tools/berylctl/Remote.cpp
@@ -44,20 +44,20 @@
     for (const auto &text : m_routers.getValue()) {
         auto endpoint = parseEndpoint(text);
         if (!endpoint) {
-            complain("--router " + text + ": " + endpoint.lastReason());
-            return exitWrongUsage;
+            complain("--router " + text + ": " + endpoint.failureReason());
+            return exitUsageError;
         }
         m_endpoints.push_back(*std::move(endpoint));
     }
     if (m_timeout.getValue() == 0 || m_timeout.getValue() > 3600) {
         complain("--timeout: must be from 1 to 3600");
-        return exitWrongUsage;
+        return exitUsageError;
     }
     if (m_endpoints.empty())
         return std::nullopt;
     auto key = readKey();
     if (!key)
-        return exitWrongUsage;
+        return exitUsageError;
     m_key = *std::move(key);
     return std::nullopt;
 }
@@ -73,7 +73,7 @@
     }
     auto text = readFile(m_keyFile.getValue());
     if (!text) {
-        complain(text.lastReason());
+        complain(text.failureReason());
         return std::nullopt;
     }
     return text->substr(0, text->find_first_of("\r\n"));
@@ -108,13 +108,13 @@
 {
     auto documents = folder.empty() ? Expected(DocumentSet()) : readDocuments(folder);
     if (!documents) {
-        complain(documents.lastReason());
+        complain(documents.failureReason());
         return std::nullopt;
     }
     Json::Value parameters;
     parameters["withText"] = true;
     const auto replies = remote.callAll("documents", parameters);
-    if (reportFailures(replies) != exitFine)
+    if (reportFailures(replies) != exitSuccess)
         return std::nullopt;
     for (const auto &[router, reply] : replies) {
         for (const auto &document : reply.result["documents"]) {
@@ -128,7 +128,7 @@
 
 int reportFailures(const std::vector<RouterReply> &replies)
 {
-    int status = exitFine;
+    int status = exitSuccess;
     for (const auto &[router, reply] : replies) {
         if (reply.isFine)
             continue;
--- a/tools/berylctl/Sources.cpp
+++ b/tools/berylctl/Sources.cpp
@@ -20,7 +20,7 @@
 {
     const auto sources = findSources(paths);
     if (!sources) {
-        complain(sources.lastReason());
+        complain(sources.failureReason());
         return std::nullopt;
     }
     if (sources->empty()) {
--- a/tools/berylctl/main.cpp
+++ b/tools/berylctl/main.cpp
@@ -48,7 +48,7 @@
 int wrongUsage(const std::string &message)
 {
     std::cerr << "berylctl: " << message << "; see berylctl --help\n";
-    return exitWrongUsage;
+    return exitUsageError;
 }
 
 } // namespace
@@ -60,11 +60,11 @@
     const std::string_view word = argv[1];
     if (word == "--help" || word == "-h") {
         printHelp();
-        return exitFine;
+        return exitSuccess;
     }
     if (word == "--version") {
         std::cout << "berylctl " << BERYLRIDGE_VERSION << '\n';
-        return exitFine;
+        return exitSuccess;
     }
     const auto *command = std::find_if(commands.begin(), commands.end(),
                                        [&](const Command &known) { return known.name == word; });
--- a/tools/berylload/JsonText.cpp
+++ b/tools/berylload/JsonText.cpp
@@ -28,7 +28,7 @@
     text << file.rdbuf();
     auto value = parseJson(text.str());
     if (!value)
-        return Reason {path + ": " + value.lastReason()};
+        return Reason {path + ": " + value.failureReason()};
     return value;
 }
 
--- a/tools/berylload/Profile.cpp
+++ b/tools/berylload/Profile.cpp
@@ -138,7 +138,7 @@
 {
     const auto value = parseJsonFile(file);
     if (!value)
-        return Reason {value.lastReason()};
+        return Reason {value.failureReason()};
     std::string errors;
     Profile profile;
     {
--- a/tools/berylload/main.cpp
+++ b/tools/berylload/main.cpp
@@ -55,7 +55,7 @@
 
     const auto purchases = judgePurchases(profile, generator.tally());
     if (!purchases) {
-        std::cerr << purchases.lastReason() << '\n';
+        std::cerr << purchases.failureReason() << '\n';
         return exitErrorsFound;
     }
     const auto fairness = measureFairness(sampler.samples(), weightsOf(profile));
@@ -63,7 +63,7 @@
     printReport(std::cout, report);
     if (!jsonFile.empty())
         std::ofstream(jsonFile) << toText(report) << '\n';
-    return report["violations"].asUInt64() == 0 ? exitFine : exitErrorsFound;
+    return report["violations"].asUInt64() == 0 ? exitSuccess : exitErrorsFound;
 }
 
 } // namespace
@@ -80,14 +80,14 @@
         return *status;
     const auto read = readProfile(profileFile.getValue());
     if (!read) {
-        std::cerr << read.lastReason() << '\n';
-        return exitWrongUsage;
+        std::cerr << read.failureReason() << '\n';
+        return exitUsageError;
     }
     Profile profile = *read;
     profile.isDirect = profile.isDirect || direct.getValue();
     if (const auto fault = unreachable(profile)) {
         std::cerr << profileFile.getValue() << ": " << fault << '\n';
-        return exitWrongUsage;
+        return exitUsageError;
     }
     return run(profile, json.getValue());
 }
--- a/tools/berylreplay/BerylReplay.cpp
+++ b/tools/berylreplay/BerylReplay.cpp
@@ -34,12 +34,12 @@
     }
     const auto trace = readTrace(file, in);
     if (!trace) {
-        std::cerr << trace.lastReason() << '\n';
+        std::cerr << trace.failureReason() << '\n';
         return 2;
     }
     const auto outcome = replay(*trace, charts, isWhole, std::cout);
     if (!outcome) {
-        std::cerr << outcome.lastReason() << '\n';
+        std::cerr << outcome.failureReason() << '\n';
         return 2;
     }
     for (const auto &[name, count] : *outcome)
--- a/tools/berylreplay/Session.cpp
+++ b/tools/berylreplay/Session.cpp
@@ -113,7 +113,7 @@
     options.chartDirectory = chartDirectory;
     auto core = Core::create(options, trace.start, trace.startWall);
     if (!core)
-        return Reason {core.lastReason()};
+        return Reason {core.failureReason()};
     SessionWriter writer(trace, isWhole, out);
     const auto feed = [&](const Event &event, TimePoint at, WallTime wall) {
         Actions actions;
--- a/tools/berylridged/Main.cpp
+++ b/tools/berylridged/Main.cpp
@@ -66,8 +66,8 @@
     const CoreOptions options = coreOptions(settings, clock.wallNow());
     Expected<std::unique_ptr<Core>> core = Core::create(options, clock.now(), clock.wallNow());
     if (!core) {
-        std::cerr << core.lastReason() << '\n';
-        return exitWrongUsage;
+        std::cerr << core.failureReason() << '\n';
+        return exitUsageError;
     }
     Core &decisions = **core;
     LogSink log(logLevelOf(settings.logLevel), log4cplusWriter());
@@ -95,7 +95,7 @@
               .handlesSignals(true)
               .build();
     if (!built) {
-        std::cerr << built.lastReason() << '\n';
+        std::cerr << built.failureReason() << '\n';
         return exitErrorsFound;
     }
     node = *std::move(built);
@@ -103,14 +103,14 @@
              settings.node.str() + " zone " + settings.zone.str() + " callers at "
                  + node->callers().address + ':' + std::to_string(node->callers().port)});
     node->run();
-    return exitFine;
+    return exitSuccess;
 }
 
 } // namespace
 
 int main(int argc, char **argv)
 {
-    reportFatalSignals();
+    installFatalSignalHandlers();
     CommandLine line(manPage());
     TCLAP::ValueArg<std::string> path("s", "settings", "the settings file, JSON with comments",
                                       true, "", "FILE", line.arguments());
@@ -120,6 +120,6 @@
         return *status;
     const std::optional<Settings> settings = loadSettings(path.getValue(), std::cerr);
     if (!settings)
-        return exitWrongUsage;
-    return isCheckOnly.getValue() ? exitFine : serve(*settings);
+        return exitUsageError;
+    return isCheckOnly.getValue() ? exitSuccess : serve(*settings);
 }
--- a/unittests/Admin/AdminApiTest.cpp
+++ b/unittests/Admin/AdminApiTest.cpp
@@ -36,7 +36,7 @@
         NodeStatus made;
         made.node = NodeId("a1");
         made.state = state;
-        made.documents = {DocumentHead {"fleet", 3}};
+        made.documents = {DocumentVersionEntry {"fleet", 3}};
         made.members.push_back({NodeId("b1"), ZoneId("b"), "live", 7, 0.5});
         made.targets.emplace_back();
         made.workspaces.emplace_back();
--- a/unittests/Balancer/BalancerCoreTest.cpp
+++ b/unittests/Balancer/BalancerCoreTest.cpp
@@ -54,7 +54,7 @@
     installTargets({"t1"});
     Catalog old;
     old.version = 6;
-    handle(NodeMessage {NodeId("n2"), 1, BalancerMessage(CatalogNews {old})});
+    handle(NodeMessage {NodeId("n2"), 1, BalancerMessage(CatalogUpdate {old})});
     sendRequest("/read/1");
     EXPECT_TRUE(findAction<Dispatch>());
 }
@@ -313,7 +313,7 @@
     for (const Action &action : actions) {
         if (const auto *out = std::get_if<SendToNode>(&action)) {
             const auto *relay = std::get_if<BalancerMessage>(&out->message);
-            hasCatalog |= relay && std::holds_alternative<CatalogNews>(*relay);
+            hasCatalog |= relay && std::holds_alternative<CatalogUpdate>(*relay);
         }
     }
     EXPECT_TRUE(hasCatalog);
--- a/unittests/Balancer/BalancerFixture.h
+++ b/unittests/Balancer/BalancerFixture.h
@@ -26,7 +26,7 @@
         options.incarnation = 5;
         options.chartDirectory = BERYLRIDGE_SOURCE_DIR "/charts";
         auto created = BalancerCore::create(options, clock.now(), clock.wallNow());
-        ASSERT_TRUE(created) << created.lastReason();
+        ASSERT_TRUE(created) << created.failureReason();
         core = *std::move(created);
     }
 
@@ -127,7 +127,7 @@
         return {dispatch.handle, dispatch.attempt, failureKind, sentAny, false};
     }
 
-    PausedClock clock;
+    ManualClock clock;
     std::unique_ptr<BalancerCore> core;
     Actions actions;
     RequestHandle lastHandle = 0;
--- a/unittests/Balancer/ReaderRoleTest.cpp
+++ b/unittests/Balancer/ReaderRoleTest.cpp
@@ -9,13 +9,14 @@
 class ReaderRoleTest : public test::BalancerFixture
 {
 protected:
-    void receiveDigest(const char *node, bool isReading, std::uint64_t directoryRevision = 0)
+    void receiveDigest(const char *node, bool isReadingPlatform,
+                       std::uint64_t directoryRevision = 0)
     {
         LoadDigest digest;
         digest.zone = "a";
         digest.address = "10.0.0.2";
         digest.port = 7400;
-        digest.isReading = isReading;
+        digest.isReadingPlatform = isReadingPlatform;
         digest.directoryRevision = directoryRevision;
         digest.catalogVersion = directoryRevision > 0 ? 1 : 0;
         handle(NodeMessage {NodeId(node), 1, BalancerMessage(digest)});
--- a/unittests/Catalog/TargetDirectoryTest.cpp
+++ b/unittests/Catalog/TargetDirectoryTest.cpp
@@ -46,7 +46,7 @@
         return entry && directory.isUsable(*entry, clock.now());
     }
 
-    PausedClock clock;
+    ManualClock clock;
     TargetDirectory directory;
 };
 
--- a/unittests/Chart/ChartTest.cpp
+++ b/unittests/Chart/ChartTest.cpp
@@ -33,7 +33,7 @@
 
 std::string errorsOf(const std::string &text)
 {
-    return Chart::read("door.json", text).lastReason();
+    return Chart::read("door.json", text).failureReason();
 }
 
 enum class Door : std::uint8_t { Broken, Shut, Open };
@@ -44,7 +44,7 @@
 TEST(Chart, ListedIgnoredAndUnlistedPairs)
 {
     const auto chart = Chart::read("door.json", door);
-    ASSERT_TRUE(chart) << chart.lastReason();
+    ASSERT_TRUE(chart) << chart.failureReason();
     EXPECT_EQ(chart->initial(), 0);
     EXPECT_EQ(chart->next(0, 0), 1);
     EXPECT_EQ(chart->next(2, 1), 2) << "ignored: the state stays";
@@ -85,7 +85,7 @@
     constexpr auto states = std::to_array<std::string_view>({"broken", "shut", "open"});
     constexpr auto blows = std::to_array<std::string_view>({"push", "kick"});
     const auto table = ChartTable<Door, Blow>::load(path, states, blows);
-    ASSERT_TRUE(table) << table.lastReason();
+    ASSERT_TRUE(table) << table.failureReason();
     EXPECT_EQ(table->initial(), Door::Shut);
     EXPECT_EQ(table->next(Door::Shut, Blow::Push), Door::Open);
     EXPECT_EQ(table->next(Door::Open, Blow::Push), std::nullopt);
@@ -93,7 +93,7 @@
 
     constexpr auto others = std::to_array<std::string_view>({"broken", "shut", "ajar"});
     const auto wrong = ChartTable<Door, Blow>::load(path, others, blows);
-    EXPECT_EQ(wrong.lastReason(),
+    EXPECT_EQ(wrong.failureReason(),
               path + ":1: state 'ajar' is missing\n" + path
                   + ":1: state 'open' is not one that the program knows");
     std::remove(path.c_str());
--- a/unittests/Chart/LivesTest.cpp
+++ b/unittests/Chart/LivesTest.cpp
@@ -18,7 +18,7 @@
 {
     const auto check = [](const char *name, bool mayOmit) {
         const auto chart = Chart::load(charts + "/" + name);
-        ASSERT_TRUE(chart) << chart.lastReason();
+        ASSERT_TRUE(chart) << chart.failureReason();
         for (std::size_t i = 0; i < chart->states().size(); ++i) {
             for (std::size_t j = 0; j < chart->signalNames().size(); ++j) {
                 EXPECT_TRUE(mayOmit || chart->next(Chart::Index(i), Chart::Index(j)))
@@ -37,7 +37,7 @@
 TEST(Lives, TargetIsColdAgainFromEveryStateThatTakesWork)
 {
     const auto life = loadTargetLife(charts);
-    ASSERT_TRUE(life) << life.lastReason();
+    ASSERT_TRUE(life) << life.failureReason();
     for (const auto state : {TargetState::Unknown, TargetState::Cold, TargetState::Warming,
                              TargetState::Warm, TargetState::Suspect}) {
         for (const auto sign :
@@ -52,7 +52,7 @@
 TEST(Lives, SilenceAloneNeverMakesAMemberGone)
 {
     const auto life = loadMemberLife(charts);
-    ASSERT_TRUE(life) << life.lastReason();
+    ASSERT_TRUE(life) << life.failureReason();
     EXPECT_EQ(life->next(MemberState::Live, MemberSign::Silence), MemberState::Suspect);
     EXPECT_EQ(life->next(MemberState::Suspect, MemberSign::Silence), MemberState::Suspect);
     EXPECT_EQ(life->next(MemberState::Live, MemberSign::Unlisted), MemberState::Live);
@@ -62,10 +62,10 @@
 TEST(Lives, EndsHaveNoWayOut)
 {
     const auto request = loadRequestLife(charts);
-    ASSERT_TRUE(request) << request.lastReason();
+    ASSERT_TRUE(request) << request.failureReason();
     EXPECT_EQ(request->next(RequestState::Refused, RequestSign::AnswerEnded),
               RequestState::Refused);
     const auto node = loadNodeLife(charts);
-    ASSERT_TRUE(node) << node.lastReason();
+    ASSERT_TRUE(node) << node.failureReason();
     EXPECT_EQ(node->next(NodeState::Stopped, NodeSign::ReturnOrdered), NodeState::Stopped);
 }
--- a/unittests/Config/DifferenceTest.cpp
+++ b/unittests/Config/DifferenceTest.cpp
@@ -32,7 +32,7 @@
 
 // A large neighbour's weight is raised in a file where the small workspace's own line doesn't
 // change: its share is cut all the same, and the operator must hear of it before it happens.
-TEST(Difference, AShareThatWouldBeCutIsAWarning)
+TEST(Difference, ReducedShareCausesAWarning)
 {
     auto next = service();
     next.workspaces[1].weight = 9;
@@ -42,7 +42,7 @@
     EXPECT_EQ(difference.warnings, Lines {"workspace hue share 25% -> 10% is a cut"});
 }
 
-TEST(Difference, ALeavingTargetCutsTheServicesSlots)
+TEST(Difference, LeavingTargetReducesTheServicesSlots)
 {
     auto next = service();
     next.targets[0].isLeaving = true;
@@ -53,7 +53,7 @@
     EXPECT_EQ(difference.warnings, Lines {"the service loses slots: 8 -> 4"});
 }
 
-TEST(Difference, ARemovedWorkspaceAndANewOne)
+TEST(Difference, ReportsRemovedAndAddedWorkspaces)
 {
     auto next = service();
     next.workspaces[0].workspace = WorkspaceId("hoi-an");
@@ -64,7 +64,7 @@
               Lines {"workspace hue loses the service: its callers will be refused"});
 }
 
-TEST(Difference, ZonesOutAndBack)
+TEST(Difference, ReportsZonesTakenOutAndReturned)
 {
     const FleetDocument before {1, {ZoneId("a")}};
     const FleetDocument next {2, {ZoneId("b")}};
--- a/unittests/Config/DocumentReaderTest.cpp
+++ b/unittests/Config/DocumentReaderTest.cpp
@@ -1,5 +1,5 @@
 // Service and fleet documents: what is read, and which errors are reported where.
-#include "berylridge/Config/Reader.h"
+#include "berylridge/Config/DocumentReader.h"
 
 #include <gtest/gtest.h>
 
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr std::string_view good = R"({
+constexpr std::string_view valid = R"({
   // The assistant of the recipe pages.
   "service": "assistant",
   "kind": "model-engine",
@@ -33,7 +33,7 @@
 
 TEST(DocumentReader, ReadsAServiceDocument)
 {
-    const auto read = readServiceDocument("s.json", good);
+    const auto read = readServiceDocument("s.json", valid);
     ASSERT_TRUE(read.value);
     EXPECT_EQ(read.value->service, ServiceId("assistant"));
     EXPECT_EQ(read.value->kind, ServiceKind::ModelEngine);
@@ -90,7 +90,7 @@
               }));
 }
 
-TEST(DocumentReader, SaysWhereTextIsNotJson)
+TEST(DocumentReader, ReportsTheLineOfInvalidJson)
 {
     EXPECT_EQ(errorsOf("{\n\"service\": \"s\",\n\"slots\": }\n"),
               Lines {"s.json:3: syntax error: value, object or array expected"});
@@ -99,7 +99,7 @@
     EXPECT_EQ(errorsOf(std::string(1000, '[')).size(), 1U);
 }
 
-TEST(DocumentReader, LinesCountByAnyLineEnd)
+TEST(DocumentReader, CountsAllKindsOfLineEnds)
 {
     EXPECT_EQ(errorsOf("{\r\n\"service\": \"s\",\r\n\"slots\": 0,\r\n\"slots\": 1}"),
               (Lines {"s.json:3: slots: must be an integer from 1 to 65536",
--- a/unittests/Config/DocumentStoreTest.cpp
+++ b/unittests/Config/DocumentStoreTest.cpp
@@ -12,7 +12,7 @@
     return {"service/s", version, R"({"service": "s", "slots": )" + slots + "}"};
 }
 
-std::uint32_t slotsInForce(const DocumentStore &store)
+std::uint32_t activeSlots(const DocumentStore &store)
 {
     return store.service(ServiceId("s"))->slots;
 }
@@ -21,19 +21,19 @@
 
 // A node that kept serving under version 7 hears version 6 from a stale platform: nothing may
 // change, else limits that operators raised an hour ago would fall back.
-TEST(DocumentStore, AnOlderVersionChangesNothing)
+TEST(DocumentStore, OlderVersionChangesNothing)
 {
     DocumentStore store;
     EXPECT_EQ(store.accept(service(7, "7")).status, AcceptStatus::Accepted);
     EXPECT_EQ(store.accept(service(6, "6")).status, AcceptStatus::Stale);
     EXPECT_EQ(store.accept(service(7, "7")).status, AcceptStatus::Stale);
-    EXPECT_EQ(slotsInForce(store), 7U);
+    EXPECT_EQ(activeSlots(store), 7U);
     EXPECT_EQ(store.version("service/s"), 7U);
 }
 
 // Two operators publish different texts as version 7. Each half of the fleet would call its own one
 // current for ever, so the second is refused where the first is in force.
-TEST(DocumentStore, TheSameVersionWithAnotherTextIsRefused)
+TEST(DocumentStore, SameVersionWithDifferentTextIsRefused)
 {
     DocumentStore store;
     EXPECT_EQ(store.accept(service(7, "7")).status, AcceptStatus::Accepted);
@@ -42,12 +42,12 @@
     ASSERT_EQ(result.diagnostics.size(), 1U);
     EXPECT_EQ(result.diagnostics[0].str(),
               "service/s:1: version: another text is in force under the same version");
-    EXPECT_EQ(slotsInForce(store), 7U);
+    EXPECT_EQ(activeSlots(store), 7U);
 }
 
-// A published document that can't be read leaves the last good one in force; a corrected one with a
-// higher version then takes effect.
-TEST(DocumentStore, AnUnacceptableDocumentLeavesTheLastGoodOne)
+// A published document that can't be read leaves the last valid one in force; a corrected one with
+// a higher version then takes effect.
+TEST(DocumentStore, InvalidDocumentKeepsThePreviousOneActive)
 {
     DocumentStore store;
     EXPECT_EQ(store.accept(service(1, "1")).status, AcceptStatus::Accepted);
@@ -56,13 +56,13 @@
     EXPECT_EQ(refused.status, AcceptStatus::Refused);
     EXPECT_EQ(refused.from, 1U);
     EXPECT_FALSE(refused.diagnostics.empty());
-    EXPECT_EQ(slotsInForce(store), 1U);
+    EXPECT_EQ(activeSlots(store), 1U);
     EXPECT_EQ(store.digest(), digest);
     EXPECT_EQ(store.accept(service(3, "3")).status, AcceptStatus::Accepted);
-    EXPECT_EQ(slotsInForce(store), 3U);
+    EXPECT_EQ(activeSlots(store), 3U);
 }
 
-TEST(DocumentStore, ANameThatIsNotTheTextsOwnIsRefused)
+TEST(DocumentStore, DocumentWithMismatchedNameIsRefused)
 {
     DocumentStore store;
     EXPECT_EQ(store.accept({"service/t", 1, R"({"service": "s"})"}).status, AcceptStatus::Refused);
@@ -72,7 +72,7 @@
     EXPECT_EQ(store.digest(), 0U);
 }
 
-TEST(DocumentStore, TheDigestSpeaksOfNamesAndVersionsOnly)
+TEST(DocumentStore, DigestCoversNamesAndVersionsOnly)
 {
     DocumentStore one;
     DocumentStore other;
--- a/unittests/Config/FuzzTest.cpp
+++ b/unittests/Config/FuzzTest.cpp
@@ -20,7 +20,7 @@
 
 const std::string digest(64, 'a');
 
-const std::string goodDocument = R"({
+const std::string validDocument = R"({
   "service": "shop", "kind": "plain", "slots": 6, "coldSlots": 2, "queueTimeoutMs": 4000,
   "retryBudget": 0.25, "bodyLimit": 1000, // bytes
   "routes": [{"method": "POST", "pathPrefix": "/lookup", "isIdempotent": true}],
@@ -29,22 +29,22 @@
   "targets": [{"target": "a1", "zone": "a", "address": "127.0.2.1", "port": 9001}]
 })";
 
-const std::string goodFleet = "{\n  \"zonesOut\": [\"a\", /* until noon */ \"b\"]\n}";
+const std::string validFleet = "{\n  \"zonesOut\": [\"a\", /* until noon */ \"b\"]\n}";
 
-const std::string goodWorkspaces = R"({
+const std::string validWorkspaces = R"({
   "workspaces": {"hue": ")"
     + digest + R"(", "hoi-an": ")" + std::string(64, 'b') + R"("},
   "groups": {"potters": {"hue": 1, "hoi-an": 2.5}}
 })";
 
-const std::string goodServiceFile = R"({
+const std::string validServiceFile = R"({
   "service": "shop", // credits
   "targets": {"a": {"a1": "10.0.2.1:9001", "a2": {"at": "[fd00::7]:9001", "isLeaving": true}}},
   "routes": {"POST /orders": "once"},
   "workspaces": {"potters": 2, "hue": {"weight": 5, "queueLimit": 7}}
 })";
 
-const std::string goodSettings = R"({
+const std::string validSettings = R"({
   "node": "a1", "zone": "a",
   "callers": {"address": "127.0.1.1", "port": 8080},
   "peers": {"address": "127.0.1.1", "port": 7400},
@@ -64,37 +64,37 @@
 }
 
 /// Ends of lines as the parser counts them can't be more than these.
-int lineEnds(std::string_view text)
+int lineEndCount(std::string_view text)
 {
     return static_cast<int>(
         std::count_if(text.begin(), text.end(), [](char c) { return c == '\n' || c == '\r'; }));
 }
 
 template <typename T>
-::testing::AssertionResult isSound(const ReadResult<T> &read, const std::string &text)
+::testing::AssertionResult isConsistent(const ReadResult<T> &read, const std::string &text)
 {
     if (read.value.has_value() != read.diagnostics.empty())
         return ::testing::AssertionFailure() << "neither value nor diagnostic, or both: " << text;
     for (const auto &diagnostic : read.diagnostics) {
-        const bool isInText = diagnostic.line >= 1 && diagnostic.line <= lineEnds(text) + 1;
+        const bool isInText = diagnostic.line >= 1 && diagnostic.line <= lineEndCount(text) + 1;
         if (!isInText || diagnostic.message.empty())
             return ::testing::AssertionFailure() << diagnostic.str() << "\nof " << text;
     }
     return ::testing::AssertionSuccess();
 }
 
-/// Calls the reader with spoilt texts, and tells how many of them it took for good.
+/// Calls the reader with spoilt texts, and tells how many of them it took for valid.
 template <typename Reader>
-int fuzz(const std::string &good, Reader reader)
+int fuzz(const std::string &valid, Reader reader)
 {
     Mutator mutator(seed);
-    EXPECT_TRUE(reader(good).value.has_value()) << good;
+    EXPECT_TRUE(reader(valid).value.has_value()) << valid;
     int accepted = 0;
     for (int i = 0; i < rounds(); ++i) {
-        const auto text = mutator.mutate(good);
+        const auto text = mutator.mutate(valid);
         const auto read = reader(text);
-        if (!isSound(read, text)) {
-            ADD_FAILURE() << "round " << i << ": " << isSound(read, text).message();
+        if (!isConsistent(read, text)) {
+            ADD_FAILURE() << "round " << i << ": " << isConsistent(read, text).message();
             return accepted;
         }
         accepted += read.value.has_value() ? 1 : 0;
@@ -106,7 +106,7 @@
 
 TEST(Fuzz, ServiceDocument)
 {
-    const auto accepted = fuzz(goodDocument, [](const std::string &text) {
+    const auto accepted = fuzz(validDocument, [](const std::string &text) {
         auto read = readServiceDocument("f", text);
         // What a router takes must come back the same from what a tool writes of it.
         if (read.value) {
@@ -121,22 +121,22 @@
 
 TEST(Fuzz, FleetDocument)
 {
-    EXPECT_GT(fuzz(goodFleet, [](const std::string &text) { return readFleetDocument("f", text); }),
-              0);
+    EXPECT_GT(
+        fuzz(validFleet, [](const std::string &text) { return readFleetDocument("f", text); }), 0);
 }
 
 TEST(Fuzz, WorkspacesFile)
 {
-    EXPECT_GT(
-        fuzz(goodWorkspaces, [](const std::string &text) { return readWorkspacesFile("f", text); }),
-        0);
+    EXPECT_GT(fuzz(validWorkspaces,
+                   [](const std::string &text) { return readWorkspacesFile("f", text); }),
+              0);
 }
 
 TEST(Fuzz, ServiceFile)
 {
-    const auto workspaces = readWorkspacesFile("w", goodWorkspaces);
+    const auto workspaces = readWorkspacesFile("w", validWorkspaces);
     ASSERT_TRUE(workspaces.value);
-    EXPECT_GT(fuzz(goodServiceFile,
+    EXPECT_GT(fuzz(validServiceFile,
                    [&](const std::string &text) {
                        return readServiceFile("f", text, *workspaces.value);
                    }),
@@ -145,13 +145,13 @@
 
 TEST(Fuzz, Settings)
 {
-    EXPECT_GT(fuzz(goodSettings, [](const std::string &text) { return readSettings("f", text); }),
+    EXPECT_GT(fuzz(validSettings, [](const std::string &text) { return readSettings("f", text); }),
               0);
 }
 
 TEST(Fuzz, Envelope)
 {
-    EXPECT_GT(fuzz(writeEnvelope({"service/shop", 3, goodDocument}),
+    EXPECT_GT(fuzz(writeEnvelope({"service/shop", 3, validDocument}),
                    [](const std::string &text) { return readEnvelope("f", text); }),
               0);
 }
--- a/unittests/Config/Mutator.h
+++ b/unittests/Config/Mutator.h
@@ -1,4 +1,4 @@
-// Spoils a good text in the ways that broken files and hostile senders do; every run of a seed is
+// Spoils a valid text in the ways that broken files and hostile senders do; every run of a seed is
 // the same.
 #pragma once
 
