--- a/unittests/Config/PublicationTest.cpp
+++ b/unittests/Config/PublicationTest.cpp
@@ -30,7 +30,7 @@
 
 } // namespace
 
-TEST(Publication, VersionsRiseOnlyWhereTheTextChanged)
+TEST(Publication, VersionsRiseOnlyWhereTheTextChanges)
 {
     EXPECT_EQ(nextVersion("x", {}), 1U);
     EXPECT_EQ(nextVersion("x", setOf({{"fleet", 4, "x"}})), 4U);
@@ -41,14 +41,14 @@
 
 // Two operators published different texts as version 4, and some nodes hold each. Publishing either
 // text as 4 again would leave the fleet split for ever, so the next version is above both.
-TEST(Publication, RisesAboveTwoTextsUnderOneVersion)
+TEST(Publication, NextVersionExceedsConflictingVersions)
 {
     const auto split = setOf({{"fleet", 4, "x"}, {"fleet", 4, "y"}});
     EXPECT_EQ(nextVersion("x", split), 5U);
     EXPECT_EQ(nextVersion("y", split), 5U);
 }
 
-TEST(Publication, ADocumentOverTheServicesLimitIsAnError)
+TEST(Publication, OversizedDocumentIsAnError)
 {
     std::string workspaces;
     std::string shares;
@@ -66,7 +66,7 @@
     EXPECT_NE(message.find("at most 1000000 are allowed"), std::string::npos) << message;
 }
 
-TEST(Publication, WarnsOfWhatIsAllowedButOdd)
+TEST(Publication, WarnsOfSuspiciousButValidSources)
 {
     const std::vector<SourceFile> sources {
         {"one.berylridge.json", R"({"service": "one", "targets": {"a": {"x": "10.0.0.1:1"}}})"},
--- a/unittests/Config/ServiceFileTest.cpp
+++ b/unittests/Config/ServiceFileTest.cpp
@@ -42,7 +42,7 @@
 
 } // namespace
 
-TEST(ServiceFile, BecomesADocument)
+TEST(ServiceFile, ConvertsToAServiceDocument)
 {
     const auto read = readServiceFile("shop", shopFile, workspaces());
     ASSERT_TRUE(read.value) << errorsOf(read);
@@ -60,7 +60,7 @@
     EXPECT_FALSE(shop.routes[1].isIdempotent);
 }
 
-TEST(ServiceFile, WhatIsWrittenIsReadBackTheSame)
+TEST(ServiceFile, WrittenDocumentReadsBackUnchanged)
 {
     const auto shop = *readServiceFile("shop", shopFile, workspaces()).value;
     const auto text = writeServiceDocument(shop);
--- a/unittests/Config/SettingsTest.cpp
+++ b/unittests/Config/SettingsTest.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-const std::string good = R"({
+const std::string valid = R"({
   "node": "a1", "zone": "a",
   "callers": {"address": "127.0.1.1", "port": 8080},
   "peers": {"address": "127.0.1.1", "port": 7400},
@@ -22,9 +22,9 @@
 
 } // namespace
 
-TEST(Settings, ReadsAFile)
+TEST(Settings, ReadsValidSettings)
 {
-    const auto read = readSettings("r.json", good);
+    const auto read = readSettings("r.json", valid);
     ASSERT_TRUE(read.value) << (read.diagnostics.empty() ? "" : read.diagnostics[0].str());
     EXPECT_EQ(read.value->peers, (Endpoint {"127.0.1.1", 7400}));
     EXPECT_EQ(read.value->advertised, read.value->peers);
@@ -36,7 +36,7 @@
 // Nodes reach each other through a forwarder: they must be told its address, not the listener's.
 TEST(Settings, AdvertisedEndpointMayDiffer)
 {
-    std::string text = good;
+    std::string text = valid;
     text.insert(1, R"("advertised": {"address": "127.0.7.1", "port": 7400},)");
     const auto read = readSettings("r.json", text);
     ASSERT_TRUE(read.value) << (read.diagnostics.empty() ? "" : read.diagnostics[0].str());
@@ -44,9 +44,9 @@
     EXPECT_EQ(read.value->peers, (Endpoint {"127.0.1.1", 7400}));
 }
 
-TEST(Settings, ReportsAllErrorsWithWhatIsAllowed)
+TEST(Settings, ReportsAllErrorsWithAllowedValues)
 {
-    std::string text = good;
+    std::string text = valid;
     text.replace(text.find("\"a1\""), 4, "\"\"");
     text.replace(text.find("8080"), 4, "true");
     text.replace(text.find("\"chartDirectory\": \"charts\""), 26, "\"sharing\": \"lottery\"");
--- a/unittests/Idempotency/KeyFleet.h
+++ b/unittests/Idempotency/KeyFleet.h
@@ -197,7 +197,7 @@
     }
 
 private:
-    PausedClock m_clock;
+    ManualClock m_clock;
     VmList m_list;
     Incarnation m_incarnation = 100;
     std::map<NodeId, Incarnation> m_terminatedRuns;
--- a/unittests/Idempotency/KeySearch.cpp
+++ b/unittests/Idempotency/KeySearch.cpp
@@ -469,7 +469,7 @@
 SearchSetup makeSetup(const std::vector<std::string> &names, const VmList &list)
 {
     SearchSetup setup;
-    const PausedClock clock;
+    const ManualClock clock;
     setup.start.now = clock.now();
     setup.start.wall = clock.wallNow();
     for (const std::string &name : names) {
--- a/unittests/Net/CallerFaceTest.cpp
+++ b/unittests/Net/CallerFaceTest.cpp
@@ -233,7 +233,7 @@
     settings.callers = settings.peers = settings.admin = {"127.0.0.1", 0};
     settings.fleetKey = TestNode::fleetKey;
     auto node = RouterNodeBuilder(settings, 7, log).core(CoreHandle::of(core)).build();
-    ASSERT_TRUE(node) << node.lastReason();
+    ASSERT_TRUE(node) << node.failureReason();
     std::thread control([&] { (*node)->run(); });
     FakeCaller caller((*node)->callers());
     caller.send(requestText("GET", "/v1/services/shop/x"));
--- a/unittests/Net/DatagramTest.cpp
+++ b/unittests/Net/DatagramTest.cpp
@@ -29,7 +29,7 @@
 std::string sealedBytes(std::string body)
 {
     std::array<std::byte, authenticatorSize> tag {};
-    authenticate(key, bytesOf(body), tag);
+    computeAuthenticator(key, bytesOf(body), tag);
     body.append(reinterpret_cast<const char *>(tag.data()), tag.size());
     return body;
 }
@@ -47,7 +47,7 @@
     claim.key = "shop/potters/k1";
     claim.roster = 3;
     const auto opened = openDatagram(key, bytesOf(sealed({heartbeat(5), KeyMessage(claim)})));
-    ASSERT_TRUE(opened) << opened.lastReason();
+    ASSERT_TRUE(opened) << opened.failureReason();
     EXPECT_EQ(opened->from, NodeId("a1"));
     EXPECT_EQ(opened->incarnation, 42U);
     ASSERT_EQ(opened->messages.size(), 2U);
@@ -92,7 +92,7 @@
     packer.pack("more");
     const auto opened
         = openDatagram(key, bytesOf(sealedBytes(std::string(buffer.data(), buffer.size()))));
-    ASSERT_TRUE(opened) << opened.lastReason();
+    ASSERT_TRUE(opened) << opened.failureReason();
     EXPECT_EQ(opened->unknownMessages, 1U);
     ASSERT_EQ(opened->messages.size(), 1U);
     EXPECT_EQ(std::get<Heartbeat>(std::get<FleetMessage>(opened->messages[0])).sequence, 17U);
--- a/unittests/Net/FuzzTest.cpp
+++ b/unittests/Net/FuzzTest.cpp
@@ -42,7 +42,7 @@
 std::string reseal(std::string body)
 {
     std::array<std::byte, authenticatorSize> tag {};
-    authenticate(TestNode::fleetKey, std::as_bytes(std::span(body)), tag);
+    computeAuthenticator(TestNode::fleetKey, std::as_bytes(std::span(body)), tag);
     body.append(reinterpret_cast<const char *>(tag.data()), tag.size());
     return body;
 }
--- a/unittests/Net/LogSinkTest.cpp
+++ b/unittests/Net/LogSinkTest.cpp
@@ -3,7 +3,7 @@
 #include "LogLine.h"
 #include "NodeFixture.h"
 
-#include "berylridge/Support/LogBudget.h"
+#include "berylridge/Support/LogRateLimiter.h"
 
 #include <future>
 
@@ -77,8 +77,8 @@
 TEST(LogBudgetTest, AFloodOfRequestsLeavesRoomForWarnings)
 {
     // What the reader sees: a thousand refusals a second, and still the warning that tells why.
-    const PausedClock clock;
-    LogBudget budget({10, 1000});
+    const ManualClock clock;
+    LogRateLimiter budget({10, 1000});
     int written = 0;
     for (int i = 0; i < 1000; ++i)
         written += budget.tryTake(10, LogLevel::Info, clock.now()) ? 1 : 0;
--- a/unittests/Net/NodeFixture.cpp
+++ b/unittests/Net/NodeFixture.cpp
@@ -246,7 +246,7 @@
                     .core(CoreHandle::of(core))
                     .rpc(std::move(rpc))
                     .build();
-    EXPECT_TRUE(node) << node.lastReason();
+    EXPECT_TRUE(node) << node.failureReason();
     m_node = std::move(*node);
     m_thread = std::thread([this] { m_node->run(); });
 }
--- a/unittests/Net/OverloadTest.cpp
+++ b/unittests/Net/OverloadTest.cpp
@@ -36,7 +36,7 @@
     TrafficThread &thread() { return *m_threads.front(); }
     asio::io_context &context() { return thread().context(); }
 
-    PausedClock clock;
+    ManualClock clock;
     Metrics metrics;
     std::vector<Event> reported;
 
--- a/unittests/Platform/StoreDecoderTest.cpp
+++ b/unittests/Platform/StoreDecoderTest.cpp
@@ -35,7 +35,7 @@
 TEST(StoreDecoder, ReadsARecordedTarget)
 {
     const auto record = readTarget("i-1", 9, recordedTarget);
-    ASSERT_TRUE(record) << record.lastReason();
+    ASSERT_TRUE(record) << record.failureReason();
     EXPECT_EQ(record->id, "i-1");
     EXPECT_EQ(record->revision, 9U);
     EXPECT_EQ(record->service, "huvo11a");
@@ -66,7 +66,7 @@
 TEST(StoreDecoder, ReadsARecordedConfiguration)
 {
     const auto catalog = readCatalog(recordedCatalog);
-    ASSERT_TRUE(catalog) << catalog.lastReason();
+    ASSERT_TRUE(catalog) << catalog.failureReason();
     EXPECT_EQ(catalog->version, 7U);
     ASSERT_EQ(catalog->routes.size(), 2U);
     const RouteSpec &stream = catalog->routes[0];
@@ -99,7 +99,7 @@
         R"({"entries":[)" + item("op/config", recordedCatalog, 3) + ","
         + item("servers/i-1", recordedTarget, 5) + "," + item("op/evacuate/vn-north-a", "{}", 6)
         + "," + item("other/key", "x", 7) + R"(],"truncated":true,"as_of":9})");
-    ASSERT_TRUE(answer) << answer.lastReason();
+    ASSERT_TRUE(answer) << answer.failureReason();
     EXPECT_EQ(answer->revision, 9U);
     EXPECT_TRUE(answer->hasMore);
     EXPECT_EQ(answer->lastKey, "other/key");
@@ -116,7 +116,7 @@
         = readStoreAnswer(R"({"events":[{"key":"servers/i-1","rev":10,"removed":true},)"
                           R"({"key":"op/evacuate/z","rev":11,"removed":true},)"
                           + item("servers/i-2", "rubbish", 12) + R"(],"as_of":12})");
-    ASSERT_TRUE(answer) << answer.lastReason();
+    ASSERT_TRUE(answer) << answer.failureReason();
     ASSERT_EQ(answer->items.size(), 3U);
     EXPECT_TRUE(std::get<TargetRecord>(answer->items[0]).isRemoved);
     EXPECT_FALSE(std::get<ZoneRecord>(answer->items[1]).isEvacuated);
--- a/unittests/Policy/CrashRecordTest.cpp
+++ b/unittests/Policy/CrashRecordTest.cpp
@@ -10,7 +10,7 @@
 // request that only happened to run beside the guilty one.
 TEST(CrashRecord, EachEndedBootCountsOnce)
 {
-    PausedClock clock;
+    ManualClock clock;
     CrashRecord record;
     EXPECT_TRUE(record.add(1, 100, clock.now()));
     EXPECT_FALSE(record.add(1, 100, clock.now()));
@@ -22,7 +22,7 @@
 
 TEST(CrashRecord, TheBlockEnds)
 {
-    PausedClock clock;
+    ManualClock clock;
     CrashRecord record;
     record.add(1, 100, clock.now());
     record.add(1, 200, clock.now());
@@ -36,7 +36,7 @@
 // its sendings run at the same time, they would crash two targets more before anybody knows.
 TEST(CrashRecord, OthersWaitForTheRerunOfASuspect)
 {
-    PausedClock clock;
+    ManualClock clock;
     CrashRecord record;
     EXPECT_FALSE(record.isHeld(1, clock.now()));
     record.add(1, 100, clock.now());
@@ -51,7 +51,7 @@
 // minutes.
 TEST(CrashRecord, AWholeAnswerProvesInnocence)
 {
-    PausedClock clock;
+    ManualClock clock;
     CrashRecord record;
     record.add(1, 100, clock.now());
     record.add(1, 200, clock.now());
--- a/unittests/Policy/FleetShareTest.cpp
+++ b/unittests/Policy/FleetShareTest.cpp
@@ -13,7 +13,7 @@
 {
     constexpr double rate = 19;
     for (const std::size_t nodes : {2U, 7U, 9U}) {
-        PausedClock clock;
+        ManualClock clock;
         std::vector<ColdShare> shares(nodes);
         clock.advance(10s);
         int taken = 0;
@@ -45,7 +45,7 @@
 {
     const RetryShare::Limits limits {0.2, 54, 10s};
     constexpr std::size_t nodes = 7;
-    PausedClock clock;
+    ManualClock clock;
     std::vector<RetryShare> shares(nodes);
     int first = 0;
     int further = 0;
@@ -64,7 +64,7 @@
 TEST(RetryShare, TheWindowSlides)
 {
     const RetryShare::Limits limits {0, 5, 10s};
-    PausedClock clock;
+    ManualClock clock;
     RetryShare share;
     EXPECT_TRUE(share.tryTake(limits, 2, clock.now()));
     EXPECT_TRUE(share.tryTake(limits, 2, clock.now()));
@@ -77,7 +77,7 @@
 // answer brings the others back.
 TEST(TargetHealth, OneRequestTriesATargetThatWasDown)
 {
-    PausedClock clock;
+    ManualClock clock;
     TargetHealth health;
     health.onConnectFailed(clock.now());
     EXPECT_FALSE(health.isReachable(clock.now()));
@@ -94,7 +94,7 @@
 // A target fails half of its requests while its health check is good.
 TEST(TargetHealth, FailuresFade)
 {
-    PausedClock clock;
+    ManualClock clock;
     TargetHealth health;
     health.onFailedAnswer(clock.now());
     EXPECT_LT(health.failureShare(clock.now()), 0.25);
--- a/unittests/Policy/FleetSharesTest.cpp
+++ b/unittests/Policy/FleetSharesTest.cpp
@@ -131,7 +131,7 @@
         }
     }
 
-    PausedClock m_clock;
+    ManualClock m_clock;
     std::vector<Node> m_nodes;
     RandomEngine m_random {7};
     std::size_t m_running = targetCount;
--- a/unittests/Policy/FlowSharesTest.cpp
+++ b/unittests/Policy/FlowSharesTest.cpp
@@ -14,7 +14,7 @@
 
 TEST(FlowShares, ServiceCountsOverWeight)
 {
-    PausedClock clock;
+    ManualClock clock;
     FlowShares shares;
     shares.setWeight(large, 4);
     shares.touch(small, clock.now());
@@ -31,7 +31,7 @@
 // others would see their queues stand still.
 TEST(FlowShares, WorkLongerThanGuessedIsChargedWhileItRuns)
 {
-    PausedClock clock;
+    ManualClock clock;
     FlowShares shares;
     shares.touch(large, clock.now());
     const TimePoint begun = clock.now();
@@ -48,7 +48,7 @@
 // every slot until it had caught up with a night's work of the others, who would starve meanwhile.
 TEST(FlowShares, IdleTimeIsNotSavedUp)
 {
-    PausedClock clock;
+    ManualClock clock;
     FlowShares shares;
     shares.touch(small, clock.now());
     for (int i = 0; i < 100; ++i) {
@@ -67,7 +67,7 @@
 // wait, so what it was owed must not be taken from it.
 TEST(FlowShares, OneLostDemandLeavesTheAccountAlone)
 {
-    PausedClock clock;
+    ManualClock clock;
     FlowShares shares;
     shares.touch(small, clock.now());
     shares.touch(large, clock.now());
--- a/unittests/Policy/LeaseHolderTest.cpp
+++ b/unittests/Policy/LeaseHolderTest.cpp
@@ -17,7 +17,7 @@
     PoolGrant grant;
     grant.pool = pool;
     grant.number = number;
-    grant.echo = askedAt.time_since_epoch().count();
+    grant.demandSentAt = askedAt.time_since_epoch().count();
     grant.termMs = 2000;
     grant.quantumMs = 250;
     grant.leases.push_back({lease, target, flow});
@@ -31,7 +31,7 @@
 // many.
 TEST(LeaseHolder, AGrantThatComesAfterItsTermCannotBeUsed)
 {
-    PausedClock clock;
+    ManualClock clock;
     LeaseHolder holder(pool);
     const TimePoint asked = clock.now();
     clock.advance(2100ms);
@@ -43,7 +43,7 @@
 // the earlier for lost; when it comes after all it must be ignored.
 TEST(LeaseHolder, AnOvertakenGrantIsIgnored)
 {
-    PausedClock clock;
+    ManualClock clock;
     LeaseHolder holder(pool);
     EXPECT_EQ(holder.onGrant(owner, 1, grantOf(11, 2, clock.now()), clock.now()).size(), 1U);
     EXPECT_TRUE(holder.onGrant(owner, 1, grantOf(10, 1, clock.now()), clock.now()).empty());
@@ -52,7 +52,7 @@
 
 TEST(LeaseHolder, ShortRequestsShareALeaseUpToTheQuantum)
 {
-    PausedClock clock;
+    ManualClock clock;
     LeaseHolder holder(pool);
     holder.onGrant(owner, 1, grantOf(10, 1, clock.now()), clock.now());
     int runs = 0;
@@ -71,7 +71,7 @@
 // but the owner may have been replaced meanwhile: none is used again.
 TEST(LeaseHolder, AfterAPauseNothingBeginsOnOldLeases)
 {
-    PausedClock clock;
+    ManualClock clock;
     LeaseHolder holder(pool);
     holder.onGrant(owner, 1, grantOf(10, 1, clock.now()), clock.now());
     holder.onGrant(owner, 1, grantOf(11, 2, clock.now()), clock.now());
@@ -83,7 +83,7 @@
 
 TEST(LeaseHolder, TheOwnerHearsAtOnceWhenItKnowsOfNothing)
 {
-    PausedClock clock;
+    ManualClock clock;
     LeaseHolder holder(pool);
     EXPECT_TRUE(holder.isOwnerBehind(flow, 1));
     holder.demandMessage({{flow, 4, 0, 100}}, clock.now());
--- a/unittests/Policy/NodeLoadTest.cpp
+++ b/unittests/Policy/NodeLoadTest.cpp
@@ -39,7 +39,7 @@
 {
     constexpr CredentialKey flood = 1;
     constexpr CredentialKey small = 2;
-    PausedClock clock;
+    ManualClock clock;
     NodeLoad load;
     Processor processor(0.4);
     int floodKept = 0;
@@ -71,7 +71,7 @@
 // A short hiccup of the machine is no flood.
 TEST(NodeLoad, OneLateTurnTurnsNobodyAwayForLong)
 {
-    PausedClock clock;
+    ManualClock clock;
     NodeLoad load;
     load.onLag(110ms, clock.now());
     for (int i = 0; i < 7; ++i) {
@@ -89,7 +89,7 @@
 // Guards against a thread that is late by seconds and sheds nothing, as its reports are late too.
 TEST(NodeLoad, AFloodIsShedWhereReportsComeAsLateAsTheThreadRuns)
 {
-    PausedClock clock;
+    ManualClock clock;
     NodeLoad load;
     Processor processor(0.4);
     Duration worstLag {0};
@@ -116,7 +116,7 @@
 // Guards against memory that grows with each credential that a caller makes up.
 TEST(NodeLoad, CredentialsThatDoNotReturnAreForgotten)
 {
-    PausedClock clock;
+    ManualClock clock;
     NodeLoad load;
     for (CredentialKey i = 0; i < 20000; ++i) {
         load.sheds(i, clock.now());
@@ -129,7 +129,7 @@
 // beyond what it bears.
 TEST(NodeLoad, AFloodOfManyTimesWhatTheNodeBearsIsHeldToThat)
 {
-    PausedClock clock;
+    ManualClock clock;
     NodeLoad load;
     Processor processor(0.4, 0.02); // Refusals of the flood leave room for 200 a second.
     int kept = 0;
@@ -157,7 +157,7 @@
 // Guards against a node that goes on to turn callers away when a flood has ended.
 TEST(NodeLoad, AFloodThatEndsLeavesNobodyTurnedAway)
 {
-    PausedClock clock;
+    ManualClock clock;
     NodeLoad load;
     Processor processor(0.4);
     int shedAfter = 0;
@@ -181,7 +181,7 @@
 // Guards against a pause of the process that is taken for load, and closes the node for a second.
 TEST(NodeLoad, APauseTurnsNobodyAwayForLong)
 {
-    PausedClock clock;
+    ManualClock clock;
     NodeLoad load;
     int shed = 0;
     for (int ms = 0; ms < 6000; ++ms) {
@@ -198,7 +198,7 @@
 // Guards against refusals alone making a node late, and so leaving next to none of its requests.
 TEST(NodeLoad, RefusalsThatUseUpTheProcessorLeaveAPartToBeServed)
 {
-    PausedClock clock;
+    ManualClock clock;
     NodeLoad load;
     Processor processor(0.4, 0.05); // Refusals alone take more than all of it.
     int kept = 0;
@@ -219,7 +219,7 @@
 // Guards against short bursts that a node bears being taken for a flood.
 TEST(NodeLoad, AShortBurstTurnsNextToNobodyAway)
 {
-    PausedClock clock;
+    ManualClock clock;
     NodeLoad load;
     int shed = 0;
     for (int ms = 0; ms < 6000; ++ms) {
--- a/unittests/Policy/PlacementTest.cpp
+++ b/unittests/Policy/PlacementTest.cpp
@@ -136,7 +136,7 @@
 TEST(Placement, SharedPartsAreSeldomReadAgain)
 {
     const auto readWith = [](bool byPrompt) {
-        PausedClock clock;
+        ManualClock clock;
         RandomEngine random(7);
         PromptDirectory prompts;
         TargetLoads loads;
@@ -179,7 +179,7 @@
 // A part that lies behind another one is of use only where the first is kept too.
 TEST(PromptDirectory, AChainIsKeptFromItsBegin)
 {
-    PausedClock clock;
+    ManualClock clock;
     PromptDirectory prompts;
     const PromptChain chain = chainOf({"m", {{1, 100}, {2, 200}, {3, 50}}, 350, 10});
     prompts.onPlaced(chain.links[1].key, first, clock.now());
@@ -195,7 +195,7 @@
 // sent requests to targets that read them anew: a third of all reading.
 TEST(PromptDirectory, APartIsGoneWhenOtherTokensFilledTheMemory)
 {
-    PausedClock clock;
+    ManualClock clock;
     PromptDirectory prompts;
     const PromptChain chain = chainOf(promptOf(1, 2));
     prompts.setCapacity(first, 100000);
@@ -210,7 +210,7 @@
 // What a copy is worth follows from how often its part is used and how fast its memory fills.
 TEST(PromptDirectory, TellsUsesAndHowLongAPartIsKept)
 {
-    PausedClock clock;
+    ManualClock clock;
     PromptDirectory prompts;
     const PromptChain chain = chainOf(promptOf(1, 2));
     prompts.setCapacity(first, 1000000);
@@ -231,7 +231,7 @@
 
 TEST(PromptDirectory, ARestartedTargetKeepsNothing)
 {
-    PausedClock clock;
+    ManualClock clock;
     PromptDirectory prompts;
     const PromptChain chain = chainOf(promptOf(1, 2));
     prompts.onPlaced(chain.links[0].key, first, clock.now());
@@ -248,7 +248,7 @@
 // ever.
 TEST(TargetLoads, ASilentNodesLoadIsDropped)
 {
-    PausedClock clock;
+    ManualClock clock;
     TargetLoads loads;
     loads.begin(first, 500);
     loads.onDigest(NodeId("b"), {{first, {3, 9000}}}, clock.now());
--- a/unittests/Policy/PoolOwnerTest.cpp
+++ b/unittests/Policy/PoolOwnerTest.cpp
@@ -59,7 +59,7 @@
         return leases;
     }
 
-    PausedClock m_clock;
+    ManualClock m_clock;
     TargetLife m_chart = chart();
     ServiceDocument m_document;
     Pool m_pool;
@@ -211,7 +211,7 @@
     waitOutTakeover();
     warmUp();
     demand(nodeA, m_holderA, {{1, 9, 0, 1000}, {2, 9, 0, 1000}});
-    PoolService report;
+    PoolUsage report;
     report.pool = 99;
     report.epoch = 1;
     report.flows = {{1, 5000}};
--- a/unittests/Policy/ServiceQueueTest.cpp
+++ b/unittests/Policy/ServiceQueueTest.cpp
@@ -14,7 +14,7 @@
 
 TEST(ServiceQueue, OrderOfArrivalButRetriesFirst)
 {
-    PausedClock clock;
+    ManualClock clock;
     ServiceQueue queue;
     queue.push(flow, 1, clock.now());
     queue.push(flow, 2, clock.now());
@@ -28,7 +28,7 @@
 
 TEST(ServiceQueue, ExpectedWaitFollowsTheDrain)
 {
-    PausedClock clock;
+    ManualClock clock;
     ServiceQueue queue;
     for (ServiceQueue::Handle handle = 1; handle <= 20; ++handle)
         queue.push(flow, handle, clock.now());
@@ -49,7 +49,7 @@
 // idle time had been taken for a slow drain.
 TEST(ServiceQueue, IdleTimeIsNotASlowDrain)
 {
-    PausedClock clock;
+    ManualClock clock;
     ServiceQueue queue;
     for (ServiceQueue::Handle handle = 1; handle <= 5; ++handle) {
         queue.push(flow, handle, clock.now());
@@ -64,7 +64,7 @@
 
 TEST(ServiceQueue, DemandTellsTheLongestWaitsFirst)
 {
-    PausedClock clock;
+    ManualClock clock;
     ServiceQueue queue;
     for (FlowId id = 1; id <= 10; ++id) {
         queue.push(id, id, clock.now());
--- a/unittests/Policy/TargetGaugeTest.cpp
+++ b/unittests/Policy/TargetGaugeTest.cpp
@@ -29,7 +29,7 @@
 
     static TargetLife chart() { return *loadTargetLife(BERYLRIDGE_SOURCE_DIR "/charts"); }
 
-    PausedClock m_clock;
+    ManualClock m_clock;
     TargetLife m_chart = chart();
     ServiceDocument m_document;
     TargetGauge m_gauge {m_chart, m_clock.now()};
--- a/unittests/Policy/WorkspaceSharesTest.cpp
+++ b/unittests/Policy/WorkspaceSharesTest.cpp
@@ -75,7 +75,7 @@
     std::map<WorkspaceKey, double> got;
 
 private:
-    PausedClock m_clock;
+    ManualClock m_clock;
     WorkspaceShares m_shares;
     ReadingTarget m_target;
     int m_tellEveryMs;
@@ -118,7 +118,7 @@
 {
     constexpr WorkspaceKey hard = 1;
     constexpr WorkspaceKey soft = 2;
-    PausedClock clock;
+    ManualClock clock;
     WorkspaceShares shares;
     shares.onDigest(NodeId("b"), {{{soft, 200000}}, 150000, 0}, clock.now());
     for (int ms = 0; ms < 3000; ++ms) {
@@ -140,7 +140,7 @@
     constexpr WorkspaceKey flood = 1;
     constexpr WorkspaceKey small = 2;
     constexpr double namedCapacity = 700000; // tokens a second
-    PausedClock clock;
+    ManualClock clock;
     WorkspaceShares shares;
     int smallRefused = 0;
     int floodRefused = 0;
@@ -194,7 +194,7 @@
 {
     constexpr WorkspaceKey own = 1;
     constexpr WorkspaceKey other = 2;
-    PausedClock clock;
+    ManualClock clock;
     WorkspaceShares shares;
     const auto pass = [&](double othersServed, double admitted) {
         shares.onDigest(NodeId("b"), {{{other, 4e7, othersServed}}, othersServed, 5e6},
--- a/unittests/Router/CoreTest.cpp
+++ b/unittests/Router/CoreTest.cpp
@@ -79,7 +79,7 @@
         return request;
     }
 
-    PausedClock m_clock;
+    ManualClock m_clock;
     std::unique_ptr<Core> m_core;
 };
 
--- a/unittests/Support/FatalSignalTest.cpp
+++ b/unittests/Support/FatalSignalTest.cpp
@@ -11,10 +11,11 @@
 namespace {
 
 /// Calls itself until the stack of the calling thread is used up.
-std::size_t useUpStack(const volatile std::size_t *depth) // NOLINT(misc-no-recursion): its purpose
+std::size_t overflowStack(
+    const volatile std::size_t *depth) // NOLINT(misc-no-recursion): its purpose
 {
     const volatile std::size_t next = *depth + 1;
-    return next == 0 ? 0 : useUpStack(&next) + next;
+    return next == 0 ? 0 : overflowStack(&next) + next;
 }
 
 constexpr bool hasSanitizer =
@@ -27,12 +28,12 @@
 } // namespace
 
 // Guards against a process that dies without a word of where.
-TEST(FatalSignalDeathTest, TellsTheSignalTheThreadAndTheCalls)
+TEST(FatalSignalDeathTest, ReportsSignalThreadAndStackFrames)
 {
     EXPECT_EXIT(
         {
             dup2(STDERR_FILENO, STDOUT_FILENO); // Death tests compare standard error.
-            reportFatalSignals();
+            installFatalSignalHandlers();
             std::abort();
         },
         testing::KilledBySignal(SIGABRT),
@@ -40,30 +41,30 @@
 }
 
 // Guards against an overflow of a thread's stack leaving no room to tell of it.
-TEST(FatalSignalDeathTest, TellsOfAStackThatIsUsedUp)
+TEST(FatalSignalDeathTest, ReportsStackOverflow)
 {
     if (hasSanitizer)
         GTEST_SKIP() << "the sanitizer has a handler of its own for this signal";
     EXPECT_EXIT(
         {
             dup2(STDERR_FILENO, STDOUT_FILENO);
-            reportFatalSignals();
+            installFatalSignalHandlers();
             std::thread([] {
-                const SignalStack stack;
+                const AlternateSignalStack stack;
                 const std::size_t depth = 0;
-                useUpStack(&depth);
+                overflowStack(&depth);
             }).join();
         },
         testing::KilledBySignal(SIGSEGV), R"("name":"FatalSignal","signal":11,.*"frames":\[")");
 }
 
 // Guards against a handler that a sanitizer or debugger had set being lost.
-TEST(FatalSignalDeathTest, KeepsAHandlerThatWasSetBefore)
+TEST(FatalSignalDeathTest, KeepsExistingHandler)
 {
     EXPECT_EXIT(
         {
             std::signal(SIGABRT, [](int) { std::_Exit(3); });
-            reportFatalSignals();
+            installFatalSignalHandlers();
             std::abort();
         },
         testing::ExitedWithCode(3), "");
--- a/unittests/Support/HashTest.cpp
+++ b/unittests/Support/HashTest.cpp
@@ -21,14 +21,14 @@
 TEST(Hash, ChangedBytesOrAnotherKeyAreNotAuthentic)
 {
     std::array<std::byte, authenticatorSize> tag {};
-    authenticate(fleetKey, bytesOf("heartbeat"), tag);
+    computeAuthenticator(fleetKey, bytesOf("heartbeat"), tag);
 
     EXPECT_TRUE(isAuthentic(fleetKey, bytesOf("heartbeat"), tag));
     EXPECT_FALSE(isAuthentic(fleetKey, bytesOf("heartbeau"), tag));
     EXPECT_FALSE(isAuthentic("another-fleet-key-another-fleet-", bytesOf("heartbeat"), tag));
 }
 
-TEST(Hash, RendezvousMovesOnlyWhatTheLostNodeHad)
+TEST(Hash, RendezvousReassignsOnlySubjectsOfTheRemovedNode)
 {
     const std::array<std::string_view, 3> nodes {"n1", "n2", "n3"};
     const auto winner = [&](std::string_view subject, std::size_t count) {
--- a/unittests/Support/LogEventTest.cpp
+++ b/unittests/Support/LogEventTest.cpp
@@ -5,7 +5,7 @@
 
 using namespace berylridge;
 
-TEST(LogEvent, NumbersRiseAndAreGivenOnce)
+TEST(LogEvent, NumbersAreSortedAndUnique)
 {
     const auto catalogue = logEventCatalogue();
     const auto byNumber = [](const LogEventInfo &a, const LogEventInfo &b) { return a.id < b.id; };
