--- a/include/berylridge/CommandLine/CommandLine.h
+++ b/include/berylridge/CommandLine/CommandLine.h
@@ -1,4 +1,4 @@
-// A program's command line by TCLAP, with help laid out as a manual page.
+// Command-line parsing with TCLAP, and help in the layout of a manual page.
 #pragma once
 
 #include <memory>
@@ -17,12 +17,12 @@
 struct ManSection
 {
     std::string title; ///< In capitals, as in "EXAMPLES".
-    std::string text;  ///< Lines stand as they are given.
+    std::string text;  ///< Lines are printed unchanged.
 };
 
 struct ManPage
 {
-    std::string name; ///< With the command, as in "berylctl collect".
+    std::string name; ///< Includes the command, as in "berylctl collect".
     std::string summary;
     std::string description;
     std::vector<ManSection> sections;
@@ -36,11 +36,12 @@
     CommandLine(const CommandLine &) = delete;
     CommandLine &operator=(const CommandLine &) = delete;
 
-    /// Where TCLAP's arguments are added.
+    /// Returns the object to which TCLAP arguments are added.
     TCLAP::CmdLine &arguments() { return m_arguments; }
 
-    /// The exit status where the program should end at once: after --help and --version, and on a
-    /// wrong command line, which is said on standard error. The first word is passed over.
+    /// Parses the command line, ignoring its first word. Returns an exit status if the program
+    /// should end at once: after --help and --version, and after an invalid command line, which is
+    /// reported on standard error.
     std::optional<int> parse(int argc, const char *const *argv);
 
 private:
--- a/include/berylridge/Config/Difference.h
+++ b/include/berylridge/Config/Difference.h
@@ -1,4 +1,4 @@
-// What a change of documents would mean for workspaces and targets, in words for operators.
+// Describes for operators how a change of documents would affect workspaces and targets.
 #pragma once
 
 #include "berylridge/Config/Documents.h"
@@ -10,13 +10,14 @@
 
 struct Difference
 {
-    std::vector<std::string> changes;  ///< One line each, in the order of the document.
-    std::vector<std::string> warnings; ///< Shares or capacity that would be cut.
+    std::vector<std::string> changes;  ///< One line for each change, in the document's order.
+    std::vector<std::string> warnings; ///< Shares or capacity that would be reduced.
 };
 
-/// Compares a service in force with what would replace it. A workspace's share is its weight over
-/// the sum of weights: a warning stands for each one that would lose more than the given part of
-/// its share, and one where the service would lose slots.
+/// Compares the active document of a service with the one that would replace it. A workspace's
+/// share is its weight divided by the sum of all weights. The result has a warning for each
+/// workspace that would lose more than the fraction maxShareCut of its share, and one if the
+/// service would lose slots.
 Difference compareServices(const ServiceDocument &current, const ServiceDocument &next,
                            double maxShareCut = 0.1);
 
--- a/include/berylridge/Config/DocumentReader.h
+++ b/include/berylridge/Config/DocumentReader.h
@@ -1,4 +1,4 @@
-// Reads documents and reports every error at once, each with its line and what is allowed.
+// Reads documents and reports all errors at once, each with its line and the allowed values.
 #pragma once
 
 #include "berylridge/Config/Documents.h"
@@ -10,18 +10,18 @@
 
 namespace berylridge {
 
-/// One error in a file: printed as "file:line: name: message".
+/// One error in a file, printed as "file:line: name: message".
 struct Diagnostic
 {
     std::string file;
     int line = 0;
     std::string name;    ///< Dotted path of the value, as in "targets[2].port".
-    std::string message; ///< Says what is allowed.
+    std::string message; ///< States what is allowed.
 
     std::string str() const;
 };
 
-/// What a reader made of a text. There is a value only where there are no diagnostics.
+/// The result of reading a text. It has a value only if there are no diagnostics.
 template <typename T>
 struct [[nodiscard]] ReadResult
 {
@@ -29,11 +29,11 @@
     std::vector<Diagnostic> diagnostics;
 };
 
-/// Reads the text of a "service/<name>" document, as published. The document's version comes from
-/// the envelope, not from the text.
+/// Reads the published text of a "service/<name>" document. It does not set the document's version,
+/// which is part of the envelope.
 ReadResult<ServiceDocument> readServiceDocument(std::string_view file, std::string_view text);
 
-/// Reads the text of the "fleet" document, as published.
+/// Reads the published text of the "fleet" document.
 ReadResult<FleetDocument> readFleetDocument(std::string_view file, std::string_view text);
 
 } // namespace berylridge
--- a/include/berylridge/Config/DocumentStore.h
+++ b/include/berylridge/Config/DocumentStore.h
@@ -1,5 +1,5 @@
-// The documents in force on one node, by name. Versions only rise, and a document that can't be
-// read leaves the last good one in force.
+// Stores the active documents of one node by name. Versions only rise, and if a new document is
+// invalid the previous one stays active.
 #pragma once
 
 #include "berylridge/Config/DocumentReader.h"
@@ -15,16 +15,16 @@
 namespace berylridge {
 
 enum class AcceptStatus : std::uint8_t {
-    Accepted, ///< In force now.
-    Stale,    ///< The same as, or older than, what is in force; nothing changed.
-    Refused,  ///< Not acceptable; nothing changed.
+    Accepted, ///< The document is active now.
+    Stale,    ///< The active document is the same or newer; nothing changed.
+    Refused,  ///< The document is invalid; nothing changed.
 };
 
 struct [[nodiscard]] AcceptResult
 {
     AcceptStatus status = AcceptStatus::Stale;
-    DocumentVersion from = 0;            ///< In force before; 0 where there was none.
-    std::vector<Diagnostic> diagnostics; ///< Why it was refused.
+    DocumentVersion from = 0;            ///< Previously active version; 0 if there was none.
+    std::vector<Diagnostic> diagnostics; ///< Errors due to which the document was refused.
 };
 
 class DocumentStore
@@ -33,24 +33,25 @@
     static constexpr std::string_view fleetName = "fleet";
     static constexpr std::string_view servicePrefix = "service/";
 
-    /// Checks a document and puts it into force where it is newer.
+    /// Checks a document and makes it active if it is newer than the active one.
     AcceptResult accept(DocumentText document);
 
-    /// Null where no such document is in force.
+    /// Returns null if no such document is active.
     std::shared_ptr<const ServiceDocument> service(const ServiceId &name) const;
-    /// Never null: without a document no zone is out and the version is 0.
+    /// Never returns null: without a document no zone is out of service and the version is 0.
     std::shared_ptr<const FleetDocument> fleet() const { return m_fleet; }
-    /// All services in force, by rising name.
+    /// Returns the documents of all active services in ascending order of name.
     std::vector<std::shared_ptr<const ServiceDocument>> services() const;
 
-    /// Null where no such document is in force.
+    /// Returns null if no such document is active.
     const DocumentText *text(std::string_view name) const;
-    /// All documents in force, by rising name.
+    /// Returns all active documents in ascending order of name.
     const std::map<std::string, DocumentText, std::less<>> &texts() const { return m_texts; }
-    /// 0 where no such document is in force.
+    /// Returns 0 if no such document is active.
     DocumentVersion version(std::string_view name) const;
 
-    /// Over all names and versions; equal on two nodes that have the same in force. 0 for none.
+    /// Returns a hash of all names and versions. It is equal on two nodes with the same active
+    /// documents, and 0 if there are none.
     std::uint64_t digest() const { return m_digest; }
 
 private:
--- a/include/berylridge/Config/DocumentWriter.h
+++ b/include/berylridge/Config/DocumentWriter.h
@@ -1,5 +1,5 @@
-// Writes documents as they are published: the same value always gives the same bytes, so that a
-// version rises only where something changed.
+// Writes documents in their published form. Equal documents always produce the same bytes, so that
+// a version only rises if something has changed.
 #pragma once
 
 #include "berylridge/Config/DocumentReader.h"
@@ -13,9 +13,10 @@
 std::string writeServiceDocument(const ServiceDocument &document);
 std::string writeFleetDocument(const FleetDocument &document);
 
-/// A document in its envelope {"name", "version", "text"}, as the platform serves it.
+/// Writes a document in its envelope {"name", "version", "text"}, the form that the platform
+/// serves.
 std::string writeEnvelope(const DocumentText &document);
-/// Reads an envelope; the text in it is not looked at.
+/// Reads an envelope without checking the text in it.
 ReadResult<DocumentText> readEnvelope(std::string_view file, std::string_view text);
 
 } // namespace berylridge
--- a/include/berylridge/Config/Documents.h
+++ b/include/berylridge/Config/Documents.h
@@ -1,4 +1,4 @@
-// What operators publish, as the code uses it: one document per service and one for the fleet.
+// The documents that operators publish: one per service and one for the fleet.
 #pragma once
 
 #include "berylridge/Support/Id.h"
@@ -10,10 +10,11 @@
 
 namespace berylridge {
 
-/// Versions of a document only rise; 0 means none.
+/// Version of a document. Versions only rise; 0 means that there is no document.
 using DocumentVersion = std::uint64_t;
 
-/// A document as it travels: the text is kept, so that every node checks the same bytes.
+/// A document in the form in which it is sent. It keeps the original text, so that every node
+/// checks the same bytes.
 struct DocumentText
 {
     std::string name; ///< "fleet" or "service/<name>".
@@ -22,12 +23,13 @@
 };
 
 enum class ServiceKind : std::uint8_t {
-    ModelEngine, ///< Streams tokens; resumes and cancels streams.
-    Plain,       ///< Answers once; some of its calls may not be repeated.
+    ModelEngine, ///< Streams tokens, and can resume and cancel streams.
+    Plain,       ///< Sends a single answer; some of its requests must not be repeated.
 };
 
-/// Says of a method and path prefix whether its requests may be repeated. The longest prefix wins;
-/// without a rule the method decides (RFC 9110, section 9.2.2).
+/// States whether requests with a method and path prefix are idempotent and may be repeated. The
+/// longest matching prefix applies; without a matching rule the method decides (RFC 9110, section
+/// 9.2.2).
 struct RouteRule
 {
     std::string method;
@@ -35,23 +37,23 @@
     bool isIdempotent = false;
 };
 
-/// A workspace's part in a service.
+/// A workspace's share of a service.
 struct WorkspaceShare
 {
     WorkspaceId workspace;
-    double weight = 1.0;           ///< Positive; shares are in proportion to it.
+    double weight = 1.0;           ///< Positive; shares are proportional to it.
     std::string credentialDigest;  ///< credentialDigest() of the key that its callers send.
-    std::uint32_t queueLimit = 64; ///< Requests that may wait on one node.
+    std::uint32_t queueLimit = 64; ///< Maximum number of requests that wait on one node.
 };
 
 struct TargetSpec
 {
     TargetId target;
     ZoneId zone;
-    std::string address; ///< IP number.
+    std::string address; ///< IP address.
     std::uint16_t port = 0;
-    bool isLeaving = false;     ///< Gets no new work; what runs there ends.
-    bool checksFencing = false; ///< Whether it refuses an order with an old fencing number.
+    bool isLeaving = false;     ///< Receives no new requests; running ones are completed.
+    bool checksFencing = false; ///< Whether it rejects requests with an outdated fencing number.
 };
 
 struct ServiceDocument
@@ -59,14 +61,14 @@
     ServiceId service;
     DocumentVersion version = 0;
     ServiceKind kind = ServiceKind::Plain;
-    std::uint32_t slots = 8;     ///< Requests that a warm target bears at once.
-    std::uint32_t coldSlots = 1; ///< Requests that a target bears just after its start.
-    std::uint32_t warmAfter = 8; ///< Answers completed since the boot until it counts as warm.
-    Duration queueTimeout = std::chrono::seconds(10); ///< Longest wait before a request is refused.
-    Duration attemptTimeout = std::chrono::seconds(120); ///< Longest time for one attempt.
-    Duration idleTimeout = std::chrono::seconds(20); ///< Longest silence of a target that answers.
+    std::uint32_t slots = 8;     ///< Concurrent requests that a warm target can process.
+    std::uint32_t coldSlots = 1; ///< Concurrent requests that a newly started target can process.
+    std::uint32_t warmAfter = 8; ///< Answers that a target completes after a boot until it is warm.
+    Duration queueTimeout = std::chrono::seconds(10);    ///< Maximum time in the queue.
+    Duration attemptTimeout = std::chrono::seconds(120); ///< Maximum duration of one attempt.
+    Duration idleTimeout = std::chrono::seconds(20); ///< Maximum gap between parts of an answer.
     double retryBudget = 0.1; ///< Retries allowed per first attempt, over a sliding window.
-    std::uint64_t bodyLimit = 4 << 20; ///< Bytes.
+    std::uint64_t bodyLimit = 4 << 20; ///< Maximum size of a request body in bytes.
     std::vector<RouteRule> routes;
     std::vector<WorkspaceShare> workspaces;
     std::vector<TargetSpec> targets;
--- a/include/berylridge/Config/JsonArray.h
+++ b/include/berylridge/Config/JsonArray.h
@@ -1,4 +1,4 @@
-// A JSON list out of a vector.
+// Converts a vector to a JSON array.
 #pragma once
 
 #include <json/value.h>
--- a/include/berylridge/Config/Publication.h
+++ b/include/berylridge/Config/Publication.h
@@ -1,4 +1,4 @@
-// The publishing step without its files and folders: source texts in, checked documents out.
+// The publishing step apart from file access: converts source texts to checked documents.
 #pragma once
 
 #include "berylridge/Config/DocumentReader.h"
@@ -12,12 +12,12 @@
 
 namespace berylridge {
 
-/// What a name of each source file ends in.
+/// Suffix of the name of each source file.
 inline constexpr std::string_view sourceSuffix = ".berylridge.json";
 inline constexpr std::string_view fleetFileName = "fleet.berylridge.json";
 inline constexpr std::string_view workspacesFileName = "workspaces.berylridge.json";
 
-/// The platform's service holds values up to this size.
+/// Maximum size of a value in the platform's configuration service.
 inline constexpr std::size_t maxDocumentBytes = 1'000'000;
 
 struct SourceFile
@@ -28,23 +28,25 @@
 
 struct Publication
 {
-    std::vector<DocumentText> documents; ///< By rising name; versions are 0 until they are given.
+    /// In ascending order of name; versions are 0 until assignVersions() sets them.
+    std::vector<DocumentText> documents;
     std::vector<std::string> warnings;
-    std::vector<Diagnostic> diagnostics; ///< With any, nothing may be published.
+    std::vector<Diagnostic> diagnostics; ///< If there are any, nothing may be published.
 };
 
-/// Reads all source files and checks them alone and against each other.
+/// Reads all source files and checks each of them as well as their consistency with each other.
 Publication makePublication(std::span<const SourceFile> sources);
 
 /// Documents by name.
 using DocumentSet = std::map<std::string, DocumentText, std::less<>>;
 
-/// Gives each document the published version where its text is the same, else the next one.
+/// Assigns each document the published version if its text is unchanged, otherwise the next
+/// version.
 void assignVersions(std::vector<DocumentText> &documents, const DocumentSet &published);
 
-/// Keeps the higher version of each document in the set. Of two texts under one version neither is
-/// kept, only the version: whatever is published next must rise above both, since nodes refuse a
-/// second text under a version that they know.
+/// Keeps the higher version of each document in the set. If two texts have the same version, only
+/// the version is kept and the text is cleared. The next publication then gets a higher version,
+/// since nodes refuse a second text under a version that they know.
 void mergeNewer(DocumentSet &into, DocumentText document);
 
 } // namespace berylridge
--- a/include/berylridge/Config/SettingsFile.h
+++ b/include/berylridge/Config/SettingsFile.h
@@ -9,7 +9,8 @@
 
 namespace berylridge {
 
-/// Every error of the file is written to problems, a line each.
+/// Loads a settings file. Writes each of its errors to problems as one line, and returns nothing if
+/// there is one.
 std::optional<Settings> loadSettings(const std::string &path, std::ostream &problems);
 
 } // namespace berylridge
--- a/include/berylridge/Config/Vms.h
+++ b/include/berylridge/Config/Vms.h
@@ -1,4 +1,4 @@
-// The platform's VM list, as the code uses it. It lags behind what is live.
+// The platform's VM list, which lags behind the actual state of the VMs.
 #pragma once
 
 #include "berylridge/Support/Id.h"
@@ -9,19 +9,19 @@
 
 namespace berylridge {
 
-/// One entry VM of the system.
+/// One VM of the list.
 struct VmEntry
 {
     NodeId node;
     ZoneId zone;
-    std::string address;    ///< IP number.
-    std::uint16_t port = 0; ///< Datagrams (UDP) and calls (TCP) between nodes.
+    std::string address;    ///< IP address.
+    std::uint16_t port = 0; ///< Port for datagrams (UDP) and calls (TCP) between nodes.
     bool isLeaving = false;
 };
 
 struct VmList
 {
-    std::uint64_t revision = 0; ///< Rises with every change at the platform.
+    std::uint64_t revision = 0; ///< Rises with every change on the platform.
     std::vector<VmEntry> vms;
 };
 
--- a/include/berylridge/Fleet/BalancerMessages.h
+++ b/include/berylridge/Fleet/BalancerMessages.h
@@ -1,5 +1,5 @@
-// What nodes that run the balancer say to each other: loads, who is there, and what the platform
-// published. Encoded by MessagePack as arrays; a newer release appends fields.
+// Messages between nodes that run the balancer: load digests, placements, and the state that the
+// platform published. MessagePack encodes each structure as an array; newer releases append fields.
 #pragma once
 
 #include "berylridge/Catalog/Catalog.h"
@@ -13,46 +13,47 @@
 
 namespace berylridge {
 
-/// The sender's own prefix of one target's load.
+/// The load that the sender's own requests put on one target.
 struct TargetLoadEntry
 {
-    std::uint32_t target = 0;  ///< hash32() of its id.
-    std::uint32_t running = 0; ///< Requests of the sender there.
-    std::uint32_t tokens = 0;  ///< Prompt tokens that the target has still to read for them.
+    std::uint32_t target = 0;  ///< hash32() of the target's id.
+    std::uint32_t running = 0; ///< Requests of the sender that run there.
+    std::uint32_t tokens = 0;  ///< Prompt tokens of these requests that the target has yet to read.
     MSGPACK_DEFINE(target, running, tokens)
 };
 
-/// How many tokens writtenTokens a target's memory by the sender's requests since the sender's
-/// start.
+/// Counts the tokens that the sender's requests have added to a target's cache since the sender
+/// started.
 struct TargetCacheWriteEntry
 {
-    std::uint32_t target = 0;        ///< hash32() of its id.
-    std::uint32_t writtenTokens = 0; ///< Wraps around.
+    std::uint32_t target = 0;        ///< hash32() of the target's id.
+    std::uint32_t writtenTokens = 0; ///< Cumulative; wraps around.
     MSGPACK_DEFINE(target, writtenTokens)
 };
 
-/// A prompt's shared prefix that the sender has just placed.
+/// A shared prompt prefix that the sender has just sent to a target.
 struct PlacementEntry
 {
-    std::uint32_t prefix = 0; ///< Of the chain of parts up to this one.
+    std::uint32_t prefix = 0; ///< Hash of the chain of prompt parts up to and including this one.
     std::uint32_t target = 0; ///< hash32() of the target's id.
     MSGPACK_DEFINE(prefix, target)
 };
 
-/// What a workspace's callers ask and get at the sender, smoothed over a few seconds.
+/// The token rates that a workspace's callers request and are admitted at the sender, smoothed over
+/// a few seconds.
 struct WorkspaceFlowEntry
 {
-    std::uint32_t workspace = 0;                ///< hash32() of its name.
-    std::uint32_t requestedTokensPerSecond = 0; ///< Tokens.
-    std::uint32_t admittedTokensPerSecond = 0;  ///< Tokens.
+    std::uint32_t workspace = 0; ///< hash32() of the workspace's name.
+    std::uint32_t requestedTokensPerSecond = 0;
+    std::uint32_t admittedTokensPerSecond = 0;
     MSGPACK_DEFINE(workspace, requestedTokensPerSecond, admittedTokensPerSecond)
 };
 
-/// A request that was running when its target's connections broke.
+/// A request that was running at a target when the target's connections broke.
 struct InterruptedRequestEntry
 {
     std::uint64_t fingerprint = 0;
-    std::uint64_t boot = 0; ///< Of the target that broke.
+    std::uint64_t boot = 0; ///< Boot of the target whose connections broke.
     MSGPACK_DEFINE(fingerprint, boot)
 };
 
@@ -65,11 +66,12 @@
     MSGPACK_DEFINE(node, zone, address, port)
 };
 
-/// Sent each period to each peer: a sign of life, the sender's loads and what it has in force.
+/// Gossip message that a node sends to peers in each period. It serves as a heartbeat and carries
+/// the sender's loads and the versions of the state that the sender uses.
 struct LoadDigest
 {
     std::string zone;
-    std::string address; ///< Where the sender is reached.
+    std::string address; ///< Address at which other nodes reach the sender.
     std::uint16_t port = 0;
     bool isLeaving = false;
     std::uint64_t catalogVersion = 0;
@@ -77,25 +79,28 @@
     std::vector<TargetLoadEntry> loads;
     std::vector<WorkspaceFlowEntry> flows;
     std::vector<InterruptedRequestEntry> interruptedRequests;
-    std::vector<PeerEntry> peers;          ///< Now and then: some whom the sender has heard lately.
-    std::uint32_t servedPerSecond = 0;     ///< Tokens of requests that the sender had admitted.
-    std::uint32_t turnedAwayPerSecond = 0; ///< Tokens of requests that found no room.
-    bool isReadingPlatform
-        = false; ///< The sender cacheWrites the platform's state, and the platform answers.
+    /// Included in some digests only: some of the nodes that the sender received messages from
+    /// lately.
+    std::vector<PeerEntry> peers;
+    std::uint32_t servedPerSecond = 0;     ///< Tokens of requests that the sender admitted.
+    std::uint32_t turnedAwayPerSecond = 0; ///< Tokens of requests rejected for lack of capacity.
+    /// Whether the sender reads the platform's state and the platform answers.
+    bool isReadingPlatform = false;
     MSGPACK_DEFINE(zone, address, port, isLeaving, catalogVersion, directoryRevision, loads, flows,
                    interruptedRequests, peers, servedPerSecond, turnedAwayPerSecond,
                    isReadingPlatform)
 };
 
-/// What the sender made targets read and keep. Goes out with digests until each peer had it.
+/// The prompt prefixes that the sender's requests added to targets' caches. It is sent along with
+/// digests until each peer has received it.
 struct PlacementUpdate
 {
     std::vector<PlacementEntry> placements;
-    std::vector<TargetCacheWriteEntry> cacheWrites; ///< Where there is news.
+    std::vector<TargetCacheWriteEntry> cacheWrites; ///< Only targets whose count has changed.
     MSGPACK_DEFINE(placements, cacheWrites)
 };
 
-/// Asks a peer whose digest shows newer state for what is newer than this.
+/// Asks a peer whose digest shows newer state for everything that is newer than these versions.
 struct StateRequest
 {
     std::uint64_t catalogVersion = 0;
@@ -103,14 +108,14 @@
     MSGPACK_DEFINE(catalogVersion, directoryRevision)
 };
 
-/// A newer catalog. Travels by call where it is too large for a datagram.
+/// A newer catalog. It is sent by call if it is too large for a datagram.
 struct CatalogUpdate
 {
     Catalog catalog;
     MSGPACK_DEFINE(catalog)
 };
 
-/// Entries of the directory that are newer than the receiver's.
+/// Directory entries that are newer than the receiver's.
 struct DirectoryRelay
 {
     DirectoryUpdate news;
--- a/include/berylridge/Fleet/Membership.h
+++ b/include/berylridge/Fleet/Membership.h
@@ -1,5 +1,5 @@
-// Who belongs to the fleet, as this node knows it from the VM list, from what it hears itself in
-// its own availability zone, and from the views that other zones send.
+// Fleet membership as this node sees it. It combines the VM list, the messages that this node
+// receives in its own availability zone, and the zone views that other zones send.
 #pragma once
 
 #include "berylridge/Chart/MemberLife.h"
@@ -23,20 +23,20 @@
     NodeId node;
     ZoneId zone;
     Endpoint endpoint;
-    Incarnation incarnation = 0; ///< 0 until it was heard or told of.
+    Incarnation incarnation = 0; ///< 0 while no node has reported one.
     MemberState state = MemberState::Unknown;
-    TimePoint
-        lastMessageAt {}; ///< Last message from it; the start of this node where there was none.
-    TimePoint lastHeartbeatAt {}; ///< Last heartbeat to it.
+    /// When its last message arrived; the start of this node if none has arrived.
+    TimePoint lastMessageAt {};
+    TimePoint lastHeartbeatAt {}; ///< When this node last sent it a heartbeat.
     TimePoint lastProbeAt {};
-    Incarnation refusedIncarnation
-        = 0;                      ///< The latest run whose port refused this node's own probe.
-    std::uint64_t zoneDigest = 0; ///< Of its view of its own zone.
-    std::uint64_t counterpartZoneDigest = 0; ///< Of what it holds of this node's zone.
+    /// Latest incarnation whose port refused this node's own probe.
+    Incarnation refusedIncarnation = 0;
+    std::uint64_t zoneDigest = 0;            ///< Hash of the member's view of its own zone.
+    std::uint64_t counterpartZoneDigest = 0; ///< Hash of the member's view of this node's zone.
     std::uint64_t documentsDigest = 0;
     std::uint64_t vmListRevision = 0;
     bool isListed = false;
-    bool hasDirectContact = false; ///< By this node itself.
+    bool hasDirectContact = false; ///< Whether this node itself has received messages from it.
 };
 
 struct MembershipOptions
@@ -49,7 +49,7 @@
     Duration suspectAfter {0};
 };
 
-/// A run of a node that is known to have ended.
+/// An incarnation of a node that is known to have ended.
 struct EndedIncarnation
 {
     NodeId node;
@@ -64,50 +64,53 @@
     void addSeeds(std::span<const VmEntry> seeds);
     /// Returns whether the list was newer than the one in use.
     bool onVmList(const VmList &list, TimePoint now);
-    /// Any authenticated message. False when it is from an earlier run of the node and must be
-    /// ignored.
+    /// Records any authenticated message. Returns false if the message comes from an earlier
+    /// incarnation of the node and must be ignored.
     bool onMessageReceived(const NodeId &from, Incarnation incarnation, TimePoint now);
     void onHeartbeat(const NodeId &from, const Heartbeat &heartbeat, TimePoint now);
     void onZoneView(const ZoneView &view, TimePoint now);
     void onGoodbye(const NodeId &from);
     void onProbeEnded(const NodeId &node, Incarnation incarnation, bool isRefused);
-    /// After a pause of this process: the silence was its own.
+    /// Restarts all silence timeouts after a pause of this process, during which it received
+    /// nothing.
     void onProcessResumed(TimePoint now);
-    /// Looks for silent members; returns those to probe now.
+    /// Updates the states of silent members and returns the members to probe now.
     std::vector<Member> tick(TimePoint now);
 
-    /// Members to send a heartbeat now; marks them as sent to.
+    /// Returns the members that are due a heartbeat now and records it as sent.
     std::vector<Member> dueHeartbeats(TimePoint now);
     ZoneView ownZoneView() const;
 
     const Member *find(const NodeId &node) const;
     const std::map<NodeId, Member> &members() const { return m_members; }
     const VmList &vmList() const { return m_vmList; }
-    /// Whether the VM list has a VM of that name among those that leave: a target's, for instance.
+    /// Returns whether the VM list marks a VM of that name, such as a target's VM, as leaving.
     bool isVmLeaving(std::string_view name) const;
-    /// Whether the VM list names no node of the zone that may still run. Then other zones' nodes
-    /// may own its targets.
+    /// Returns whether all known nodes of another zone are gone, so that nodes of other zones may
+    /// own its targets. Always false for this node's own zone and before the first VM list.
     bool isZoneVacant(const ZoneId &zone) const;
-    /// All nodes of all zones that may own pools, this one included where it is among them.
+    /// Returns the nodes of all zones that may own pools, including this one if it is eligible.
     std::vector<NodeId> eligibleOwnersInFleet(TimePoint now) const;
-    /// All nodes that are not known to be gone, this one included.
+    /// Returns the number of nodes that are not known to be gone, including this one.
     std::uint32_t nodeCountInFleet() const;
 
-    /// Joining, Live or Leaving: what this node tells others of itself.
+    /// Sets the state that this node reports to others: Joining, Live or Leaving.
     void setSelfState(MemberState state);
-    /// Nodes of a zone that may own pools, this one included where it is among them.
+    /// Returns the nodes of a zone that may own pools, including this one if it is eligible.
     std::vector<NodeId> eligibleOwners(const ZoneId &zone, TimePoint now) const;
-    /// Nodes of this zone that are not known to be gone, this one included.
+    /// Returns the number of nodes of this zone that are not known to be gone, including this one.
     std::uint32_t nodeCountInZone() const;
-    /// Nodes of this zone that hold the same view of it, this one included.
+    /// Returns the number of nodes of this zone whose view of it equals this node's, including this
+    /// one.
     std::uint32_t agreeingNodeCountInZone(TimePoint now) const;
     std::uint64_t zoneDigest(const ZoneId &zone, TimePoint now) const;
 
-    /// Runs that ended since the last call.
+    /// Returns the incarnations that ended since the last call.
     std::vector<EndedIncarnation> takeEndedIncarnations();
-    /// Events since the last call.
+    /// Returns the events since the last call.
     std::vector<LogRecord> takeLogRecords();
-    /// Rises with each change of any zone's eligibleOwners nodes or states.
+    /// Returns a counter that rises with each change of a member's state or of a zone's eligible
+    /// owners.
     std::uint64_t changeCount() const { return m_changes; }
     const MemberLife &chart() const { return *m_chart; }
 
@@ -125,16 +128,17 @@
     const MemberLife *m_chart;
     MembershipOptions m_options;
     MemberState m_selfState = MemberState::Joining;
-    std::map<NodeId, Member> m_members; ///< Without this node.
-    std::map<ZoneId, TimePoint>
-        m_zoneLastMessageAt; ///< Other zones: last heartbeat from any of their nodes.
+    std::map<NodeId, Member> m_members; ///< Excludes this node.
+    /// For each other zone, when the last message from any of its nodes arrived.
+    std::map<ZoneId, TimePoint> m_zoneLastMessageAt;
     VmList m_vmList;
     std::set<std::string, std::less<>> m_leavingVms;
 
     std::vector<EndedIncarnation> m_endedIncarnations;
     std::vector<LogRecord> m_log;
     std::uint64_t m_changes = 1;
-    unsigned m_heartbeatSlowdown = 1; ///< By which a large zone's heartbeats are slower.
+    /// Factor by which heartbeat periods and timeouts in a large zone are longer.
+    unsigned m_heartbeatSlowdown = 1;
 };
 
 } // namespace berylridge
--- a/include/berylridge/Fleet/Messages.h
+++ b/include/berylridge/Fleet/Messages.h
@@ -1,5 +1,6 @@
-// What nodes say to each other, apart from the idempotency component's own messages. Encoded by
-// MessagePack as arrays: a newer release appends fields, an older one skips what it doesn't know.
+// Messages between nodes, except those of the idempotency component. MessagePack encodes each
+// structure as an array: newer releases append fields, and older ones skip fields that they do not
+// know.
 #pragma once
 
 #include "berylridge/Support/Id.h"
@@ -12,34 +13,36 @@
 
 namespace berylridge {
 
-/// A workspace's use of a service: flowId() of both names.
+/// Identifies a flow, that is, the requests of one workspace to one service: flowId() of both
+/// names.
 using FlowId = std::uint64_t;
-/// A target's name in messages: hash64() of it.
+/// Identifies a target in messages: hash64() of its name.
 using TargetHash = std::uint64_t;
-/// The targets of one service in one availability zone that have one owner (Policy/Pool.h).
+/// Identifies a pool: targets of one service in one availability zone that share one owner
+/// (Policy/Pool.h).
 using PoolId = std::uint64_t;
-/// Unique over the owners of a pool and their restarts.
+/// Identifies a lease; unique across all owners of a pool and their restarts.
 using LeaseId = std::uint64_t;
 
-/// Says that the sender lives, and which versions of documents it has in force. Sent each heartbeat
-/// period to the zone's nodes and to one counterpart in each other zone.
+/// Shows that the sender is alive and which document versions are active on it. A node sends it in
+/// each heartbeat period to the nodes of its zone and to one counterpart in each other zone.
 struct Heartbeat
 {
     std::uint64_t sequence = 0;
     std::string zone;
-    std::uint8_t nodeState = 0;        ///< Fleet/Membership.h, NodeState.
-    std::uint64_t documentsDigest = 0; ///< Of all names and versions; differs when any differs.
-    std::uint64_t platformAgeMs = 0;   ///< Since the sender's zone last heard the platform.
+    std::uint8_t nodeState = 0;        ///< A MemberState (Chart/MemberLife.h).
+    std::uint64_t documentsDigest = 0; ///< Hash of all document names and versions.
+    std::uint64_t platformAgeMs = 0;   ///< Time since the platform last answered the sender's zone.
     std::uint64_t vmListRevision = 0;
-    std::string address; ///< Where the sender is reached: the VM list may not have it yet.
+    std::string address; ///< The sender's address, which the VM list may not contain yet.
     std::uint16_t port = 0;
-    std::uint64_t zoneDigest = 0;            ///< Of the sender's view of its own zone.
-    std::uint64_t counterpartZoneDigest = 0; ///< Of what the sender holds of the receiver's zone.
+    std::uint64_t zoneDigest = 0;            ///< Hash of the sender's view of its own zone.
+    std::uint64_t counterpartZoneDigest = 0; ///< Hash of its view of the receiver's zone.
     MSGPACK_DEFINE(sequence, zone, nodeState, documentsDigest, platformAgeMs, vmListRevision,
                    address, port, zoneDigest, counterpartZoneDigest)
 };
 
-/// Name and version of a document in force.
+/// Name and version of an active document.
 struct DocumentVersionEntry
 {
     std::string name;
@@ -52,14 +55,14 @@
 {
     std::string node;
     std::uint64_t incarnation = 0;
-    std::uint8_t state = 0; ///< Chart/MemberLife.h, MemberState.
+    std::uint8_t state = 0; ///< A MemberState (Chart/MemberLife.h).
     std::string address;
     std::uint16_t port = 0;
     MSGPACK_DEFINE(node, incarnation, state, address, port)
 };
 
-/// Who lives in the sender's zone, for nodes of other zones, which do not hear them all. Sent when
-/// the receiver's heartbeat shows that it holds another view.
+/// The members of the sender's zone, for nodes of other zones, which do not receive heartbeats from
+/// all of them. It is sent when the receiver's heartbeat shows that it has a different view.
 struct ZoneView
 {
     std::string zone;
@@ -67,11 +70,11 @@
     MSGPACK_DEFINE(zone, members)
 };
 
-/// Asks for documents newer than the given heads.
+/// Asks for documents that are newer than the given versions.
 struct DocumentsRequest
 {
     std::vector<DocumentVersionEntry> have;
-    std::uint64_t vmListRevision = 0; ///< A newer list is sent too.
+    std::uint64_t vmListRevision = 0; ///< The answer includes the VM list if it is newer.
     MSGPACK_DEFINE(have, vmListRevision)
 };
 
@@ -83,8 +86,8 @@
     MSGPACK_DEFINE(name, version, text)
 };
 
-/// Documents that the receiver lacks, or that were just published. Travels by call when too large
-/// for a datagram.
+/// Documents that the receiver lacks or that were just published. It is sent by call if it is too
+/// large for a datagram.
 struct DocumentsReply
 {
     std::vector<DocumentMessage> documents;
@@ -102,7 +105,7 @@
     MSGPACK_DEFINE(node, zone, address, port, isLeaving)
 };
 
-/// The VM list as a reader of the zone got it from the platform.
+/// The VM list as one of the zone's readers received it from the platform.
 struct VmListMessage
 {
     std::uint64_t revision = 0;
@@ -110,13 +113,13 @@
     MSGPACK_DEFINE(revision, vms)
 };
 
-/// Requests of one flow that wait at the sender.
+/// Describes the requests of one flow that wait at the sender.
 struct FlowDemand
 {
     FlowId flow = 0;
     std::uint32_t waiting = 0;
-    std::uint32_t oldestMs = 0; ///< How long the oldest has waited.
-    std::uint32_t costMs = 0;   ///< Expected slot time of the next one.
+    std::uint32_t oldestMs = 0; ///< Time that the oldest request has waited.
+    std::uint32_t costMs = 0;   ///< Expected slot time of the next request.
     MSGPACK_DEFINE(flow, waiting, oldestMs, costMs)
 };
 
@@ -126,23 +129,23 @@
     LeaseId lease = 0;
     TargetHash target = 0;
     FlowId flow = 0;
-    std::uint32_t usedMs = 0; ///< Since it was granted.
+    std::uint32_t usedMs = 0; ///< Slot time used since the lease was granted.
     MSGPACK_DEFINE(lease, target, flow, usedMs)
 };
 
-/// From a holder to a pool's owner: all that waits for the service and all that it holds of the
-/// pool. Whole each time, so that a lost one heals with the next, and a new owner learns what is
-/// held.
+/// Sent by a lease holder to a pool's owner. It lists all requests that wait for the service and
+/// all leases of the pool that the sender holds. Each message is complete, so that the next one
+/// makes up for a lost one and a new owner learns which leases are held.
 struct PoolDemand
 {
     PoolId pool = 0;
     std::uint64_t sequence = 0;
-    std::int64_t sentAt = 0;     ///< The sender's clock in microseconds; grants demandSentAt it.
-    std::uint64_t owner = 0;     ///< The incarnation of the owner that lastGrant speaks of.
-    std::uint64_t lastGrant = 0; ///< The highest grant number that was received from it.
+    std::int64_t sentAt = 0;     ///< Sender's clock in microseconds; PoolGrant returns it.
+    std::uint64_t owner = 0;     ///< Incarnation of the owner that sent lastGrant.
+    std::uint64_t lastGrant = 0; ///< Highest grant number that arrived from this owner.
     std::vector<FlowDemand> demand;
     std::vector<HeldLease> held;
-    bool hasHeldList = true; ///< False where only demand is told: held is empty and says nothing.
+    bool hasHeldList = true; ///< False if only demand is reported; held is then meaningless.
     MSGPACK_DEFINE(pool, sequence, sentAt, owner, lastGrant, demand, held, hasHeldList)
 };
 
@@ -154,14 +157,14 @@
     MSGPACK_DEFINE(lease, target, flow)
 };
 
-/// From a pool's owner to a holder: each lease lets it run the flow's requests at the target, one
-/// at a time. A request may begin until demandSentAt + term on the holder's clock, and while the
-/// lease's requests have together used less than the quantum.
+/// Sent by a pool's owner to a lease holder. Each lease permits the holder to run the flow's
+/// requests at the target, one at a time. A request may start until demandSentAt + termMs on the
+/// holder's clock, as long as the lease's requests have together used less than quantumMs.
 struct PoolGrant
 {
     PoolId pool = 0;
-    std::uint64_t number = 0;      ///< Rises by one per grant to this holder.
-    std::int64_t demandSentAt = 0; ///< sentAt of the demand that this answers.
+    std::uint64_t number = 0;      ///< Rises by one with each grant to this holder.
+    std::int64_t demandSentAt = 0; ///< sentAt of the PoolDemand that this message answers.
     std::uint32_t termMs = 0;
     std::uint32_t quantumMs = 0;
     std::vector<GrantedLease> leases;
@@ -171,29 +174,29 @@
 struct ReturnedLease
 {
     LeaseId lease = 0;
-    std::uint32_t usedMs = 0;    ///< Slot time that the flow's requests took.
-    std::uint32_t completed = 0; ///< Whole answers.
+    std::uint32_t usedMs = 0;    ///< Slot time that the flow's requests used.
+    std::uint32_t completed = 0; ///< Number of complete answers.
     bool isUnfit = false;        ///< Requests of the flow wait, but none may run at this target.
     MSGPACK_DEFINE(lease, usedMs, completed, isUnfit)
 };
 
-/// From a holder: these leases are free again.
+/// Sent by a lease holder to a pool's owner: the holder has released these leases.
 struct PoolReturn
 {
     PoolId pool = 0;
     std::vector<ReturnedLease> leases;
-    std::string bootId;         ///< Of the target that completed them, as its answers said.
-    std::uint64_t sequence = 0; ///< Shared with PoolDemand: demand sent earlier is out of date.
+    std::string bootId;         ///< Boot id that the completing target's answers contained.
+    std::uint64_t sequence = 0; ///< Shared with PoolDemand: a lower-numbered demand is outdated.
     MSGPACK_DEFINE(pool, leases, bootId, sequence)
 };
 
-/// From any node to the target's owner: what it met at the target.
+/// Sent by any node to a target's owner: an event that the sender observed at the target.
 struct TargetObservation
 {
     PoolId pool = 0;
     TargetHash target = 0;
-    std::uint8_t sign = 0; ///< Chart/TargetLife.h, TargetSign.
-    std::string bootId;    ///< Empty when unknown.
+    std::uint8_t sign = 0; ///< A TargetSign (Chart/TargetLife.h).
+    std::string bootId;    ///< Empty if unknown.
     MSGPACK_DEFINE(pool, target, sign, bootId)
 };
 
@@ -201,17 +204,17 @@
 struct FlowUsage
 {
     FlowId flow = 0;
-    std::uint64_t servedMs = 0; ///< Slot time since the sender began to own the pool.
+    std::uint64_t servedMs = 0; ///< Slot time used since the sender became the pool's owner.
     MSGPACK_DEFINE(flow, servedMs)
 };
 
-/// From a pool's owner to owners of the service's other pools: what the pool's flows have received.
-/// Cumulative, so that a lost one heals with the next.
+/// Sent by a pool's owner to the owners of the service's other pools: the slot time that the pool's
+/// flows have used. The values are cumulative, so that the next message makes up for a lost one.
 struct PoolUsage
 {
     std::string service;
     PoolId pool = 0;
-    std::uint64_t epoch = 0; ///< Differs for each time that a node begins to own a pool.
+    std::uint64_t epoch = 0; ///< Differs each time that a node becomes a pool's owner.
     std::vector<FlowUsage> flows;
     MSGPACK_DEFINE(service, pool, epoch, flows)
 };
@@ -235,8 +238,8 @@
     MSGPACK_DEFINE(flow, virtualTime)
 };
 
-/// From a pool's owner to its successor, when ownership moves while both live: everything that was
-/// given out. The sender grants nothing of the pool any more.
+/// Sent by a pool's owner to its successor if ownership moves while both are alive. It lists all
+/// outstanding leases; the sender has stopped granting leases of the pool.
 struct PoolHandover
 {
     PoolId pool = 0;
@@ -245,15 +248,15 @@
     MSGPACK_DEFINE(pool, leases, flows)
 };
 
-/// A request that crashed a target: its fingerprint, and which boot of which target it was.
+/// Reports a request that crashed a target: the request's fingerprint and the target's boot.
 struct CrashReport
 {
     std::uint64_t fingerprint = 0;
-    std::uint64_t boot = 0; ///< Hash of target and boot id, so that each crash counts once.
+    std::uint64_t boot = 0; ///< Hash of target and boot id, by which each crash is counted once.
     MSGPACK_DEFINE(fingerprint, boot)
 };
 
-/// The sender leaves: it owns nothing from now on.
+/// Announces that the sender leaves the fleet and owns no pools from now on.
 struct Goodbye
 {
     std::uint64_t sequence = 0;
--- a/include/berylridge/Support/Audit.h
+++ b/include/berylridge/Support/Audit.h
@@ -1,4 +1,4 @@
-// One entry of the audit trail: who changed what, from which version to which, and when.
+// Entries of the audit trail: who changed what, from which version to which, and when.
 #pragma once
 
 #include "berylridge/Support/Time.h"
@@ -21,15 +21,15 @@
 struct AuditEntry
 {
     AuditKind kind = AuditKind::NodeState;
-    std::string
-        who; ///< An operator, a document's publisher, or "node" for the system's own decision.
-    std::string what; ///< The thing that changed.
-    std::string from; ///< Its version or state before; empty where there was none.
-    std::string to;
+    /// An operator, a document's publisher, or "node" for a decision of the node itself.
+    std::string who;
+    std::string what; ///< The object that changed.
+    std::string from; ///< Previous version or state; empty if there was none.
+    std::string to;   ///< New version or state.
     WallTime when {};
 };
 
-/// The word used in the trail's output.
+/// Returns the name of the kind in the audit trail's output.
 const char *auditKindName(AuditKind kind);
 
 } // namespace berylridge
--- a/include/berylridge/Support/Endpoint.h
+++ b/include/berylridge/Support/Endpoint.h
@@ -1,4 +1,4 @@
-// Where to connect to.
+// Network endpoints: an IP address and a port.
 #pragma once
 
 #include "berylridge/Support/Expected.h"
@@ -12,7 +12,7 @@
 
 struct Endpoint
 {
-    std::string address; ///< IP number.
+    std::string address; ///< Numeric IPv4 or IPv6 address.
     std::uint16_t port = 0;
 
     // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 takes the comparison's 0 for a pointer.
@@ -20,13 +20,13 @@
     bool operator==(const Endpoint &) const = default;
 };
 
-/// Whether the text is an IPv4 or IPv6 number.
+/// Returns whether the text is a numeric IPv4 or IPv6 address.
 bool isIpAddress(std::string_view text);
 
-/// Reads "10.0.1.7:7400" or "[fd00::7]:7400".
+/// Parses "10.0.1.7:7400" or "[fd00::7]:7400".
 Expected<Endpoint> parseEndpoint(std::string_view text);
 
-/// The form that parseEndpoint() reads.
+/// Returns the endpoint in the form that parseEndpoint() parses.
 std::string endpointText(const Endpoint &endpoint);
 
 } // namespace berylridge
--- a/include/berylridge/Support/Expected.h
+++ b/include/berylridge/Support/Expected.h
@@ -1,4 +1,4 @@
-// A value, or the reason why there is none.
+// A value, or the reason why there is none, as the result of a function that can fail.
 #pragma once
 
 #include <cassert>
@@ -8,13 +8,14 @@
 
 namespace berylridge {
 
-/// Why something failed, in lower case and without a full stop, naming the thing and the place.
+/// An error message in lower case and without a full stop, which names the object and the place of
+/// the failure.
 struct Reason
 {
     std::string text;
 };
 
-/// std::optional with the last reason. The caller must look at it.
+/// An optional value that carries the reason if it is empty. Callers must not discard it.
 template <typename T>
 class [[nodiscard]] Expected
 {
@@ -33,26 +34,26 @@
 
     const T &operator*() const &
     {
-        assert(m_value && "reading a value that is not there");
+        assert(m_value && "accessing the value of an Expected that has none");
         return *m_value;
     }
     T &operator*() &
     {
-        assert(m_value && "reading a value that is not there");
+        assert(m_value && "accessing the value of an Expected that has none");
         return *m_value;
     }
     T &&operator*() &&
     {
-        assert(m_value && "reading a value that is not there");
+        assert(m_value && "accessing the value of an Expected that has none");
         return *std::move(m_value);
     }
     const T *operator->() const
     {
-        assert(m_value && "reading a value that is not there");
+        assert(m_value && "accessing the value of an Expected that has none");
         return &*m_value;
     }
 
-    /// Empty where there is a value.
+    /// Returns the reason why there is no value; empty if there is one.
     const std::string &failureReason() const { return m_reason.text; }
 
 private:
--- a/include/berylridge/Support/FatalSignal.h
+++ b/include/berylridge/Support/FatalSignal.h
@@ -1,4 +1,4 @@
-// Where a process died: one log line before a fatal signal ends it.
+// Reports fatal signals: writes one log line before the signal ends the process.
 #pragma once
 
 #include <cstddef>
@@ -6,13 +6,13 @@
 
 namespace berylridge {
 
-/// From now on SIGSEGV, SIGBUS, SIGFPE, SIGILL and SIGABRT write the event FatalSignal to standard
-/// output, where log lines go, before they end the process as they would have. A signal that has a
-/// handler keeps it.
+/// Installs handlers for SIGSEGV, SIGBUS, SIGFPE, SIGILL and SIGABRT. They write the event
+/// FatalSignal to standard output, where log lines go, and then let the signal end the process.
+/// Signals that already have a handler keep it.
 void installFatalSignalHandlers();
 
-/// A stack for signal handlers of the calling thread, so that an overflow of the thread's own stack
-/// is reported too. Ends on the thread that made it.
+/// Provides an alternate stack for signal handlers on the calling thread, so that an overflow of
+/// the thread's own stack is reported too. It must be destroyed on the thread that created it.
 class AlternateSignalStack
 {
 public:
--- a/include/berylridge/Support/Hash.h
+++ b/include/berylridge/Support/Hash.h
@@ -1,4 +1,5 @@
-// Hashing for placement and fingerprints (XXH3) and keyed digests for credentials (BLAKE2b).
+// Fast hashes for placement and fingerprints (XXH3); digests of credentials and authenticators of
+// messages (BLAKE2b).
 #pragma once
 
 #include <cstddef>
@@ -9,29 +10,34 @@
 
 namespace berylridge {
 
-/// A fast 64-bit hash (XXH3). Equal on every node and release; not for secrets.
+/// Returns a fast 64-bit hash (XXH3). It is the same on every node and in every release, and is not
+/// safe for secrets.
 std::uint64_t hash64(std::string_view text, std::uint64_t seed = 0);
 
-/// The lower half of hash64(), for names in messages where a rare collision costs little.
+/// Returns the lower 32 bits of hash64(), for names in messages where a rare collision does little
+/// harm.
 std::uint32_t hash32(std::string_view text);
 
-/// Rendezvous weight of a node for a subject: the highest weight over the nodes wins.
+/// Returns the weight of a node for a subject in rendezvous hashing. The node with the highest
+/// weight is chosen.
 std::uint64_t rendezvousWeight(std::string_view subject, std::string_view node);
 
-/// BLAKE2b-256 as lower-case hex: how workspace credentials stand in documents.
+/// Returns the BLAKE2b-256 digest of a credential in lower-case hex, the form in which documents
+/// contain credentials.
 std::string credentialDigest(std::string_view credential);
 
-/// Whether a credential has this digest. Takes the same time for any wrong one.
+/// Returns whether a credential has this digest, in a time that does not depend on the credential's
+/// digest.
 bool matchesDigest(std::string_view credential, std::string_view digest);
 
-/// Bytes of the authenticator that ends each datagram.
+/// Size in bytes of the authenticator at the end of each datagram.
 inline constexpr std::size_t authenticatorSize = 16;
 
-/// Keyed BLAKE2b of the bytes, written to out.
+/// Writes the keyed BLAKE2b authenticator of the bytes to out.
 void computeAuthenticator(std::string_view key, std::span<const std::byte> bytes,
                           std::span<std::byte, authenticatorSize> out);
 
-/// Compares in constant time.
+/// Returns whether the authenticator matches the bytes. Compares in constant time.
 bool isAuthentic(std::string_view key, std::span<const std::byte> bytes,
                  std::span<const std::byte, authenticatorSize> given);
 
--- a/include/berylridge/Support/Id.h
+++ b/include/berylridge/Support/Id.h
@@ -1,4 +1,5 @@
-// Names of things as distinct types, so that a workspace is never passed where a target is meant.
+// Distinct types for the names of nodes, zones, services, workspaces and targets, so that the
+// compiler rejects a workspace's name where a target's is expected.
 #pragma once
 
 #include <compare>
@@ -10,7 +11,7 @@
 
 namespace berylridge {
 
-/// A name that the operators or the platform gave. Two names of different kinds don't mix.
+/// A name that operators or the platform assigned. Names of different kinds are incompatible types.
 template <typename Kind>
 class Name
 {
@@ -51,8 +52,8 @@
 using WorkspaceId = Name<struct WorkspaceKind>;
 using TargetId = Name<struct TargetKind>;
 
-/// Tells one run of a node from the next: wall-clock microseconds at its start. Only compared for
-/// equality and order between runs of the same node.
+/// Identifies one run of a node's process: its start time in wall-clock microseconds. Incarnations
+/// may only be compared between runs of the same node.
 using Incarnation = std::uint64_t;
 
 } // namespace berylridge
--- a/include/berylridge/Support/LogEvent.h
+++ b/include/berylridge/Support/LogEvent.h
@@ -1,4 +1,4 @@
-// Numbered log events. The list is Support/LogEvents.def; docs/EVENTS.md is its catalogue.
+// Numbered log events. Support/LogEvents.def lists them, and docs/EVENTS.md is generated from it.
 #pragma once
 
 #include <cstdint>
@@ -17,10 +17,10 @@
 #undef BERYLRIDGE_EVENT
 };
 
-/// The word used in logs and in the catalogue.
+/// Returns the name of the level in log lines and in the catalogue.
 std::string_view logLevelName(LogLevel level);
 
-/// One line of the catalogue.
+/// An event's entry in the catalogue.
 struct LogEventInfo
 {
     LogEventId id;
@@ -29,19 +29,19 @@
     std::string_view text;
 };
 
-/// One occurrence, as the decision core emits it.
+/// One occurrence of an event, as the decision core emits it.
 struct LogRecord
 {
     LogEventId id;
-    std::string detail;       ///< For people, in words.
-    std::string request = {}; ///< Id of the request that it touches; empty for other events.
-    Json::Value fields = {};  ///< The inputs that decided and the outcome, by name; may be null.
+    std::string detail;       ///< Human-readable text.
+    std::string request = {}; ///< Id of the request concerned; empty if there is none.
+    Json::Value fields = {};  ///< Inputs and outcome of the decision, by name; may be null.
 };
 
-/// The whole catalogue, by rising number.
+/// Returns the whole catalogue in ascending order of number.
 std::span<const LogEventInfo> logEventCatalogue();
 
-/// The catalogue line of an event.
+/// Returns an event's entry in the catalogue.
 const LogEventInfo &logEventInfo(LogEventId id);
 
 } // namespace berylridge
--- a/include/berylridge/Support/LogRateLimiter.h
+++ b/include/berylridge/Support/LogRateLimiter.h
@@ -1,7 +1,7 @@
-// How much a process may log.
+// Limits the rate of log lines of a process.
 //
-// Load it answers: an outage turns away every request, each refusal is a line, and writing them
-// takes the processor from the requests that could be served.
+// During an outage every request is rejected and each rejection is a log line. Writing all of these
+// lines would take CPU time from the requests that could be served.
 #pragma once
 
 #include "berylridge/Support/LogEvent.h"
@@ -11,12 +11,13 @@
 
 namespace berylridge {
 
-/// Not safe for use by two threads at once.
+/// Token bucket for lines and bytes. Not thread-safe.
 class LogRateLimiter
 {
 public:
-    /// A node of the size to come has 87 requests a second, a line of 400 to 500 bytes each; this
-    /// leaves twice as much for what happens beside them. In lines and bytes a second.
+    /// Limits in lines and bytes per second. A node of the planned size handles 87 requests per
+    /// second and writes a line of 400 to 500 bytes for each; the defaults leave twice as much for
+    /// all other lines.
     struct Limits
     {
         double lines = 300;
@@ -30,13 +31,14 @@
     {
     }
 
-    /// Whether a line of this size may be written now; takes its place where it may.
+    /// Returns whether a line of this size may be written now, and if so deducts it from the
+    /// limits.
     bool tryTake(std::size_t bytes, LogLevel level, TimePoint now);
 
 private:
     static constexpr double burstSeconds = 2;
-    /// Part of the burst that is kept for warnings and errors: a flood of requests must not push
-    /// out the lines that tell why.
+    /// Fraction of the burst that is reserved for warnings and errors, so that many request lines
+    /// cannot displace the lines that explain the cause.
     static constexpr double reservedFraction = 0.25;
 
     void refill(TimePoint now);
--- a/include/berylridge/Support/Overloaded.h
+++ b/include/berylridge/Support/Overloaded.h
@@ -1,4 +1,4 @@
-// Puts several lambdas together into one visitor for std::visit.
+// Combines several lambdas into one visitor for std::visit.
 #pragma once
 
 namespace berylridge {
--- a/include/berylridge/Support/Random.h
+++ b/include/berylridge/Support/Random.h
@@ -1,5 +1,5 @@
-// The only source of randomness of the decision core: seeded by whoever builds it, so that a run
-// can be repeated from its seed.
+// The only source of randomness of the decision core. The code that creates the core supplies the
+// seed, so that a run can be reproduced.
 #pragma once
 
 #include "berylridge/Support/Time.h"
@@ -11,14 +11,14 @@
 
 using RandomEngine = std::mt19937_64;
 
-/// A number in [0, 1).
+/// Returns a uniformly distributed number in [0, 1).
 inline double uniform(RandomEngine &engine)
 {
     return std::uniform_real_distribution<double>(0.0, 1.0)(engine);
 }
 
-/// The time, or up to a half more: callers who are turned away together must not come back
-/// together.
+/// Lengthens a retry delay by a random amount of up to a half, so that callers that were rejected
+/// at the same time do not retry at the same time.
 inline Duration addRetryJitter(Duration base, RandomEngine &engine)
 {
     constexpr double jitterFraction = 0.5;
--- a/include/berylridge/Support/Time.h
+++ b/include/berylridge/Support/Time.h
@@ -1,5 +1,5 @@
-// The two clocks that the decision core is handed: one that only moves forward, for leases and
-// waits, and the wall clock, for the age of idempotency keys.
+// The two clocks of the decision core: a monotonic clock for leases and timeouts, and the wall
+// clock for the age of idempotency keys.
 #pragma once
 
 #include <chrono>
@@ -11,20 +11,20 @@
 
 using Duration = std::chrono::microseconds;
 
-/// Tag for time that never steps back. Its epoch is arbitrary and differs between nodes.
+/// Tag type for monotonic time. Its epoch is arbitrary and differs between nodes.
 struct MonotonicTime
 {
     using rep = Duration::rep;
     using period = Duration::period;
     using duration = Duration;
     using time_point = std::chrono::time_point<MonotonicTime>;
-    static constexpr bool is_steady = true; // NOLINT: the name that std::chrono asks for
+    static constexpr bool is_steady = true; // NOLINT: std::chrono requires this name.
 };
 
 using TimePoint = MonotonicTime::time_point;
 using WallTime = std::chrono::sys_time<std::chrono::milliseconds>;
 
-/// What a clock of the system must offer.
+/// Requirements on a clock that supplies both times.
 template <typename T>
 concept Clock = requires(const T &clock)
 {
@@ -36,7 +36,7 @@
         } -> std::same_as<WallTime>;
 };
 
-/// The clocks of the machine.
+/// Reads the machine's clocks.
 class SystemClock
 {
 public:
@@ -51,7 +51,7 @@
     }
 };
 
-/// A clock that stands still until a test or a replay advances it.
+/// A clock that only moves when a test or a replay advances it.
 class ManualClock
 {
 public:
@@ -66,7 +66,7 @@
     }
 
 private:
-    /// 2026-01-01, so that keys made under this clock are valid UUIDv7 times.
+    /// 2026-01-01, so that keys created with this clock contain valid UUIDv7 times.
     static constexpr WallTime wallStart()
     {
         return WallTime(std::chrono::milliseconds(1767225600000));
@@ -79,19 +79,20 @@
 
 static_assert(Clock<SystemClock> && Clock<ManualClock>);
 
-/// Seconds as a floating-point number, for metrics and virtual time.
+/// Converts a duration to seconds as a floating-point number, for metrics and virtual time.
 constexpr double toSeconds(Duration duration)
 {
     return std::chrono::duration<double>(duration).count();
 }
 
-/// The nearest duration to a number of seconds.
+/// Converts seconds to the nearest duration.
 inline Duration fromSeconds(double seconds)
 {
     return Duration(std::llround(seconds * 1e6));
 }
 
-/// Durations stand as whole milliseconds in messages; below zero counts as zero.
+/// Converts a duration to whole milliseconds, the unit of durations in messages. Negative durations
+/// become zero.
 inline std::uint32_t toMilliseconds(Duration duration)
 {
     const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(duration).count();
--- a/include/berylridge/Support/Verdict.h
+++ b/include/berylridge/Support/Verdict.h
@@ -1,4 +1,5 @@
-// Whether a request may have been executed by a target: what every refusal and failure must say.
+// Verdicts: whether a target may have executed a request. Every answer that reports a rejection or
+// failure contains one.
 #pragma once
 
 #include <cstdint>
@@ -7,12 +8,12 @@
 namespace berylridge {
 
 enum class Verdict : std::uint8_t {
-    NotRun,     ///< No target has seen a byte of it; sending it again is safe.
-    MayHaveRun, ///< Bytes left for a target; nobody can tell whether it acted on them.
-    Ran,        ///< A target answered it.
+    NotRun,     ///< No byte of the request has reached a target; it is safe to retry.
+    MayHaveRun, ///< Bytes were sent to a target, which may or may not have executed the request.
+    Ran,        ///< A target answered the request.
 };
 
-/// The word used in answers to callers and in logs.
+/// Returns the name of the verdict in answers to callers and in logs.
 constexpr std::string_view verdictName(Verdict verdict)
 {
     switch (verdict) {
@@ -26,7 +27,8 @@
     return "may-have-run";
 }
 
-/// Verdicts only ever grow: what may have run can't become "not run" again.
+/// Returns the worse verdict of two. A request's verdict never improves: once it may have run, it
+/// cannot become "not run" again.
 constexpr Verdict worse(Verdict a, Verdict b)
 {
     return a < b ? b : a;
--- a/lib/CommandLine/CommandLine.cpp
+++ b/lib/CommandLine/CommandLine.cpp
@@ -1,4 +1,4 @@
-// Help as a manual page, errors in the form of all our messages.
+// Prints help as a manual page and TCLAP's errors in the style of this project's messages.
 #include "berylridge/CommandLine/CommandLine.h"
 
 #include <cctype>
@@ -36,13 +36,14 @@
     return argument.longID().find("--") == std::string::npos;
 }
 
-/// Our own options in the order in which they were added, then TCLAP's, then operands.
+/// Returns the program's own options in the order in which they were added, then the options that
+/// TCLAP defines, then operands.
 std::vector<const TCLAP::Arg *> orderedArguments(TCLAP::CmdLineInterface &line)
 {
     std::vector<const TCLAP::Arg *> options;
     std::vector<const TCLAP::Arg *> common;
     std::vector<const TCLAP::Arg *> operands;
-    // TCLAP keeps options with the last one added first, and operands after them.
+    // TCLAP stores the option that was added last first, and operands after the options.
     const auto &given = line.getArgList();
     const std::vector<TCLAP::Arg *> declarationOrder(given.rbegin(), given.rend());
     for (const auto *argument : declarationOrder) {
@@ -61,7 +62,8 @@
     return options;
 }
 
-/// TCLAP's words in the form of our messages.
+/// Returns a message of TCLAP in the style of this project's messages: it starts in lower case and
+/// has no final punctuation.
 std::string normalizedMessage(std::string text)
 {
     const auto begin = text.find_first_not_of(' ');
@@ -73,7 +75,7 @@
     return text;
 }
 
-/// "Argument: (--out)" by TCLAP, "--out" here.
+/// Returns the argument's plain name, such as "--out", where TCLAP has "Argument: (--out)".
 std::string argumentName(const TCLAP::ArgException &error)
 {
     auto text = normalizedMessage(error.argId());
--- a/lib/Config/Diagnostic.cpp
+++ b/lib/Config/Diagnostic.cpp
@@ -1,4 +1,4 @@
-// How a diagnostic is printed.
+// Formats diagnostics.
 #include "berylridge/Config/DocumentReader.h"
 
 namespace berylridge {
--- a/lib/Config/Difference.cpp
+++ b/lib/Config/Difference.cpp
@@ -1,4 +1,4 @@
-// Compares documents compareField by compareField.
+// Compares documents field by field.
 #include "berylridge/Config/Difference.h"
 
 #include "berylridge/Support/Endpoint.h"
@@ -167,14 +167,14 @@
         const auto name = "workspace " + before.workspace.str();
         compareField((name + " queueLimit").c_str(), before.queueLimit, after.queueLimit);
         if (before.credentialDigest != after.credentialDigest)
-            m_difference.changes.push_back(name + " has another key");
+            m_difference.changes.push_back(name + " has a different key");
         const double shareBefore = before.weight / weightSum(m_current);
         const double shareAfter = after.weight / weightSum(m_next);
         const auto change = name + " share " + percent(shareBefore) + " -> " + percent(shareAfter);
         if (percent(shareBefore) != percent(shareAfter))
             m_difference.changes.push_back(change);
         if (shareAfter < shareBefore * (1 - m_maxShareCut))
-            m_difference.warnings.push_back(change + " is a cut");
+            m_difference.warnings.push_back(change + " exceeds the allowed reduction");
     }
 
     static std::uint64_t slotSum(const ServiceDocument &document)
@@ -189,7 +189,7 @@
     {
         const auto before = slotSum(m_current);
         const auto after = slotSum(m_next);
-        compareField("slots of all targets that stay", before, after);
+        compareField("number of slots of all remaining targets", before, after);
         if (after < before) {
             m_difference.warnings.push_back("the service loses slots: " + std::to_string(before)
                                             + " -> " + std::to_string(after));
@@ -225,7 +225,7 @@
         if (isOut(current, zone))
             continue;
         difference.changes.push_back("zone " + zone.str() + " goes out of service");
-        difference.warnings.push_back("zone " + zone.str() + " gets no new work");
+        difference.warnings.push_back("zone " + zone.str() + " receives no new requests");
     }
     return difference;
 }
--- a/lib/Config/DocumentStore.cpp
+++ b/lib/Config/DocumentStore.cpp
@@ -1,4 +1,4 @@
-// Decides which documents take force on this node.
+// Decides which documents become active on this node.
 #include "berylridge/Config/DocumentStore.h"
 
 #include "berylridge/Support/Hash.h"
@@ -23,13 +23,13 @@
         result.diagnostics = {makeDiagnostic(document, "version", "must be at least 1")};
         return result;
     }
-    // Two texts under one version would leave nodes with different rules that both call current,
-    // and no later message would heal it: the first text stays, and the operator must raise the
-    // version.
+    // If nodes accepted two texts under one version, they would apply different rules that each
+    // considers current, and no later message would correct that. So the first text stays active,
+    // and the operator must raise the version.
     if (current && document.version == current->version && document.text != current->text) {
         result.status = AcceptStatus::Refused;
-        result.diagnostics = {
-            makeDiagnostic(document, "version", "another text is in force under the same version")};
+        result.diagnostics = {makeDiagnostic(document, "version",
+                                             "a different text is active under the same version")};
         return result;
     }
     if (current && document.version <= current->version)
--- a/lib/Config/DocumentWriter.cpp
+++ b/lib/Config/DocumentWriter.cpp
@@ -1,4 +1,4 @@
-// Writes documents and their envelopes by jsoncpp.
+// Writes documents and their envelopes with jsoncpp.
 #include "berylridge/Config/DocumentWriter.h"
 
 #include "FieldReader.h"
@@ -15,7 +15,7 @@
 {
     Json::StreamWriterBuilder builder;
     builder["indentation"] = "";
-    // The shortest form that gives weights back as people wrote them: 0.1 and not
+    // 15 digits reproduce weights as operators wrote them, such as 0.1 instead of
     // 0.10000000000000001.
     builder["precision"] = 15;
     return Json::writeString(builder, value);
--- a/lib/Config/FieldReader.cpp
+++ b/lib/Config/FieldReader.cpp
@@ -1,4 +1,4 @@
-// The checks of single fields and the choices in which they are reported.
+// Checks of single fields and their error messages.
 #include "FieldReader.h"
 
 #include <algorithm>
@@ -53,7 +53,8 @@
     return text;
 }
 
-/// A name as people may see it: control characters would garble a terminal.
+/// Returns a name that is safe to print. Replaces control characters, which could change the state
+/// of a terminal.
 std::string printable(std::string_view name)
 {
     std::string text(name.substr(0, 64));
@@ -66,7 +67,7 @@
 
 const TextRule nameRule {isName,
                          "1 to 64 letters, digits, '-', '_' or '.', not beginning with '.'"};
-const TextRule addressRule {isIpAddress, "an IP number, as in \"10.0.1.7\""};
+const TextRule addressRule {isIpAddress, "an IP address, as in \"10.0.1.7\""};
 const TextRule digestRule {isDigest,
                            "64 hex digits in lower case, as `berylctl digest` prints them"};
 const TextRule notEmptyRule {isNotEmpty, "a string that is not empty"};
--- a/lib/Config/FieldReader.h
+++ b/lib/Config/FieldReader.h
@@ -1,5 +1,5 @@
-// Reads the fields of one JSON object with their checks. Every error is reported, none stops the
-// reading; finish() reports the names that nobody asked for.
+// Reads and checks the fields of one JSON object. Reading continues after each error, so that all
+// errors are reported; finish() reports the names that the caller has not read.
 #pragma once
 
 #include "JsonSource.h"
@@ -21,14 +21,15 @@
 
 enum class Presence : std::uint8_t { Required, Optional };
 
-/// A check of a string, and the choices that say what it allows.
+/// A check of a string, and a description of what it allows.
 struct TextRule
 {
     bool (*isAllowed)(std::string_view text);
-    std::string_view allowed; ///< Follows "must be ".
+    std::string_view allowed; ///< Follows "must be " in messages.
 };
 
-/// Names of services, zones, workspaces, targets and nodes: they stand in paths and headers.
+/// Rule for names of services, zones, workspaces, targets and nodes, which occur in paths and
+/// headers.
 extern const TextRule nameRule;
 extern const TextRule addressRule;
 extern const TextRule digestRule;
@@ -37,7 +38,7 @@
 class FieldReader
 {
 public:
-    /// A path is empty for the root. A value that is not an object is reported here.
+    /// The path is empty for the root. Reports an error if the value is not an object.
     FieldReader(JsonSource &source, const Json::Value &object, std::string path = {});
 
     template <std::unsigned_integral Int>
@@ -50,21 +51,21 @@
     }
     void number(std::string_view name, double &out, double low, double high,
                 Presence presence = Presence::Optional);
-    /// The same for a value that is not a field of this object.
+    /// Reads a number from a value that is not a field of this object.
     void numberAt(const Json::Value &value, const std::string &path, double &out, double low,
                   double high);
     void boolean(std::string_view name, bool &out);
     void text(std::string_view name, std::string &out, const TextRule &rule,
               Presence presence = Presence::Optional);
-    /// One of a few choices; gives its place in the list.
+    /// Reads a string that must be one of the choices. Returns its index in the list.
     std::optional<std::size_t> choice(std::string_view name,
                                       const std::vector<std::string_view> &choices,
                                       Presence presence = Presence::Optional);
-    /// Whole milliseconds; the name ends in Ms.
+    /// Reads a duration in whole milliseconds; the field's name ends in Ms.
     void duration(std::string_view name, Duration &out, Duration low, Duration high);
-    /// Written "10.0.1.7:7400", or as an object with address and port.
+    /// Reads an endpoint, written as "10.0.1.7:7400" or as an object with address and port.
     void endpoint(std::string_view name, Endpoint &out, Presence presence = Presence::Required);
-    /// The same for a value that is not a field of this object.
+    /// Reads an endpoint from a value that is not a field of this object.
     void endpointAt(const Json::Value &value, const std::string &path, Endpoint &out);
 
     template <typename Kind>
@@ -76,24 +77,24 @@
             out = Name<Kind>(std::move(value));
     }
 
-    /// Calls the function for each element with its dotted path.
+    /// Calls the function with each element of a list and the element's dotted path.
     using ElementReader = std::function<void(const Json::Value &element, const std::string &path)>;
     void list(std::string_view name, const ElementReader &readElement,
               Presence presence = Presence::Optional);
-    /// Calls the function for each member of an object with free names.
+    /// Calls the function for each member of a field that is an object with arbitrary names.
     using MemberReader = std::function<void(const std::string &name, const Json::Value &member,
                                             const std::string &path)>;
     void members(std::string_view name, const MemberReader &readMember,
                  Presence presence = Presence::Optional);
 
-    /// The same for the members of this object, which all count as asked for.
+    /// Calls the function for each member of this object itself.
     void forEachMember(const MemberReader &readMember);
-    /// Names of this object's members, but for repeated ones.
+    /// Returns the names of this object's members without repeated ones.
     std::vector<std::string> names() const;
 
-    /// Reports an error at a field, or at the object where the field is not there.
+    /// Reports an error at a field, or at the object if the field is missing.
     void report(std::string_view name, std::string message);
-    /// Reports names that were not asked for and names that stand twice.
+    /// Reports names that were not read and names that occur more than once.
     void finish();
 
     std::string pathOf(std::string_view name) const;
@@ -110,7 +111,7 @@
     std::vector<std::string> m_known;
 };
 
-/// Reads a whole text whose root is an object: the function reads its fields into the value.
+/// Reads a whole text whose root is an object. The function reads its fields into the value.
 template <typename T, std::invocable<FieldReader &, T &> ReadFields>
 ReadResult<T> readRoot(std::string_view file, std::string_view text, ReadFields readFields)
 {
@@ -126,7 +127,7 @@
     return {std::move(value), {}};
 }
 
-/// Reads an element that must be a string under a rule.
+/// Reads an element that must be a string that satisfies a rule.
 std::optional<std::string> readText(JsonSource &source, const Json::Value &value,
                                     const std::string &path, const TextRule &rule);
 
--- a/lib/Config/JsonSource.cpp
+++ b/lib/Config/JsonSource.cpp
@@ -1,4 +1,4 @@
-// Parses by jsoncpp and turns its errors into diagnostics.
+// Parses JSON with jsoncpp and converts its errors to diagnostics.
 #include "JsonSource.h"
 
 #include <algorithm>
@@ -9,10 +9,10 @@
 
 namespace {
 
-/// Put before a repeated name; a name of ours never begins with it.
+/// Prefix that marks a repeated name; valid names never begin with it.
 constexpr char repeatedNameMarker = '\x01';
-/// A text with more repeated names than this is refused at the first one that is left: each costs a
-/// parse of the whole, and a router reads documents on its control thread.
+/// Parsing stops at the first repeated name beyond this number. Each of them requires parsing the
+/// whole text again, and a router reads documents on its control thread.
 constexpr int maxRepeatedNames = 16;
 constexpr std::string_view byteOrderMark = "\xEF\xBB\xBF";
 
@@ -22,19 +22,19 @@
     int column = 0;
 };
 
-/// Reads "Line 3, Column 5" after the given place in the parser's errors.
+/// Parses "Line 3, Column 5" after the given offset in the parser's errors.
 std::optional<Position> positionAfter(const std::string &errors, std::size_t from)
 {
     const auto lineAt = errors.find("Line ", from);
     const auto columnAt = errors.find("Column ", from);
     if (lineAt == std::string::npos || columnAt == std::string::npos)
         return std::nullopt;
-    return Position {std::atoi(errors.c_str() + lineAt + 5),    // NOLINT: digits by the parser
+    return Position {std::atoi(errors.c_str() + lineAt + 5),    // NOLINT: The parser wrote digits.
                      std::atoi(errors.c_str() + columnAt + 7)}; // NOLINT: as above
 }
 
-/// Where each line begins. Counts lines as the parser does: a carriage return ends a line, alone or
-/// before a line feed.
+/// Returns the offset of each line's start. Counts lines like the parser, for which a carriage
+/// return ends a line, alone or before a line feed.
 std::vector<std::size_t> lineStartsOf(std::string_view text)
 {
     std::vector<std::size_t> starts {0};
@@ -46,7 +46,7 @@
     return starts;
 }
 
-/// Empty where the text was parsed.
+/// Parses the text. Returns the parser's errors; empty on success.
 std::string parseInto(const std::string &text, Json::Value &root)
 {
     Json::CharReaderBuilder builder;
@@ -60,13 +60,14 @@
         if (reader->parse(text.data(), text.data() + text.size(), &root, &errors))
             return {};
     } catch (const std::exception &error) {
-        // The parser throws where the nesting passes its limit.
+        // The parser throws if the nesting exceeds its limit.
         return std::string("* Line 1, Column 1\n  ") + error.what() + "\n";
     }
     return errors.empty() ? "* Line 1, Column 1\n  not JSON\n" : errors;
 }
 
-/// The parser's choices in the form of our diagnostics: first letter in lower case, no full stop.
+/// Returns a message of the parser in the style of this project's diagnostics: it starts in lower
+/// case and has no full stop.
 std::string normalizedMessage(std::string message)
 {
     while (!message.empty() && (message.back() == '.' || message.back() == ' '))
@@ -89,8 +90,8 @@
 {
     Json::Value root;
     std::string errors = parseInto(m_text, root);
-    // The parser gives up an object at its first repeated name. Marking that name and parsing again
-    // finds the others, and lets the fields' own checks run over all the rest.
+    // The parser stops reading an object at its first repeated name. Marking that name and parsing
+    // again finds the next one, and allows the checks of all other fields to run.
     for (int i = 0; i < maxRepeatedNames && !errors.empty() && markRepeatedName(errors); ++i) {
         root = Json::Value();
         errors = parseInto(m_text, root);
@@ -162,7 +163,8 @@
 
 void JsonSource::reportSyntax(const std::string &parserErrors)
 {
-    // Only the first error: those after it come from the parser's guesses at where to go on.
+    // Only the first error is reported, since the later ones result from the parser's error
+    // recovery.
     const auto position = positionAfter(parserErrors, 0).value_or(Position {1, 1});
     const auto begin = parserErrors.find("\n  ");
     std::string message = "not JSON";
--- a/lib/Config/JsonSource.h
+++ b/lib/Config/JsonSource.h
@@ -1,4 +1,4 @@
-// One text of JSON with comments: parses it and collects what is wrong with it, by line.
+// Parses one text of JSON with comments and collects its errors by line.
 #pragma once
 
 #include "berylridge/Config/DocumentReader.h"
@@ -17,13 +17,13 @@
 public:
     JsonSource(std::string_view file, std::string_view text);
 
-    /// The root, where the text can be parsed and is an object. A name that stands twice in an
+    /// Returns the root if the text can be parsed and is an object. A name that occurs twice in an
     /// object is kept under a marked name (isRepeatedName()), so that all other checks still run.
     std::optional<Json::Value> parse();
 
-    /// Whether the parser marked this name as one that already stands in its object.
+    /// Returns whether parse() marked this name as a repetition of an earlier one in its object.
     static bool isRepeatedName(std::string_view name);
-    /// The name as it was originalName.
+    /// Returns the name as it is written in the text, without the mark.
     static std::string_view originalName(std::string_view name);
 
     void report(const Json::Value &at, std::string name, std::string message);
@@ -32,7 +32,7 @@
 
     int lineOf(const Json::Value &value) const;
 
-    /// All errors by rising line.
+    /// Returns all errors in ascending order of line.
     std::vector<Diagnostic> takeDiagnostics();
 
 private:
--- a/lib/Config/Publication.cpp
+++ b/lib/Config/Publication.cpp
@@ -49,7 +49,8 @@
         m_publication.diagnostics.push_back({source.path, 1, "", std::move(message)});
     }
 
-    /// The file of this name; null where there is none. A second one is an error.
+    /// Returns the file of this name, or null if there is none. Reports each further one as an
+    /// error.
     const SourceFile *findUnique(std::string_view name)
     {
         const SourceFile *found = nullptr;
@@ -98,7 +99,7 @@
         const auto [earlier, isNew] = m_serviceByEndpoint.emplace(endpoint, service);
         if (!isNew) {
             warn("services " + earlier->second + " and " + service + " share the target at "
-                 + endpoint + ": each counts its slots for itself");
+                 + endpoint + ": each counts its slots separately");
         }
     }
 
@@ -106,7 +107,7 @@
     {
         const auto *file = findUnique(fleetFileName);
         if (!file) {
-            warn("no " + std::string(fleetFileName) + ": the fleet document stays as it is");
+            warn("no " + std::string(fleetFileName) + ": the fleet document is not changed");
             return;
         }
         const auto document = collect(readFleetDocument(file->path, file->text));
@@ -114,7 +115,8 @@
             return;
         for (const auto &zone : document->zonesOut) {
             if (!m_zones.contains(zone))
-                warn("zone " + zone.str() + " is to be out, but no service has targets there");
+                warn("zone " + zone.str()
+                     + " is to be taken out of service, but no service has targets there");
         }
         add(*file, std::string(DocumentStore::fleetName), writeFleetDocument(*document));
     }
--- a/lib/Config/ServiceFields.cpp
+++ b/lib/Config/ServiceFields.cpp
@@ -1,4 +1,4 @@
-// The fields that service documents and service files share, and their rules.
+// Reads the fields that service documents and service files share, and defines their rules.
 #include "ServiceFields.h"
 
 #include <algorithm>
--- a/lib/Config/ServiceFields.h
+++ b/lib/Config/ServiceFields.h
@@ -1,4 +1,4 @@
-// What service documents and the operators' service files have in common.
+// Fields that service documents and the operators' service files have in common.
 #pragma once
 
 #include "FieldReader.h"
@@ -18,10 +18,10 @@
 inline constexpr double maxWeight = 1e6;
 inline constexpr std::uint64_t maxQueueLimit = 1'000'000;
 
-/// Reads kind, slots, time-outs and limits.
+/// Reads kind, slots, timeouts and limits.
 void readServiceLimits(FieldReader &fields, ServiceDocument &document);
 
-/// Reports each key that an earlier element of the same list already had.
+/// Reports each key that an earlier element of the same list already has.
 class UniquenessCheck
 {
 public:
--- a/lib/Config/ServiceFile.cpp
+++ b/lib/Config/ServiceFile.cpp
@@ -1,4 +1,4 @@
-// Reads a service file into the document that is published for it.
+// Reads a service file and converts it to a service document.
 #include "berylridge/Config/ServiceFile.h"
 
 #include "ServiceFields.h"
@@ -65,7 +65,7 @@
         m_uniqueNames.check(member, path, name);
         if (!nameRule.isAllowed(name) || !nameRule.isAllowed(target.target.str())) {
             m_source.report(member, path,
-                            "its name, after the service's and a '.', must be "
+                            "its published name, SERVICE.NAME, must be "
                                 + std::string(nameRule.allowed));
         }
         std::string at;
@@ -176,7 +176,7 @@
     {
         const auto name = share.workspace.str();
         if (share.weight < minWeight || share.weight > maxWeight)
-            m_fields.source().report(member, path, "takes the weight of " + name + " out of range");
+            m_fields.source().report(member, path, "puts the weight of " + name + " out of range");
         if (!m_groupShares.emplace(name, std::move(share)).second) {
             m_fields.source().report(member, path,
                                      "has workspace " + name + " in common with another group");
--- a/lib/Config/SettingsReader.cpp
+++ b/lib/Config/SettingsReader.cpp
@@ -1,4 +1,4 @@
-// Reads a router's settings file.
+// Reads the text of a router's settings file.
 #include "berylridge/Config/Settings.h"
 
 #include "FieldReader.h"
@@ -13,7 +13,7 @@
 using std::chrono::milliseconds;
 using std::chrono::minutes;
 
-constexpr std::size_t minFleetKeyBytes = 32; // also in fleetKeyRule's choices
+constexpr std::size_t minFleetKeyBytes = 32; // The text of fleetKeyRule repeats both limits.
 constexpr std::size_t maxFleetKeyBytes = 64;
 
 bool isFleetKey(std::string_view text)
--- a/lib/Fleet/Membership.cpp
+++ b/lib/Fleet/Membership.cpp
@@ -9,20 +9,21 @@
 
 namespace {
 
-/// To nodes that were never heard, or whose run has ended: they may come back before the VM list
-/// tells.
+/// Heartbeat period towards nodes that never sent a message or whose incarnation has ended. They
+/// may come back before the VM list shows it.
 constexpr Duration absentNodeHeartbeatPeriod = std::chrono::milliseconds(1000);
-/// Between zones. A lost owner is found by its own zone; the word of it is pushed at once.
+/// Heartbeat period between zones. It may be longer than within a zone, because a lost owner is
+/// detected by its own zone, which sends its new view to other zones at once.
 constexpr Duration crossZoneHeartbeatPeriod = std::chrono::milliseconds(500);
-/// A zone of which no node was heard for this long counts as cut off.
+/// A zone counts as unreachable if no message from any of its nodes arrived for this long.
 constexpr Duration zoneSilenceTimeout = std::chrono::milliseconds(2500);
-/// A node of another zone that does not answer for this long is replaced as counterpart.
+/// A counterpart in another zone is replaced if it does not answer for this long.
 constexpr Duration counterpartTimeout = std::chrono::milliseconds(1500);
-/// Nodes of a zone that greet each other at the full pace.
+/// Number of nodes up to which a zone's heartbeats are sent at the full rate.
 constexpr unsigned fullRateZoneNodes = 8;
 constexpr Duration probePeriod = std::chrono::milliseconds(500);
 
-/// Whether a node in this state holds a view of its zone that counts beside others'.
+/// Returns whether a node in this state has a zone view that may be compared with others' views.
 bool hasZoneView(MemberState state)
 {
     return state == MemberState::Live || state == MemberState::Leaving;
@@ -65,8 +66,8 @@
             continue;
         Member &entry = member(vm.node);
         entry.isListed = true;
-        // A heartbeat tells where its sender is, other messages don't: a node that was heard by one
-        // of those alone would never be answered.
+        // Only heartbeats carry their sender's address. A node that has sent other messages only
+        // has no address yet, and nothing could be sent to it.
         if (!entry.hasDirectContact || entry.endpoint.address.empty()) {
             entry.zone = vm.zone;
             entry.endpoint = {vm.address, vm.port};
@@ -80,8 +81,8 @@
         entry.isListed = false;
         step(entry, MemberSign::Unlisted);
     }
-    // Those that are gone and off the list are forgotten, after a while in which late messages may
-    // come.
+    // Removes unlisted nodes that are gone. The delay leaves time for late messages of their
+    // incarnations.
     std::erase_if(m_members, [&](const auto &entry) {
         return !entry.second.isListed && entry.second.state == MemberState::Gone
             && now - entry.second.lastMessageAt > std::chrono::minutes(5);
@@ -102,7 +103,8 @@
         if (hadIncarnation)
             recordEndedIncarnation(entry);
         entry.incarnation = incarnation;
-        // Also of a run that was known to be over: its successor is another one.
+        // This also applies if the previous incarnation was known to have ended, because the new
+        // one is a different process.
         step(entry, MemberSign::NewIncarnation);
         logMemberEvent(LogEventId::MemberJoined, entry);
     }
@@ -178,7 +180,8 @@
     const auto found = m_members.find(node);
     if (found == m_members.end() || !isRefused || found->second.incarnation != incarnation)
         return;
-    // Heard again while the probe was on its way: a new run may just have opened its port.
+    // If a message arrived while the probe was in flight, a new incarnation may only just have
+    // opened its port.
     if (found->second.state != MemberState::Suspect && found->second.state != MemberState::Unknown)
         return;
     found->second.refusedIncarnation = incarnation;
@@ -199,7 +202,8 @@
 
     std::vector<Member> probes;
     for (auto &[node, entry] : m_members) {
-        // A node of another zone is judged by its own zone, as long as that zone is heard of.
+        // The state of a node in another zone is taken from that zone's own view, as long as the
+        // view is fresh.
         const bool isOwnZone = entry.zone == m_options.zone;
         if (isOwnZone
             && (!entry.hasDirectContact
@@ -243,8 +247,8 @@
         entry.lastHeartbeatAt = now;
         due.push_back(entry);
     }
-    // Those of other zones that took this node as their counterpart want an answer: without it they
-    // would take it for silent and try the next.
+    // Nodes of other zones that chose this node as their counterpart need an answer. Without it
+    // they would consider this node silent and choose another one.
     for (auto &[node, entry] : m_members) {
         const bool asksForAnswer = entry.zone != m_options.zone && entry.hasDirectContact
             && now - entry.lastMessageAt < 2 * crossZoneHeartbeatPeriod
@@ -328,8 +332,8 @@
 std::vector<NodeId> Membership::eligibleOwners(const ZoneId &zone, TimePoint now) const
 {
     const std::vector<NodeId> live = nodesInState(zone, MemberState::Live, now);
-    // When the last nodes of a zone stop by plan there is no successor: they go on owning its pools
-    // until they end, or what still waits on them would find no slot.
+    // If the last nodes of a zone are leaving, they have no successor. They keep owning the zone's
+    // pools until they stop, since the requests that still wait there would get no slot otherwise.
     return live.empty() ? nodesInState(zone, MemberState::Leaving, now) : live;
 }
 
@@ -404,8 +408,10 @@
     return entry->second;
 }
 
-/// All nodes of a zone greet each other, so what one node spends grows with the zone. Beyond some
-/// nodes it greets more slowly instead, and silence is noticed later by the same factor.
+/// Returns the factor by which the heartbeat period in this zone is longer. All nodes of a zone
+/// send heartbeats to each other, so the cost per node would grow with the zone. In a zone of more
+/// than fullRateZoneNodes nodes the period grows instead, and silence is detected later by the same
+/// factor.
 unsigned Membership::heartbeatSlowdown() const
 {
     return std::max(1U, (nodeCountInZone() + fullRateZoneNodes - 1) / fullRateZoneNodes);
@@ -447,7 +453,8 @@
         m_endedIncarnations.push_back({member.node, member.incarnation});
 }
 
-/// The node of another zone that this one exchanges heartbeats with.
+/// Returns the node of another zone with which this node exchanges heartbeats; null if there is
+/// none.
 const Member *Membership::counterpart(const ZoneId &zone) const
 {
     const Member *best = nullptr;
@@ -455,8 +462,7 @@
     for (const auto &[node, entry] : m_members) {
         if (entry.zone != zone || entry.state == MemberState::Gone)
             continue;
-        // One that was asked and did not answer gives way to the others for as long as it is
-        // silent.
+        // A node that did not answer heartbeats ranks below all others for as long as it is silent.
         const bool isSilent = entry.lastHeartbeatAt > entry.lastMessageAt + counterpartTimeout;
         std::uint64_t weight = rendezvousWeight(m_options.self.str(), node.str()) >> 1;
         if (!isSilent)
--- a/lib/Fleet/PeerTable.cpp
+++ b/lib/Fleet/PeerTable.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-/// All nodes of a zone silent for so long: three digests from each would have to be lost.
+/// A zone counts as silent once no digest arrived from any of its nodes for this long. That is the
+/// time of three digests from each node.
 constexpr Duration zoneSilenceTimeout = std::chrono::milliseconds(700);
 constexpr std::size_t minLimitShareCount = 2;
 
@@ -15,7 +16,8 @@
 
 PeerTable::PeerTable(PeerTableOptions options)
     : m_options(std::move(options))
-    // Nodes begin at themselves, so that a period's digests spread over all receivers.
+    // Each node starts its rotation at its own id, so that one period's digests are spread over all
+    // receivers.
     , m_lastReceiver(m_options.self)
 {
 }
@@ -70,9 +72,9 @@
 std::vector<std::pair<NodeId, Endpoint>> PeerTable::nextReceivers(TimePoint now)
 {
     std::vector<std::pair<NodeId, Endpoint>> receivers;
-    // In turn, not at random: with 73 peers each hears from this node every 0.6 s, and what it
-    // knows is 0.3 s old on average; at random the mean age is twice that, and one in fifteen is
-    // given up.
+    // Receivers rotate instead of being chosen at random. With 73 peers, each peer receives a
+    // digest every 0.6 s and its knowledge of this node is 0.3 s old on average. With random choice
+    // the mean age is twice that, and one peer in fifteen takes this node for silent.
     const std::size_t count = std::min(fanOut, m_peers.size());
     auto next = m_peers.upper_bound(m_lastReceiver);
     while (receivers.size() < count) {
@@ -82,7 +84,8 @@
         m_lastReceiver = next->first;
         ++next;
     }
-    // A node that hears few others asks the seeds: it may be new, or its part of the fleet may be.
+    // Seeds that are not live peers receive a digest too: this node may be new, or the nodes that
+    // it knows may be a part of the fleet that was started separately.
     for (const Endpoint &seed : m_options.seeds) {
         const bool isKnown = seed == m_options.endpoint
             || std::any_of(m_peers.begin(), m_peers.end(), [&](const auto &entry) {
--- a/lib/Support/Endpoint.cpp
+++ b/lib/Support/Endpoint.cpp
@@ -1,4 +1,4 @@
-// Endpoints as people write them.
+// Parses and formats endpoints.
 #include "berylridge/Support/Endpoint.h"
 
 #include <arpa/inet.h>
@@ -19,7 +19,7 @@
 
 Expected<Endpoint> parseEndpoint(std::string_view text)
 {
-    const Reason invalid {"must be an IP number and a port, as in \"10.0.1.7:7400\""};
+    const Reason invalid {"must be an IP address and a port, as in \"10.0.1.7:7400\""};
     const auto colon = text.rfind(':');
     if (colon == std::string_view::npos)
         return invalid;
@@ -28,7 +28,7 @@
     const bool isBracketed = address.size() > 2 && address.front() == '[' && address.back() == ']';
     if (isBracketed)
         address = address.substr(1, address.size() - 2);
-    // Without brackets the last group of an IPv6 number would be taken for the port.
+    // IPv6 addresses need brackets; without them their last group would be parsed as the port.
     if (!isIpAddress(address) || isBracketed != (address.find(':') != std::string_view::npos))
         return invalid;
     std::uint16_t port = 0;
--- a/lib/Support/FatalSignal.cpp
+++ b/lib/Support/FatalSignal.cpp
@@ -13,7 +13,7 @@
 #include <sys/prctl.h>
 #include <unistd.h>
 
-// Bounds of the program's code, set by the linker.
+// Start and end of the program's code, defined by the linker.
 extern "C" {
 extern const char __executable_start; // NOLINT: the linker's name
 extern const char etext;              // NOLINT: the linker's name
@@ -32,7 +32,7 @@
     return reinterpret_cast<std::uintptr_t>(place);
 }
 
-/// A line put together without memory from the heap, which a handler must not ask for.
+/// Builds a line in a fixed buffer, because a signal handler must not allocate heap memory.
 class FixedSizeLine
 {
 public:
@@ -54,7 +54,7 @@
     void write() const
     {
         const ssize_t ignored = ::write(STDOUT_FILENO, m_bytes.data(), m_size);
-        static_cast<void>(ignored); // Nobody is left to be told.
+        static_cast<void>(ignored); // A failed write cannot be reported anywhere.
     }
 
 private:
@@ -70,7 +70,8 @@
         + static_cast<std::uint64_t>(now.tv_nsec) / 1000000;
 }
 
-/// Offsets in the program file, as symbol tables have them; addresses elsewhere are given whole.
+/// Appends the stack frames. Addresses in the program are written as offsets in its file, as symbol
+/// tables have them; other addresses are written as absolute addresses.
 void appendFrames(FixedSizeLine &line)
 {
     std::array<void *, maxFrames> frames {};
@@ -101,7 +102,7 @@
     line.text("\",\"thread\":\"").text(thread.data()).text("\"");
     appendFrames(line);
     line.text("}\n").write();
-    // The handler is reset by now: once more, and the signal ends the process.
+    // SA_RESETHAND has restored the default action, so raising the signal again ends the process.
     ::raise(number);
 }
 
@@ -109,7 +110,7 @@
 
 void installFatalSignalHandlers()
 {
-    // The first call loads what unwinds stacks; a handler could not.
+    // The first call of backtrace() loads the unwinder library, which a signal handler must not do.
     std::array<void *, 1> frame {};
     ::backtrace(frame.data(), 1);
     for (const int number : fatalSignals) {
--- a/lib/Support/Hash.cpp
+++ b/lib/Support/Hash.cpp
@@ -45,8 +45,9 @@
 bool matchesDigest(std::string_view credential, std::string_view digest)
 {
     const auto wanted = credentialDigest(credential);
-    // A comparison that ends at the first wrong digit would tell by its time how far a guess is
-    // right; digests have one length, so this one takes the same time for every credential.
+    // A comparison that stops at the first wrong digit would reveal by its duration how many digits
+    // of a guess are right. All digests have the same length, so this one takes the same time for
+    // every credential.
     return wanted.size() == digest.size()
         && sodium_memcmp(wanted.data(), digest.data(), wanted.size()) == 0;
 }
--- a/unittests/Config/DifferenceTest.cpp
+++ b/unittests/Config/DifferenceTest.cpp
@@ -1,4 +1,4 @@
-// What operators are told about a change before it is published.
+// Tests the description of a change that operators see before they publish it.
 #include "berylridge/Config/Difference.h"
 
 #include <gtest/gtest.h>
@@ -30,8 +30,8 @@
     EXPECT_TRUE(difference.warnings.empty());
 }
 
-// A large neighbour's weight is raised in a file where the small workspace's own line doesn't
-// change: its share is cut all the same, and the operator must hear of it before it happens.
+// Raising the weight of a large workspace reduces the share of a small one, although the small
+// workspace's own line does not change. The operator must be warned before publishing.
 TEST(Difference, ReducedShareCausesAWarning)
 {
     auto next = service();
@@ -39,7 +39,8 @@
     const auto difference = compareServices(service(), next);
     EXPECT_EQ(difference.changes,
               (Lines {"workspace hue share 25% -> 10%", "workspace bat-trang share 75% -> 90%"}));
-    EXPECT_EQ(difference.warnings, Lines {"workspace hue share 25% -> 10% is a cut"});
+    EXPECT_EQ(difference.warnings,
+              Lines {"workspace hue share 25% -> 10% exceeds the allowed reduction"});
 }
 
 TEST(Difference, LeavingTargetReducesTheServicesSlots)
@@ -49,7 +50,7 @@
     const auto difference = compareServices(service(), next);
     EXPECT_EQ(difference.changes,
               (Lines {"target shop.a1 zone a 10.0.2.1:9001 -> zone a 10.0.2.1:9001 leaving",
-                      "slots of all targets that stay 8 -> 4"}));
+                      "number of slots of all remaining targets 8 -> 4"}));
     EXPECT_EQ(difference.warnings, Lines {"the service loses slots: 8 -> 4"});
 }
 
@@ -71,5 +72,5 @@
     const auto difference = compareFleets(before, next);
     EXPECT_EQ(difference.changes,
               (Lines {"zone a returns to service", "zone b goes out of service"}));
-    EXPECT_EQ(difference.warnings, Lines {"zone b gets no new work"});
+    EXPECT_EQ(difference.warnings, Lines {"zone b receives no new requests"});
 }
--- a/unittests/Config/DocumentReaderTest.cpp
+++ b/unittests/Config/DocumentReaderTest.cpp
@@ -1,4 +1,4 @@
-// Service and fleet documents: what is read, and which errors are reported where.
+// Tests which values are read from service and fleet documents, and which errors are reported.
 #include "berylridge/Config/DocumentReader.h"
 
 #include <gtest/gtest.h>
@@ -45,8 +45,8 @@
     EXPECT_TRUE(read.value->routes.at(0).isIdempotent);
 }
 
-// Operators mend a file in one go: an unknown name, a wrong type, a value out of range, a missing
-// name and a repeated one must all stand in the first report, each at its own line.
+// Operators should be able to correct a file in one pass. The first report must contain an unknown
+// name, a wrong type, a value out of range, a missing name and a repeated name, each with its line.
 TEST(DocumentReader, ReportsEveryErrorAtOnce)
 {
     const auto errors = errorsOf(R"({
@@ -66,7 +66,8 @@
     EXPECT_EQ(errors[1], "s.json:4: slots: must be an integer from 1 to 65536");
     EXPECT_EQ(errors[2], "s.json:5: warmAfter: must be an integer from 1 to 1000000");
     EXPECT_EQ(errors[3], "s.json:7: retryBudget: given more than once");
-    EXPECT_EQ(errors[4], R"(s.json:9: targets[0].address: must be an IP number, as in "10.0.1.7")");
+    EXPECT_EQ(errors[4],
+              R"(s.json:9: targets[0].address: must be an IP address, as in "10.0.1.7")");
     EXPECT_EQ(errors[5], "s.json:9: targets[0].port: must be an integer from 1 to 65535");
     EXPECT_EQ(errors[6], "s.json:9: targets[0].port: given more than once");
     EXPECT_TRUE(errors[7].starts_with("s.json:10: targets[1].zone: is missing; must be 1 to 64"));
--- a/unittests/Config/DocumentStoreTest.cpp
+++ b/unittests/Config/DocumentStoreTest.cpp
@@ -1,4 +1,4 @@
-// Which documents take force, and which change nothing.
+// Tests which documents become active and which change nothing.
 #include "berylridge/Config/DocumentStore.h"
 
 #include <gtest/gtest.h>
@@ -19,8 +19,8 @@
 
 } // namespace
 
-// A node that kept serving under version 7 hears version 6 from a stale platform: nothing may
-// change, else limits that operators raised an hour ago would fall back.
+// A node with version 7 receives version 6 from a stale platform. Accepting it would revert limits
+// that operators raised in version 7.
 TEST(DocumentStore, OlderVersionChangesNothing)
 {
     DocumentStore store;
@@ -31,8 +31,8 @@
     EXPECT_EQ(store.version("service/s"), 7U);
 }
 
-// Two operators publish different texts as version 7. Each half of the fleet would call its own one
-// current for ever, so the second is refused where the first is in force.
+// Two operators publish different texts as version 7. Since each part of the fleet would otherwise
+// consider its own text current forever, a node refuses the second one if the first one is active.
 TEST(DocumentStore, SameVersionWithDifferentTextIsRefused)
 {
     DocumentStore store;
@@ -41,12 +41,12 @@
     EXPECT_EQ(result.status, AcceptStatus::Refused);
     ASSERT_EQ(result.diagnostics.size(), 1U);
     EXPECT_EQ(result.diagnostics[0].str(),
-              "service/s:1: version: another text is in force under the same version");
+              "service/s:1: version: a different text is active under the same version");
     EXPECT_EQ(activeSlots(store), 7U);
 }
 
-// A published document that can't be read leaves the last valid one in force; a corrected one with
-// a higher version then takes effect.
+// If a published document is invalid, the last valid one stays active. A corrected document with a
+// higher version then becomes active.
 TEST(DocumentStore, InvalidDocumentKeepsThePreviousOneActive)
 {
     DocumentStore store;
--- a/unittests/Config/FuzzTest.cpp
+++ b/unittests/Config/FuzzTest.cpp
@@ -1,6 +1,6 @@
-// Seeded and bounded: texts that strangers or broken tools may hand to each reader. A reader must
-// give a value or at least one diagnostic with a line of the text, and never crash or hang.
-// BERYLRIDGE_FUZZ_ROUNDS in the environment sets the number of rounds for a longer run.
+// Runs each reader on mutated texts, with a fixed seed and a bounded number of rounds. A reader
+// must return either a value or at least one diagnostic with a line of the text, and never crash or
+// hang. The environment variable BERYLRIDGE_FUZZ_ROUNDS sets the number of rounds for a longer run.
 #include "Mutator.h"
 
 #include "berylridge/Config/DocumentWriter.h"
@@ -63,7 +63,7 @@
     return given ? std::max(1, std::atoi(given)) : 20000;      // NOLINT(cert-err34-c)
 }
 
-/// Ends of lines as the parser counts them can't be more than these.
+/// Returns an upper bound of the number of line ends that the parser counts.
 int lineEndCount(std::string_view text)
 {
     return static_cast<int>(
@@ -74,16 +74,16 @@
 ::testing::AssertionResult isConsistent(const ReadResult<T> &read, const std::string &text)
 {
     if (read.value.has_value() != read.diagnostics.empty())
-        return ::testing::AssertionFailure() << "neither value nor diagnostic, or both: " << text;
+        return ::testing::AssertionFailure() << "expected either a value or diagnostics: " << text;
     for (const auto &diagnostic : read.diagnostics) {
         const bool isInText = diagnostic.line >= 1 && diagnostic.line <= lineEndCount(text) + 1;
         if (!isInText || diagnostic.message.empty())
-            return ::testing::AssertionFailure() << diagnostic.str() << "\nof " << text;
+            return ::testing::AssertionFailure() << diagnostic.str() << "\nin " << text;
     }
     return ::testing::AssertionSuccess();
 }
 
-/// Calls the reader with spoilt texts, and tells how many of them it took for valid.
+/// Calls the reader with mutated texts. Returns how many of them it accepted as valid.
 template <typename Reader>
 int fuzz(const std::string &valid, Reader reader)
 {
@@ -108,7 +108,7 @@
 {
     const auto accepted = fuzz(validDocument, [](const std::string &text) {
         auto read = readServiceDocument("f", text);
-        // What a router takes must come back the same from what a tool writes of it.
+        // A document that a router accepts must be unchanged after writing and reading it again.
         if (read.value) {
             const auto written = writeServiceDocument(*read.value);
             const auto again = readServiceDocument("f", written);
--- a/unittests/Config/Mutator.h
+++ b/unittests/Config/Mutator.h
@@ -1,5 +1,5 @@
-// Spoils a valid text in the ways that broken files and hostile senders do; every run of a seed is
-// the same.
+// Mutates a valid text in the ways in which corrupt files and malicious senders differ from it. The
+// mutations are determined by the seed.
 #pragma once
 
 #include "berylridge/Support/Random.h"
--- a/unittests/Config/PublicationTest.cpp
+++ b/unittests/Config/PublicationTest.cpp
@@ -1,4 +1,4 @@
-// The publishing step: documents out of all source files, and their versions.
+// Tests the publishing step: the documents built from all source files, and their versions.
 #include "berylridge/Config/Publication.h"
 
 #include <gtest/gtest.h>
@@ -39,8 +39,9 @@
               10U);
 }
 
-// Two operators published different texts as version 4, and some nodes hold each. Publishing either
-// text as 4 again would leave the fleet split for ever, so the next version is above both.
+// Two operators published different texts as version 4, and each text is active on some nodes. If
+// either text were published as version 4 again, the nodes would stay divided, so the next version
+// must be higher.
 TEST(Publication, NextVersionExceedsConflictingVersions)
 {
     const auto split = setOf({{"fleet", 4, "x"}, {"fleet", 4, "y"}});
@@ -79,7 +80,7 @@
         publication.warnings,
         (std::vector<std::string> {
             "service one has no workspaces: every caller will be refused",
-            "services one and two share the target at 10.0.0.1:1: each counts its slots for itself",
+            "services one and two share the target at 10.0.0.1:1: each counts its slots separately",
             "service two has no workspaces: every caller will be refused",
-            "zone b is to be out, but no service has targets there"}));
+            "zone b is to be taken out of service, but no service has targets there"}));
 }
--- a/unittests/Config/ServiceFileTest.cpp
+++ b/unittests/Config/ServiceFileTest.cpp
@@ -1,4 +1,4 @@
-// Service files and the workspaces file, and the documents that come of them.
+// Tests reading service files and the workspaces file, and the resulting documents.
 #include "berylridge/Config/ServiceFile.h"
 #include "berylridge/Config/DocumentWriter.h"
 
@@ -89,7 +89,7 @@
 })",
                                       workspaces());
     EXPECT_EQ(errorsOf(read),
-              R"(shop:4: targets.a.a1: must be an IP number and a port, as in "10.0.1.7:7400"
+              R"(shop:4: targets.a.a1: must be an IP address and a port, as in "10.0.1.7:7400"
 shop:5: targets.b.a2: another zone has a target of the same name
 shop:5: targets.b.b1: another target has the same address and port
 shop:7: routes./orders: its name must be a method and a path, as in "POST /v1/orders"
@@ -99,7 +99,8 @@
 )");
 }
 
-// Two groups that both hold a workspace would leave its weight to chance: the operator must say it.
+// If two groups of a service contain the same workspace, its weight is ambiguous; the operator must
+// resolve it.
 TEST(ServiceFile, GroupsMayNotOverlapInAService)
 {
     auto shared = workspaces();
--- a/unittests/Config/SettingsTest.cpp
+++ b/unittests/Config/SettingsTest.cpp
@@ -1,4 +1,4 @@
-// The settings file: what is read, and which errors are reported where.
+// Tests which values are read from the settings file, and which errors are reported.
 #include "berylridge/Config/Settings.h"
 
 #include <gtest/gtest.h>
@@ -33,7 +33,8 @@
     EXPECT_EQ(read.value->sharing, "fleet");
 }
 
-// Nodes reach each other through a forwarder: they must be told its address, not the listener's.
+// If nodes reach each other through a forwarder, they must advertise its address instead of the
+// address that they listen on.
 TEST(Settings, AdvertisedEndpointMayDiffer)
 {
     std::string text = valid;
--- a/unittests/Fleet/MembershipTest.cpp
+++ b/unittests/Fleet/MembershipTest.cpp
@@ -62,9 +62,9 @@
 
 } // namespace
 
-// A node falls silent. It may be paused or cut off and still run requests, so it is suspect and not
-// gone; the port that refuses a probe proves that its run has ended, and only then its slots are
-// free.
+// A silent node may be paused or partitioned and still run requests. If it counted as gone, its
+// slots would be granted twice. It only becomes gone when its port refuses a probe, which proves
+// that its incarnation has ended.
 TEST_F(MembershipTest, SilentNodeIsSuspectUntilItsProbeIsRefused)
 {
     receiveHeartbeat(peer, 5);
@@ -82,8 +82,8 @@
     EXPECT_EQ(ended.front().incarnation, 5U);
 }
 
-// The probe was sent to the old run; by the time its refusal is known the node has started anew.
-// The refusal must not hit the new run.
+// A node restarts while a probe of its previous incarnation is in flight. The refusal of that probe
+// must not mark the new incarnation as gone.
 TEST_F(MembershipTest, RefusedProbeOfEarlierIncarnationIsIgnored)
 {
     receiveHeartbeat(peer, 5);
@@ -93,11 +93,11 @@
     m_members.onProbeEnded(peer, 5, true);
     EXPECT_EQ(state(peer), MemberState::Live);
     EXPECT_FALSE(m_members.takeEndedIncarnations().empty())
-        << "the new run proves the end of the old one";
+        << "the new incarnation proves the end of the old one";
 }
 
-// A datagram of the old run comes late, after the node has restarted with no memory. Taken in, it
-// would bring back what the old run knew.
+// A datagram of a previous incarnation arrives after the node has restarted without its state.
+// Accepting it would restore information that is no longer valid.
 TEST_F(MembershipTest, MessagesOfEarlierIncarnationAreIgnored)
 {
     receiveHeartbeat(peer, 6);
@@ -105,8 +105,8 @@
     EXPECT_TRUE(m_members.onMessageReceived(peer, 6, m_clock.now()));
 }
 
-// The VM list lags: it still lacks a new VM and still has a dead one. A node that is heard belongs
-// to the fleet; a silent one that is off the list is gone.
+// The VM list lags: it may lack a new VM and still contain a terminated one. A node whose messages
+// arrive belongs to the fleet even if it is not listed; a silent node that is not listed is gone.
 TEST_F(MembershipTest, ReceivedMessagesOverrideTheVmList)
 {
     receiveHeartbeat(peer, 5);
@@ -125,9 +125,9 @@
     EXPECT_EQ(m_members.vmList().vms.size(), 4U);
 }
 
-// Two of three nodes receiveHeartbeat each other, the third hears only one of them. Their views
-// differ, so none may count the others as agreeing: each could take itself for the owner of the
-// same cold target.
+// Of three nodes, two receive each other's messages and the third receives those of one node only,
+// so their zone views differ. If nodes with different views counted as agreeing, two of them could
+// each consider themselves the owner of the same cold target.
 TEST_F(MembershipTest, OnlyNodesWithTheSameViewAgree)
 {
     receiveHeartbeat(peer, 5);
@@ -143,8 +143,8 @@
     EXPECT_EQ(m_members.agreeingNodeCountInZone(m_clock.now()), 2U);
 }
 
-// The process was paused for ten seconds. On waking every other node seems silent; had it believed
-// that, it would have taken over every pool of its zone.
+// After a pause of this process of ten seconds, all other nodes seem silent. If they became
+// suspect, this node would take over every pool of its zone.
 TEST_F(MembershipTest, ProcessPauseDoesNotMakePeersSuspect)
 {
     receiveHeartbeat(peer, 5);
@@ -154,8 +154,9 @@
     EXPECT_EQ(state(peer), MemberState::Live);
 }
 
-// Another zone is cut off. What it said last grows old: its nodes are no owners to ask any more,
-// but not gone either; they serve on behind the cut.
+// Another zone is partitioned from this one and its last zone view expires. Its nodes must no
+// longer be asked as owners, but must not count as gone either, since they still serve requests on
+// their side of the partition.
 TEST_F(MembershipTest, PartitionedZoneHasNoEligibleOwners)
 {
     ZoneView view;
@@ -170,7 +171,8 @@
     EXPECT_EQ(state(far), MemberState::Suspect);
     EXPECT_FALSE(m_members.isZoneVacant(zoneB));
     m_members.onVmList(vms(2, {"a1", "a2", "a3"}), m_clock.now());
-    EXPECT_TRUE(m_members.isZoneVacant(zoneB)) << "off the list and silent: its VMs are no more";
+    EXPECT_TRUE(m_members.isZoneVacant(zoneB))
+        << "off the list and silent: its VMs no longer exist";
 }
 
 TEST_F(MembershipTest, SendsHeartbeatsToOneCounterpartPerOtherZone)
@@ -184,9 +186,10 @@
     EXPECT_EQ(away, 2U);
 }
 
-// A node starts while the platform is stale. Another zone's node sends it a message about keys
-// before any VM list or heartbeat of that zone has come. Were it then taken for known, its address
-// would stay empty for good: nothing is sent to it, and callers' keys find too few witnesses.
+// A node starts while the platform is stale, and a message about keys arrives from another zone
+// before the VM list or any heartbeat of that zone. If the sender then counted as known, its
+// address would stay empty: nothing could be sent to it, and callers' keys would have too few
+// witnesses.
 TEST_F(MembershipTest, MessageBeforeTheVmListKeepsTheListedAddress)
 {
     const NodeId early("b2");
--- a/unittests/Fleet/PeerTableTest.cpp
+++ b/unittests/Fleet/PeerTableTest.cpp
@@ -35,7 +35,7 @@
 
 } // namespace
 
-// All that a new node knows are a few addresses, of which one is its own and one may be stale.
+// A new node only knows a few seed addresses, of which one is its own and one may be stale.
 TEST_F(PeerTableTest, SeedsReceiveDigestsUntilTheyAreKnown)
 {
     const auto receivers = peers.nextReceivers(clock.now());
@@ -52,20 +52,22 @@
     digest.peers = {{"n5", "c", "10.0.0.5", 7400}, {"n1", "a", "10.0.0.1", 7400}};
     peers.onMessageReceived(NodeId("n9"), 1, digest, clock.now());
     EXPECT_EQ(peers.nextReceivers(clock.now()).size(), 2U);
-    EXPECT_EQ(peers.liveCount(clock.now()), 2U); // Heard, not only named: this node and n9.
+    EXPECT_EQ(peers.liveCount(clock.now()), 2U); // This node and n9; n5 is only listed.
     receiveDigest("n5", "c");
     EXPECT_EQ(peers.liveCount(clock.now()), 3U);
 }
 
-// A process is killed and comes back; a datagram of its earlier run arrives after one of the new.
+// A process is killed and restarted; a digest of its earlier incarnation arrives after one of the
+// new incarnation.
 TEST_F(PeerTableTest, DigestOfEarlierIncarnationIsIgnored)
 {
     EXPECT_TRUE(receiveDigest("n5", "b", 7));
     EXPECT_FALSE(receiveDigest("n5", "b", 6));
 }
 
-// Behind a partition a node may still use its part of a fleet-wide limit, so it counts on for
-// longer than it counts as liveCount. One that heard nobody must not take the whole limit.
+// A node behind a partition may still use its share of a fleet-wide limit, so it is counted for
+// limits longer than it counts as live. A node that has received no digest must not take the whole
+// limit.
 TEST_F(PeerTableTest, SilentNodesKeepTheirShareOfLimits)
 {
     EXPECT_EQ(peers.limitShareCount(clock.now()), 2U);
@@ -78,7 +80,8 @@
     EXPECT_EQ(peers.limitShareCount(clock.now()), 2U);
 }
 
-// A zone is cut off: all its nodes fall silent at once, long before attempts there time out.
+// If a zone is partitioned, all its nodes become silent at once, long before attempts there time
+// out.
 TEST_F(PeerTableTest, ZoneIsSilentWhenAllItsNodesAre)
 {
     receiveDigest("n5", "b");
@@ -92,7 +95,8 @@
     EXPECT_FALSE(peers.isZoneSilent("b", clock.now()));
 }
 
-// This process stood still for seconds. It did not listen; nobody was silent.
+// After a pause of this process of several seconds, during which it received nothing, other nodes
+// must not count as silent.
 TEST_F(PeerTableTest, ProcessPauseDoesNotMakePeersSilent)
 {
     receiveDigest("n5", "b");
@@ -102,7 +106,7 @@
     EXPECT_EQ(peers.liveCount(clock.now()), 2U);
 }
 
-// The cost of a node must not grow with the fleet.
+// The cost of sending digests must not grow with the fleet.
 TEST_F(PeerTableTest, DigestReceiversAreBounded)
 {
     for (int i = 10; i < 100; ++i)
@@ -110,8 +114,9 @@
     EXPECT_LE(peers.nextReceivers(clock.now()).size(), PeerTable::fanOut + 1);
 }
 
-// Seventy peers, twelve receivers a period. What a node tells must reach each of them within a
-// turn, or five nodes of six make targets read again what others keep.
+// With 70 peers and 12 receivers per period, information must reach each peer within one rotation
+// of 6 periods. Otherwise five of six nodes do not know which prompts other targets have cached and
+// have them read again.
 TEST_F(PeerTableTest, EachPeerReceivesOneDigestPerRotation)
 {
     for (int i = 100; i < 170; ++i)
@@ -122,7 +127,7 @@
         for (const auto &[node, endpoint] : peers.nextReceivers(clock.now()))
             reached.insert(node);
     }
-    reached.erase(NodeId()); // A seed that is not known by name.
+    reached.erase(NodeId()); // A seed whose name is not known.
     EXPECT_EQ(reached.size(), 70U);
     std::set<std::string> listed;
     for (int i = 0; i < 5; ++i) {
--- a/unittests/Support/EndpointTest.cpp
+++ b/unittests/Support/EndpointTest.cpp
@@ -1,4 +1,4 @@
-// Endpoints as people write them.
+// Tests parsing and formatting of endpoints.
 #include "berylridge/Support/Endpoint.h"
 
 #include <gtest/gtest.h>
--- a/unittests/Support/FatalSignalTest.cpp
+++ b/unittests/Support/FatalSignalTest.cpp
@@ -10,9 +10,8 @@
 
 namespace {
 
-/// Calls itself until the stack of the calling thread is used up.
-std::size_t overflowStack(
-    const volatile std::size_t *depth) // NOLINT(misc-no-recursion): its purpose
+/// Recurses until the stack of the calling thread overflows.
+std::size_t overflowStack(const volatile std::size_t *depth) // NOLINT(misc-no-recursion): intended
 {
     const volatile std::size_t next = *depth + 1;
     return next == 0 ? 0 : overflowStack(&next) + next;
@@ -27,7 +26,7 @@
 
 } // namespace
 
-// Guards against a process that dies without a word of where.
+// Guards against a process that is terminated by a signal without reporting where.
 TEST(FatalSignalDeathTest, ReportsSignalThreadAndStackFrames)
 {
     EXPECT_EXIT(
@@ -40,7 +39,7 @@
         R"("event":1013,"name":"FatalSignal","signal":6,.*"thread":".+","frames":\[.*"\+0x)");
 }
 
-// Guards against an overflow of a thread's stack leaving no room to tell of it.
+// Guards against a stack overflow that leaves no stack space for the handler to report it.
 TEST(FatalSignalDeathTest, ReportsStackOverflow)
 {
     if (hasSanitizer)
@@ -58,7 +57,7 @@
         testing::KilledBySignal(SIGSEGV), R"("name":"FatalSignal","signal":11,.*"frames":\[")");
 }
 
-// Guards against a handler that a sanitizer or debugger had set being lost.
+// Guards against replacing a handler that a sanitizer or debugger has installed.
 TEST(FatalSignalDeathTest, KeepsExistingHandler)
 {
     EXPECT_EXIT(
--- a/unittests/Support/HashTest.cpp
+++ b/unittests/Support/HashTest.cpp
@@ -16,8 +16,8 @@
 
 } // namespace
 
-// A datagram that was changed on its way, or was sealed with another fleet's key, must change
-// nothing: the receiver sees an authenticator that doesn't fit and drops it before it is decoded.
+// A datagram that was changed in transit or authenticated with another fleet's key must have no
+// effect: its authenticator does not match, and the receiver drops it before decoding it.
 TEST(Hash, ChangedBytesOrAnotherKeyAreNotAuthentic)
 {
     std::array<std::byte, authenticatorSize> tag {};
