--- a/benchmarks/LoneNode.cpp
+++ b/benchmarks/LoneNode.cpp
@@ -1,6 +1,6 @@
 #include "LoneNode.h"
 
-#include "berylridge/Chart/MemberLife.h"
+#include "berylridge/Chart/MemberStateMachine.h"
 #include "berylridge/Config/DocumentStore.h"
 #include "berylridge/Idempotency/Roster.h"
 #include "berylridge/Support/Hash.h"
@@ -81,7 +81,7 @@
     options.endpoint = {"127.0.0.1", 7400};
     options.incarnation = 1;
     options.chartDirectory = BERYLRIDGE_SOURCE_DIR "/charts";
-    auto core = Core::create(std::move(options), m_clock.now(), m_clock.wallNow());
+    auto core = RouterCore::create(std::move(options), m_clock.now(), m_clock.wallNow());
     if (!core) {
         std::fprintf(stderr, "%s\n", core.failureReason().c_str());
         std::exit(1);
@@ -183,7 +183,7 @@
             done.bootId = "boot";
             m_due.push({m_clock.now() + m_shape.requestTime, done});
         } else if (const auto *poll = std::get_if<PollTarget>(&action)) {
-            TargetReport report;
+            TargetLoadReport report;
             report.target = poll->target;
             report.bootId = "boot";
             report.completed = 1000;
--- a/benchmarks/LoneNode.h
+++ b/benchmarks/LoneNode.h
@@ -4,7 +4,7 @@
 
 #include "berylridge/Net/Datagram.h"
 #include "berylridge/Policy/Pool.h"
-#include "berylridge/Router/Core.h"
+#include "berylridge/Router/RouterCore.h"
 #include "berylridge/Support/Time.h"
 
 #include <cstdint>
@@ -90,7 +90,7 @@
 
     FleetShape m_shape;
     ManualClock m_clock;
-    std::unique_ptr<Core> m_core;
+    std::unique_ptr<RouterCore> m_core;
     std::map<NodeId, Peer> m_peers;
     std::vector<ServiceDocument> m_documents;
     std::map<PoolId, Pool> m_pools;
--- a/benchmarks/Shell.cpp
+++ b/benchmarks/Shell.cpp
@@ -57,7 +57,8 @@
         dispatch.endpoint = m_target;
         dispatch.attemptTimeout = std::chrono::seconds(60);
         dispatch.idleTimeout = std::chrono::seconds(60);
-        dispatch.repeats = arrived->method == "GET" ? Repeats::Allowed : Repeats::Forbidden;
+        dispatch.resendPolicy
+            = arrived->method == "GET" ? ResendPolicy::Allowed : ResendPolicy::Forbidden;
         actions.emplace_back(std::move(dispatch));
     }
     TimePoint nextTimer() const { return TimePoint::max(); }
--- a/include/berylridge/Balancer/BalancerCore.h
+++ b/include/berylridge/Balancer/BalancerCore.h
@@ -1,6 +1,7 @@
-// Defines the decision core for fleets that discover their targets at run time. Like Router/Core.h
-// it maps events to actions, but it places requests by prompt over the whole fleet instead of
-// leasing slots (docs/design/platform.md). It opens no socket, starts no thread and reads no clock.
+// Defines the decision core for fleets that discover their targets at run time. Like
+// Router/RouterCore.h it maps events to actions, but it places requests by prompt over the whole
+// fleet instead of leasing slots (docs/design/platform.md). It opens no socket, starts no thread
+// and reads no clock.
 #pragma once
 
 #include "berylridge/Policy/FleetShare.h"
--- a/include/berylridge/Chart/MemberLife.h
+++ b/include/berylridge/Chart/MemberStateMachine.h
@@ -1,7 +1,7 @@
 // The life of another node as this one sees it (charts/member-life.json).
 #pragma once
 
-#include "berylridge/Chart/Chart.h"
+#include "berylridge/Chart/StateChart.h"
 
 namespace berylridge {
 
@@ -14,7 +14,7 @@
     Leaving, ///< Stops by plan: owns nothing.
 };
 
-enum class MemberSign : std::uint8_t {
+enum class MemberSignal : std::uint8_t {
     HeardJoining,   ///< A heartbeat of a node that is not ready.
     HeardReady,     ///< A heartbeat of a ready node.
     HeardLeaving,   ///< A heartbeat of a node that stops by plan.
@@ -25,9 +25,9 @@
     Unlisted,       ///< The VM list no longer has it.
 };
 
-using MemberLife = ChartTable<MemberState, MemberSign>;
+using MemberStateMachine = StateMachine<MemberState, MemberSignal>;
 
 /// Loads member-life.json from the directory of charts.
-Expected<MemberLife> loadMemberLife(const std::string &chartDirectory);
+Expected<MemberStateMachine> loadMemberStateMachine(const std::string &chartDirectory);
 
 } // namespace berylridge
--- a/include/berylridge/Chart/NodeLife.h
+++ b/include/berylridge/Chart/NodeStateMachine.h
@@ -1,7 +1,7 @@
 // The life of this node (charts/node-life.json).
 #pragma once
 
-#include "berylridge/Chart/Chart.h"
+#include "berylridge/Chart/StateChart.h"
 
 namespace berylridge {
 
@@ -12,7 +12,7 @@
     Stopped, ///< Nothing runs; the process may end.
 };
 
-enum class NodeSign : std::uint8_t {
+enum class NodeSignal : std::uint8_t {
     DocumentsKnown, ///< It may trust its documents.
     LeaveOrdered,   ///< A planned stop begins.
     ReturnOrdered,  ///< The planned stop is taken back.
@@ -20,9 +20,9 @@
     LimitReached,   ///< The planned stop took longer than stopLimit.
 };
 
-using NodeLife = ChartTable<NodeState, NodeSign>;
+using NodeStateMachine = StateMachine<NodeState, NodeSignal>;
 
 /// Loads node-life.json from the directory of charts.
-Expected<NodeLife> loadNodeLife(const std::string &chartDirectory);
+Expected<NodeStateMachine> loadNodeStateMachine(const std::string &chartDirectory);
 
 } // namespace berylridge
--- a/include/berylridge/Chart/RequestLife.h
+++ b/include/berylridge/Chart/RequestStateMachine.h
@@ -1,7 +1,7 @@
 // The life of one request at the node that took it (charts/request-life.json).
 #pragma once
 
-#include "berylridge/Chart/Chart.h"
+#include "berylridge/Chart/StateChart.h"
 
 namespace berylridge {
 
@@ -16,7 +16,7 @@
     Abandoned, ///< The caller went away.
 };
 
-enum class RequestSign : std::uint8_t {
+enum class RequestSignal : std::uint8_t {
     ClaimBegun,      ///< It carries a key that must be admitted first.
     Enqueued,        ///< It may wait for a slot.
     Dispatched,      ///< An attempt begins.
@@ -28,9 +28,9 @@
     CallerGone,      ///< The caller closed its connection.
 };
 
-using RequestLife = ChartTable<RequestState, RequestSign>;
+using RequestStateMachine = StateMachine<RequestState, RequestSignal>;
 
 /// Loads request-life.json from the directory of charts.
-Expected<RequestLife> loadRequestLife(const std::string &chartDirectory);
+Expected<RequestStateMachine> loadRequestStateMachine(const std::string &chartDirectory);
 
 } // namespace berylridge
--- a/include/berylridge/Chart/Chart.h
+++ b/include/berylridge/Chart/StateChart.h
@@ -25,17 +25,17 @@
 /// "from" and "on" are a name or a list of names. A pair of state and signal stands once, under
 /// "transitions" or under "ignored"; a pair that stands nowhere has no next state. Every state must
 /// be reachable from the initial one, and only final states may have no way out.
-class Chart
+class StateChart
 {
 public:
     using Index = std::uint8_t;
 
     /// Reads a chart file. On failure the reason holds every error, one "file:line: message" a
     /// line.
-    static Expected<Chart> load(const std::string &path);
+    static Expected<StateChart> load(const std::string &path);
 
     /// The same for a text; file is used in messages only.
-    static Expected<Chart> read(const std::string &file, std::string_view text);
+    static Expected<StateChart> read(const std::string &file, std::string_view text);
 
     std::span<const std::string> states() const { return m_states; }
     std::span<const std::string> signalNames() const { return m_signals; }
@@ -47,17 +47,17 @@
     std::optional<Index> next(Index state, Index signal) const
     {
         const Index to = m_table[std::size_t {state} * m_signals.size() + signal];
-        return to == unlisted ? std::nullopt : std::optional(to);
+        return to == noTransition ? std::nullopt : std::optional(to);
     }
 
     /// The same chart with its states and signals numbered in the order of the given names. Fails
     /// unless the names are exactly those of the file.
-    Expected<Chart> ordered(std::span<const std::string_view> states,
-                            std::span<const std::string_view> signalNames) const;
+    Expected<StateChart> withOrder(std::span<const std::string_view> states,
+                                   std::span<const std::string_view> signalNames) const;
 
 private:
-    friend class ChartReader;
-    static constexpr Index unlisted = 0xff;
+    friend class StateChartParser;
+    static constexpr Index noTransition = 0xff;
 
     std::string m_file;
     std::vector<std::string> m_states;
@@ -69,42 +69,45 @@
 
 /// A chart whose states and signals are the values of two enums, in the order of their names, so
 /// that no name is compared after the start.
-template <typename State, typename Sign>
-class ChartTable
+template <typename State, typename Signal>
+class StateMachine
 {
 public:
     /// Fails when the file is wrong, or when its names are not exactly the given ones.
-    static Expected<ChartTable> load(const std::string &path,
-                                     std::span<const std::string_view> states,
-                                     std::span<const std::string_view> signalNames)
+    static Expected<StateMachine> load(const std::string &path,
+                                       std::span<const std::string_view> states,
+                                       std::span<const std::string_view> signalNames)
     {
-        Expected<Chart> chart = Chart::load(path);
+        Expected<StateChart> chart = StateChart::load(path);
         if (!chart)
             return Reason {chart.failureReason()};
-        Expected<Chart> bound = chart->ordered(states, signalNames);
+        Expected<StateChart> bound = chart->withOrder(states, signalNames);
         if (!bound)
             return Reason {bound.failureReason()};
-        return ChartTable(*std::move(bound));
+        return StateMachine(*std::move(bound));
     }
 
     State initial() const { return static_cast<State>(m_chart.initial()); }
-    bool isFinal(State state) const { return m_chart.isFinal(static_cast<Chart::Index>(state)); }
+    bool isFinal(State state) const
+    {
+        return m_chart.isFinal(static_cast<StateChart::Index>(state));
+    }
 
     /// The state after a signal; none where the file doesn't list the pair, which the caller should
     /// treat as a fault of whoever sent the signal and keep the state.
-    std::optional<State> next(State state, Sign sign) const
+    std::optional<State> next(State state, Signal input) const
     {
-        const auto to
-            = m_chart.next(static_cast<Chart::Index>(state), static_cast<Chart::Index>(sign));
+        const auto to = m_chart.next(static_cast<StateChart::Index>(state),
+                                     static_cast<StateChart::Index>(input));
         if (!to)
             return std::nullopt;
         return static_cast<State>(*to);
     }
 
-    /// Moves the state on and tells whether it changed. An unlisted signal changes nothing.
-    bool step(State &state, Sign sign) const
+    /// Moves the state on and tells whether it changed. An noTransition signal changes nothing.
+    bool step(State &state, Signal input) const
     {
-        const State to = next(state, sign).value_or(state);
+        const State to = next(state, input).value_or(state);
         const bool isChanged = to != state;
         state = to;
         return isChanged;
@@ -117,12 +120,12 @@
     }
 
 private:
-    explicit ChartTable(Chart chart)
+    explicit StateMachine(StateChart chart)
         : m_chart(std::move(chart))
     {
     }
 
-    Chart m_chart;
+    StateChart m_chart;
 };
 
 } // namespace berylridge
--- a/include/berylridge/Chart/TargetLife.h
+++ b/include/berylridge/Chart/TargetStateMachine.h
@@ -1,7 +1,7 @@
 // The life of a target as one node sees it (charts/target-life.json).
 #pragma once
 
-#include "berylridge/Chart/Chart.h"
+#include "berylridge/Chart/StateChart.h"
 
 namespace berylridge {
 
@@ -15,7 +15,7 @@
     Gone,    ///< No longer listed.
 };
 
-enum class TargetSign : std::uint8_t {
+enum class TargetSignal : std::uint8_t {
     NewBoot,           ///< Another boot id than before, or the first one.
     RefusedConnection, ///< Its port was closed: that boot has ended.
     Crash,         ///< It broke a connection while it ran a request, or is known to have crashed.
@@ -29,9 +29,9 @@
     Removed,       ///< Its document no longer lists it.
 };
 
-using TargetLife = ChartTable<TargetState, TargetSign>;
+using TargetStateMachine = StateMachine<TargetState, TargetSignal>;
 
 /// Loads target-life.json from the directory of charts.
-Expected<TargetLife> loadTargetLife(const std::string &chartDirectory);
+Expected<TargetStateMachine> loadTargetStateMachine(const std::string &chartDirectory);
 
 } // namespace berylridge
--- a/include/berylridge/Fleet/Messages.h
+++ b/include/berylridge/Fleet/Messages.h
@@ -30,7 +30,7 @@
 {
     std::uint64_t sequence = 0;
     std::string zone;
-    std::uint8_t nodeState = 0;        ///< A MemberState (Chart/MemberLife.h).
+    std::uint8_t nodeState = 0;        ///< A MemberState (Chart/MemberStateMachine.h).
     std::uint64_t documentsDigest = 0; ///< Hash of all document names and versions.
     std::uint64_t platformAgeMs = 0;   ///< Time since the platform last answered the sender's zone.
     std::uint64_t vmListRevision = 0;
@@ -55,7 +55,7 @@
 {
     std::string node;
     std::uint64_t incarnation = 0;
-    std::uint8_t state = 0; ///< A MemberState (Chart/MemberLife.h).
+    std::uint8_t state = 0; ///< A MemberState (Chart/MemberStateMachine.h).
     std::string address;
     std::uint16_t port = 0;
     MSGPACK_DEFINE(node, incarnation, state, address, port)
@@ -195,7 +195,7 @@
 {
     PoolId pool = 0;
     TargetHash target = 0;
-    std::uint8_t sign = 0; ///< A TargetSign (Chart/TargetLife.h).
+    std::uint8_t sign = 0; ///< A TargetSignal (Chart/TargetStateMachine.h).
     std::string bootId;    ///< Empty if unknown.
     MSGPACK_DEFINE(pool, target, sign, bootId)
 };
--- a/include/berylridge/Policy/PoolOwner.h
+++ b/include/berylridge/Policy/PoolOwner.h
@@ -36,7 +36,7 @@
 public:
     /// Begins to own the pool. Grants wait for one lease term: an earlier owner may be paused or
     /// cut off, and what it granted runs out by then; meanwhile holders tell what they hold.
-    PoolOwner(const TargetLife &chart, PoolOwnerOptions options, TimePoint now);
+    PoolOwner(const TargetStateMachine &chart, PoolOwnerOptions options, TimePoint now);
 
     /// Takes in the document. Targets that left the pool are dropped with their leases; isLeaving
     /// of each target says whether it is closed for new work for any reason.
@@ -137,7 +137,7 @@
     std::optional<Choice> pickFlow(const std::set<Want> &passedOver, TimePoint now) const;
     std::uint32_t ungranted(const NodeId &node, const FlowDemand &want) const;
 
-    const TargetLife *m_chart;
+    const TargetStateMachine *m_chart;
     PoolOwnerOptions m_options;
     OwnerPart m_part;
     PoolId m_pool = 0;
--- a/include/berylridge/Policy/TargetGauge.h
+++ b/include/berylridge/Policy/TargetGauge.h
@@ -2,7 +2,7 @@
 // boot.
 #pragma once
 
-#include "berylridge/Chart/TargetLife.h"
+#include "berylridge/Chart/TargetStateMachine.h"
 #include "berylridge/Config/Documents.h"
 #include "berylridge/Support/Time.h"
 
@@ -32,14 +32,14 @@
 class TargetGauge
 {
 public:
-    TargetGauge(const TargetLife &chart, TimePoint now);
+    TargetGauge(const TargetStateMachine &chart, TimePoint now);
 
     /// Limits from the document; they may change while the target runs.
     void configure(const ServiceDocument &document, bool isLeaving);
 
     /// A sign from a node's news, an answer or a poll. An empty boot id means that it is unknown.
     /// Returns whether the target is cold again.
-    bool onSign(TargetSign sign, std::string_view bootId, TimePoint now);
+    bool onSign(TargetSignal sign, std::string_view bootId, TimePoint now);
     /// Whole answers that a holder got from the boot.
     void onCompleted(std::uint32_t count, std::string_view bootId, TimePoint now);
     /// The target's own load report. Returns whether the target is cold again.
@@ -65,10 +65,10 @@
 private:
     bool hasEnded(std::string_view bootId) const;
 
-    void step(TargetSign sign) { m_chart->step(m_state, sign); }
+    void step(TargetSignal sign) { m_chart->step(m_state, sign); }
     bool heardBoot(std::string_view bootId, TimePoint now);
 
-    const TargetLife *m_chart;
+    const TargetStateMachine *m_chart;
     TargetState m_state;
     std::string m_bootId;
     std::deque<std::string> m_endedBoots; ///< The last few, to know late word of them.
--- a/include/berylridge/Router/Actions.h
+++ b/include/berylridge/Router/Actions.h
@@ -15,7 +15,7 @@
 namespace berylridge {
 
 /// Whether a request whose outcome is unknown may be sent again.
-enum class Repeats : std::uint8_t { Forbidden, Allowed };
+enum class ResendPolicy : std::uint8_t { Forbidden, Allowed };
 
 /// Send the request to the target and stream the answer to the caller. Answered by AttemptHead and
 /// AttemptDone, or by AttemptFailed.
@@ -31,9 +31,10 @@
     Duration firstByteTimeout {0}; ///< Until the answer's head; idleTimeout where it is zero.
     Duration idleTimeout {0};      ///< Between pieces of the answer.
     bool isResumed = false;        ///< Continue the stream after what the caller already has.
-    bool keepsAnswer = false;      ///< Hand the answer back in AttemptDone, for repeats of its key.
-    WorkspaceId workspace;         ///< Whose request it is; the target is told.
-    Repeats repeats = Repeats::Forbidden;
+    bool storesResponse
+        = false;           ///< Hand the answer back in AttemptDone, for resendPolicy of its key.
+    WorkspaceId workspace; ///< Whose request it is; the target is told.
+    ResendPolicy resendPolicy = ResendPolicy::Forbidden;
     /// Idle connections that this node may keep to the target.
     std::uint32_t keptConnections = 64;
     /// What is left of the caller's time; the target is told. Zero where the caller named none.
@@ -60,7 +61,7 @@
 };
 
 /// Answer the caller with the kept answer of an earlier request with the same key.
-struct AnswerKept
+struct SendStoredResponse
 {
     RequestHandle handle = 0;
     unsigned status = 200;
@@ -69,8 +70,8 @@
 };
 
 /// Answer the caller with the failure that the target itself gave and that the shell holds
-/// (AttemptFailed::holdsAnswer).
-struct PassAnswer
+/// (AttemptFailed::hasHeldResponse).
+struct RelayHeldResponse
 {
     RequestHandle handle = 0;
     AttemptNumber attempt = 0;
@@ -92,7 +93,7 @@
     Incarnation incarnation = 0;
 };
 
-/// Ask a target for its load. Answered by TargetReport or TargetPollFailed.
+/// Ask a target for its load. Answered by TargetLoadReport or TargetPollFailed.
 struct PollTarget
 {
     TargetId target;
@@ -128,8 +129,9 @@
     AuditEntry entry;
 };
 
-using Action = std::variant<Dispatch, AbortAttempt, Refuse, AnswerKept, PassAnswer, SendToNode,
-                            ProbeNode, PollTarget, WatchPlatform, Readiness, Stopped, Log, Audit>;
+using Action = std::variant<Dispatch, AbortAttempt, Refuse, SendStoredResponse, RelayHeldResponse,
+                            SendToNode, ProbeNode, PollTarget, WatchPlatform, Readiness, Stopped,
+                            Log, Audit>;
 
 /// Actions in the order in which they are to be carried out.
 using Actions = std::vector<Action>;
--- a/include/berylridge/Router/Events.h
+++ b/include/berylridge/Router/Events.h
@@ -40,8 +40,8 @@
     std::optional<std::string> idempotencyKey;
     std::uint64_t bodyHash = 0;
     std::uint64_t bodyBytes = 0;
-    std::optional<double> costHint;   ///< Seconds of a slot, as the caller guesses.
-    std::optional<Duration> patience; ///< How long the caller is willing to wait in the queue.
+    std::optional<double> costHint;       ///< Seconds of a slot, as the caller guesses.
+    std::optional<Duration> maxQueueWait; ///< How long the caller is willing to wait in the queue.
 
     // For callers whose service follows from a route of the catalog; the service is empty then.
     std::string host;                 ///< Of the Host field, without a port.
@@ -50,8 +50,9 @@
 };
 
 /// A caller asks for an idempotency key (POST /v1/idempotency-keys): this process alone admits it,
-/// so a zone that is cut off can serve it. Answered by AnswerKept with status 201, or by Refuse.
-struct KeyIssueAsked
+/// so a zone that is cut off can serve it. Answered by SendStoredResponse with status 201, or by
+/// Refuse.
+struct KeyIssueRequested
 {
     RequestHandle handle = 0;
     std::string requestId;
@@ -68,13 +69,13 @@
 enum class AttemptFailure : std::uint8_t {
     ConnectRefused, ///< The target's port was closed: that boot of it is gone.
     ConnectTimeout,
-    Reset,       ///< The connection broke.
-    Timeout,     ///< No byte for the idle timeout, or the attempt's time ran out.
-    BadAnswer,   ///< Not HTTP, not the request's own id, or longer than announced.
-    CutShort,    ///< Fewer bytes than announced, or a stream without its end.
-    NotRun,      ///< The target says that it has not run the request and won't.
-    OtherTarget, ///< Another target answers at this address; the request has not run.
-    TargetError, ///< The target ran the request and answered with a failure of its own.
+    Reset,             ///< The connection broke.
+    Timeout,           ///< No byte for the idle timeout, or the attempt's time ran out.
+    InvalidResponse,   ///< Not HTTP, not the request's own id, or longer than announced.
+    TruncatedResponse, ///< Fewer bytes than announced, or a stream without its end.
+    NotRun,            ///< The target says that it has not run the request and won't.
+    OtherTarget,       ///< Another target answers at this address; the request has not run.
+    TargetError,       ///< The target ran the request and answered with a failure of its own.
 };
 
 /// The target's answer head came, with the request's own id.
@@ -95,8 +96,8 @@
     std::string bootId;
     std::uint64_t bodyBytes = 0;
     /// The answer, kept where the request carried an idempotency key and it is small enough.
-    std::vector<KeyHeader> keptHeaders;
-    std::optional<std::string> keptBody;
+    std::vector<KeyHeader> storedHeaders;
+    std::optional<std::string> storedBody;
 };
 
 struct AttemptFailed
@@ -106,13 +107,13 @@
     AttemptFailure failure = AttemptFailure::Reset;
     bool sentAny = true;      ///< Whether a byte of the request may have left for the target.
     bool answerBegun = false; ///< Whether the caller has already been sent part of the answer.
-    bool holdsAnswer
-        = false; ///< The target's own failure is kept and can be passed on (PassAnswer).
+    bool hasHeldResponse
+        = false; ///< The target's own failure is kept and can be passed on (RelayHeldResponse).
     std::optional<Duration> coldFor {}; ///< How long the target says that it stays cold.
 };
 
 /// A target's own load report, asked for by PollTarget.
-struct TargetReport
+struct TargetLoadReport
 {
     TargetId target;
     std::string bootId;
@@ -157,7 +158,7 @@
 };
 
 /// How late a traffic thread's timer ran: what each caller's bytes wait at this node.
-struct TrafficLag
+struct TrafficThreadReport
 {
     Duration lag;
     // Since the thread's last report:
@@ -167,7 +168,7 @@
 };
 
 /// The platform did not answer, or answers again.
-struct PlatformReach
+struct PlatformReachability
 {
     bool isReachable = false;
 };
@@ -202,15 +203,15 @@
     std::string who;
 };
 
-/// Nothing but time has passed; sent when Core::nextTimer() is due.
+/// Nothing but time has passed; sent when RouterCore::nextTimer() is due.
 struct TimerDue
 {
 };
 
-using Event
-    = std::variant<RequestArrived, KeyIssueAsked, CallerGone, AttemptHead, AttemptDone,
-                   AttemptFailed, TargetReport, TargetPollFailed, NodeMessage, ProbeEnded,
-                   DocumentArrived, VmListArrived, PlatformReach, CatalogArrived, DirectoryArrived,
-                   SeedsChanged, LeaveOrdered, ReturnOrdered, TrafficLag, TimerDue>;
+using Event = std::variant<RequestArrived, KeyIssueRequested, CallerGone, AttemptHead, AttemptDone,
+                           AttemptFailed, TargetLoadReport, TargetPollFailed, NodeMessage,
+                           ProbeEnded, DocumentArrived, VmListArrived, PlatformReachability,
+                           CatalogArrived, DirectoryArrived, SeedsChanged, LeaveOrdered,
+                           ReturnOrdered, TrafficThreadReport, TimerDue>;
 
 } // namespace berylridge
--- a/include/berylridge/Router/Core.h
+++ b/include/berylridge/Router/RouterCore.h
@@ -45,15 +45,15 @@
 };
 
 /// One node's decisions. Not safe for use by two threads at once: the control thread owns it.
-class Core
+class RouterCore
 {
 public:
     /// Fails when a chart file is missing or wrong.
-    static Expected<std::unique_ptr<Core>> create(CoreOptions options, TimePoint now,
-                                                  WallTime wall);
-    ~Core();
-    Core(const Core &) = delete;
-    Core &operator=(const Core &) = delete;
+    static Expected<std::unique_ptr<RouterCore>> create(CoreOptions options, TimePoint now,
+                                                        WallTime wall);
+    ~RouterCore();
+    RouterCore(const RouterCore &) = delete;
+    RouterCore &operator=(const RouterCore &) = delete;
 
     /// Takes in one event and appends what is to be done. Times must not step back.
     void handle(const Event &event, TimePoint now, WallTime wall, Actions &actions);
@@ -72,7 +72,7 @@
 
 private:
     class Impl;
-    explicit Core(std::unique_ptr<Impl> impl);
+    explicit RouterCore(std::unique_ptr<Impl> impl);
     std::unique_ptr<Impl> m_impl;
 };
 
--- a/lib/Balancer/BalancedRequest.h
+++ b/lib/Balancer/BalancedRequest.h
@@ -5,7 +5,7 @@
 #include "TargetSelector.h"
 
 #include "berylridge/Catalog/RouteTable.h"
-#include "berylridge/Chart/RequestLife.h"
+#include "berylridge/Chart/RequestStateMachine.h"
 #include "berylridge/Policy/WorkspaceShares.h"
 #include "berylridge/Router/Events.h"
 #include "berylridge/Support/Hash.h"
--- a/lib/Balancer/BalancerContext.h
+++ b/lib/Balancer/BalancerContext.h
@@ -5,8 +5,8 @@
 #include "berylridge/Balancer/BalancerCore.h"
 #include "berylridge/Catalog/RouteTable.h"
 #include "berylridge/Catalog/TargetDirectory.h"
-#include "berylridge/Chart/NodeLife.h"
-#include "berylridge/Chart/RequestLife.h"
+#include "berylridge/Chart/NodeStateMachine.h"
+#include "berylridge/Chart/RequestStateMachine.h"
 #include "berylridge/Fleet/PeerTable.h"
 
 #include <memory>
@@ -17,8 +17,8 @@
 
 struct BalancerCharts
 {
-    NodeLife node;
-    RequestLife request;
+    NodeStateMachine node;
+    RequestStateMachine request;
 };
 
 class BalancerContext
--- a/lib/Balancer/BalancerCore.cpp
+++ b/lib/Balancer/BalancerCore.cpp
@@ -47,13 +47,13 @@
     void onNodeMessage(const NodeMessage &message);
     void onCatalog(std::shared_ptr<const Catalog> catalog, const std::string &source);
     void onDirectory(const DirectoryUpdate &news, const std::string &source);
-    void onPlatformReach(bool isReachable);
+    void onPlatformReachability(bool isReachable);
     void onLeave(const std::string &who);
     void runTimers();
     void checkReady();
     void updateReaderRole();
     void checkPlannedStop();
-    void stop(NodeSign sign);
+    void stop(NodeSignal sign);
 
     BalancerContext m_context;
     TargetSelector m_targetSelector;
@@ -99,13 +99,13 @@
                    [&](const NodeMessage &e) { onNodeMessage(e); },
                    [&](const CatalogArrived &e) { onCatalog(e.catalog, "platform"); },
                    [&](const DirectoryArrived &e) { onDirectory(e.news, "platform"); },
-                   [&](const PlatformReach &e) { onPlatformReach(e.isReachable); },
+                   [&](const PlatformReachability &e) { onPlatformReachability(e.isReachable); },
                    [&](const LeaveOrdered &e) { onLeave(e.who); },
-                   [&](const TrafficLag &e) { m_requests.onLag(e); },
+                   [&](const TrafficThreadReport &e) { m_requests.onLag(e); },
                    [&](const SeedsChanged &e) { m_context.peers.setSeeds(e.seeds); },
                    // These events belong to the core that leases slots (lib/Router).
-                   [](const KeyIssueAsked &) {},
-                   [](const TargetReport &) {},
+                   [](const KeyIssueRequested &) {},
+                   [](const TargetLoadReport &) {},
                    [](const TargetPollFailed &) {},
                    [](const ProbeEnded &) {},
                    [](const DocumentArrived &) {},
@@ -158,7 +158,7 @@
     checkReady();
 }
 
-void BalancerCore::Impl::onPlatformReach(bool isReachable)
+void BalancerCore::Impl::onPlatformReachability(bool isReachable)
 {
     if (m_isPlatformReachable == isReachable)
         return;
@@ -170,7 +170,7 @@
 
 void BalancerCore::Impl::onLeave(const std::string &who)
 {
-    if (!m_context.charts.node.step(m_state, NodeSign::LeaveOrdered))
+    if (!m_context.charts.node.step(m_state, NodeSignal::LeaveOrdered))
         return;
     m_leaveStartedAt = m_context.now;
     m_context.log(LogEventId::NodeLeaving, who);
@@ -181,7 +181,7 @@
 {
     if (!m_context.routeTable || m_context.directory.revision() == 0)
         return;
-    if (!m_context.charts.node.step(m_state, NodeSign::DocumentsKnown))
+    if (!m_context.charts.node.step(m_state, NodeSignal::DocumentsKnown))
         return;
     m_context.log(LogEventId::NodeReady, m_context.options.node.str());
     m_context.emit(Readiness {true});
@@ -224,7 +224,7 @@
     const bool isIdle
         = m_requests.size() == 0 && m_context.now - m_requests.lastArrival() > idleTimeBeforeStop;
     if (since >= m_context.options.minStopTime && isIdle) {
-        stop(NodeSign::Emptied);
+        stop(NodeSignal::Emptied);
         return;
     }
     if (since < m_context.options.stopLimit)
@@ -233,10 +233,10 @@
         m_context.log(LogEventId::StopLimitReached,
                       std::to_string(m_requests.size()) + " requests aborted");
     m_requests.abortAll();
-    stop(NodeSign::LimitReached);
+    stop(NodeSignal::LimitReached);
 }
 
-void BalancerCore::Impl::stop(NodeSign sign)
+void BalancerCore::Impl::stop(NodeSignal sign)
 {
     m_context.charts.node.step(m_state, sign);
     m_context.log(LogEventId::NodeStopped, m_context.options.node.str());
@@ -246,10 +246,10 @@
 Expected<std::unique_ptr<BalancerCore>> BalancerCore::create(BalancerOptions options, TimePoint now,
                                                              WallTime)
 {
-    Expected<NodeLife> node = loadNodeLife(options.chartDirectory);
+    Expected<NodeStateMachine> node = loadNodeStateMachine(options.chartDirectory);
     if (!node)
         return Reason {node.failureReason()};
-    Expected<RequestLife> request = loadRequestLife(options.chartDirectory);
+    Expected<RequestStateMachine> request = loadRequestStateMachine(options.chartDirectory);
     if (!request)
         return Reason {request.failureReason()};
     auto impl = std::make_unique<Impl>(std::move(options),
--- a/lib/Balancer/OverloadLog.cpp
+++ b/lib/Balancer/OverloadLog.cpp
@@ -11,7 +11,7 @@
 
 } // namespace
 
-void OverloadLog::onLag(const TrafficLag &event)
+void OverloadLog::onLag(const TrafficThreadReport &event)
 {
     m_accumulated.lag = std::max(m_accumulated.lag, event.lag);
     m_accumulated.connections += event.connections;
@@ -25,7 +25,7 @@
     if (m_accumulated.lag == Duration(0) || m_context.now - m_lastLoggedAt < logPeriod)
         return;
     m_lastLoggedAt = m_context.now;
-    const TrafficLag sum = std::exchange(m_accumulated, TrafficLag {Duration(0)});
+    const TrafficThreadReport sum = std::exchange(m_accumulated, TrafficThreadReport {Duration(0)});
     const std::uint64_t shed = std::exchange(m_shedRequests, 0);
     Json::Value fields;
     fields["lagMs"] = toMilliseconds(sum.lag);
--- a/lib/Balancer/OverloadLog.h
+++ b/lib/Balancer/OverloadLog.h
@@ -17,7 +17,7 @@
     {
     }
 
-    void onLag(const TrafficLag &event);
+    void onLag(const TrafficThreadReport &event);
 
     /// Logs and resets the totals, at most once per second. `running` is the number of running
     /// requests.
@@ -25,8 +25,9 @@
 
 private:
     BalancerContext &m_context;
-    TrafficLag m_accumulated {Duration(0)}; ///< Totals since the last line, and the largest lag.
-    std::uint64_t m_shedRequests = 0;       ///< Requests rejected since the last line.
+    TrafficThreadReport m_accumulated {
+        Duration(0)};                 ///< Totals since the last line, and the largest lag.
+    std::uint64_t m_shedRequests = 0; ///< Requests rejected since the last line.
     TimePoint m_lastLoggedAt {};
 };
 
--- a/lib/Balancer/RequestProcessor.cpp
+++ b/lib/Balancer/RequestProcessor.cpp
@@ -69,9 +69,9 @@
         return "reset";
     case AttemptFailure::Timeout:
         return "timeout";
-    case AttemptFailure::BadAnswer:
+    case AttemptFailure::InvalidResponse:
         return "bad answer";
-    case AttemptFailure::CutShort:
+    case AttemptFailure::TruncatedResponse:
         return "cut short";
     case AttemptFailure::NotRun:
         return "not run";
@@ -108,7 +108,7 @@
         return;
     }
     BalancedRequest &kept = m_requests.emplace(event.handle, std::move(request)).first->second;
-    step(kept, RequestSign::Enqueued);
+    step(kept, RequestSignal::Enqueued);
     m_tally.asked(kept, demandOf(kept));
     m_retries[kept.service->name].onFirstAttempt(m_context.now);
     if (const auto refusal = placeRequest(kept, true))
@@ -222,7 +222,7 @@
     // sent, or of the target that the request has not run, reverts the verdict.
     request.verdictBeforeAttempt = request.verdict;
     request.verdict = Verdict::MayHaveRun;
-    step(request, RequestSign::Dispatched);
+    step(request, RequestSignal::Dispatched);
 
     const Duration left = request.deadline - m_context.now;
     Dispatch dispatch;
@@ -240,7 +240,8 @@
         : left;
     dispatch.isResumed = request.isPartlyDelivered;
     dispatch.workspace = request.workspace;
-    dispatch.repeats = request.route->isRetryable() ? Repeats::Allowed : Repeats::Forbidden;
+    dispatch.resendPolicy
+        = request.route->isRetryable() ? ResendPolicy::Allowed : ResendPolicy::Forbidden;
     dispatch.keptConnections = keptConnections(request.service->connectionLimit,
                                                m_context.peers.limitShareCount(m_context.now));
     m_context.emit(std::move(dispatch));
@@ -272,7 +273,7 @@
     BalancedRequest *request = find(event.handle, event.attempt);
     if (!request)
         return;
-    step(*request, RequestSign::HeadCame);
+    step(*request, RequestSignal::HeadCame);
     if (std::exchange(request->hasResponseStarted, true))
         return;
     const Duration at = m_context.now - request->arrivedAt;
@@ -296,7 +297,7 @@
         m_targetSelector.onResponseCompleted(request->service->name,
                                              m_context.now - request->dispatchedAt);
     endAttempt(*request);
-    step(*request, RequestSign::AnswerEnded);
+    step(*request, RequestSignal::AnswerEnded);
     m_log.answered(*request, event.status);
     finish(event.handle);
 }
@@ -319,7 +320,7 @@
         m_context.now - request->arrivedAt,
         AttemptFailedStep {request->choice.target, failureName(event.failure), event.sentAny});
     if (mayRetry(*request, event)) {
-        step(*request, RequestSign::Retried);
+        step(*request, RequestSignal::Retried);
         if (!placeRequest(*request, false))
             return;
     }
@@ -343,13 +344,13 @@
             health.onBroken(now);
         return;
     case AttemptFailure::Reset:
-    case AttemptFailure::CutShort:
+    case AttemptFailure::TruncatedResponse:
         if (event.sentAny) {
             health.onBroken(now);
             recordInterruptedRequest(request);
         }
         return;
-    case AttemptFailure::BadAnswer:
+    case AttemptFailure::InvalidResponse:
     case AttemptFailure::TargetError:
     case AttemptFailure::NotRun:
         health.onFailedAnswer(now);
@@ -370,16 +371,16 @@
     if (m_crashes.blockedFor(request.fingerprint, m_context.now))
         return false;
     if (!event.sentAny)
-        return true; // Nothing reached a target, so a retry repeats nothing.
+        return true; // Nothing reached a target, so a retry resendPolicy nothing.
     return m_retries[request.service->name].tryTake(
         m_context.options.retries, m_context.peers.limitShareCount(m_context.now), m_context.now);
 }
 
 void RequestProcessor::finishFailed(BalancedRequest &request, const AttemptFailed &event)
 {
-    if (event.holdsAnswer && !request.isRunning) {
-        m_context.emit(PassAnswer {event.handle, event.attempt});
-        step(request, RequestSign::GivenUp);
+    if (event.hasHeldResponse && !request.isRunning) {
+        m_context.emit(RelayHeldResponse {event.handle, event.attempt});
+        step(request, RequestSignal::GivenUp);
         finish(request.handle);
         return;
     }
@@ -408,7 +409,7 @@
     m_crashes.add(entry.fingerprint, entry.boot, m_context.now);
 }
 
-void RequestProcessor::onLag(const TrafficLag &event)
+void RequestProcessor::onLag(const TrafficThreadReport &event)
 {
     m_overloadLog.onLag(event);
     m_tally.turnedAway(event.shed);
@@ -424,7 +425,7 @@
         m_context.emit(AbortAttempt {request.handle, request.attempts});
         endAttempt(request);
     }
-    step(request, RequestSign::CallerGone);
+    step(request, RequestSignal::CallerGone);
     m_log.callerGone(request);
     finish(event.handle);
 }
@@ -478,7 +479,7 @@
     return &found->second;
 }
 
-void RequestProcessor::step(BalancedRequest &request, RequestSign sign)
+void RequestProcessor::step(BalancedRequest &request, RequestSignal sign)
 {
     m_context.charts.request.step(request.state, sign);
 }
@@ -496,7 +497,7 @@
     m_tally.refused(request, refusal.type);
     m_context.emit(Refuse {request.handle, refusal.status, request.verdict, refusal.title,
                            refusal.type, refusal.retryAfter});
-    step(request, RequestSign::GivenUp);
+    step(request, RequestSignal::GivenUp);
     finish(request.handle);
 }
 
--- a/lib/Balancer/RequestProcessor.h
+++ b/lib/Balancer/RequestProcessor.h
@@ -26,7 +26,7 @@
 
     void onArrived(const RequestArrived &event);
     /// Records how late a traffic thread is.
-    void onLag(const TrafficLag &event);
+    void onLag(const TrafficThreadReport &event);
     void onCallerGone(const CallerGone &event);
     void onHead(const AttemptHead &event);
     void onDone(const AttemptDone &event);
@@ -61,7 +61,7 @@
     void finishFailed(BalancedRequest &request, const AttemptFailed &event);
     void recordInterruptedRequest(const BalancedRequest &request);
     BalancedRequest *find(RequestHandle handle, AttemptNumber attempt);
-    void step(BalancedRequest &request, RequestSign sign);
+    void step(BalancedRequest &request, RequestSignal sign);
     void endAttempt(BalancedRequest &request);
     void refuse(BalancedRequest &request, const Refusal &refusal);
     void refuseEarly(const RequestArrived &event, const Refusal &refusal);
--- a/lib/Chart/MemberLife.cpp
+++ b/lib/Chart/MemberStateMachine.cpp
@@ -1,5 +1,5 @@
 // Binds charts/member-life.json to its enums.
-#include "berylridge/Chart/MemberLife.h"
+#include "berylridge/Chart/MemberStateMachine.h"
 
 #include <array>
 
@@ -9,15 +9,15 @@
 
 constexpr auto stateNames
     = std::to_array<std::string_view>({"unknown", "joining", "live", "suspect", "gone", "leaving"});
-constexpr auto signNames
+constexpr auto signalNames
     = std::to_array<std::string_view>({"heardJoining", "heardReady", "heardLeaving", "goodbye",
                                        "silence", "probeRefused", "newIncarnation", "unlisted"});
 
 } // namespace
 
-Expected<MemberLife> loadMemberLife(const std::string &chartDirectory)
+Expected<MemberStateMachine> loadMemberStateMachine(const std::string &chartDirectory)
 {
-    return MemberLife::load(chartDirectory + "/member-life.json", stateNames, signNames);
+    return MemberStateMachine::load(chartDirectory + "/member-life.json", stateNames, signalNames);
 }
 
 } // namespace berylridge
--- a/lib/Chart/NodeLife.cpp
+++ b/lib/Chart/NodeStateMachine.cpp
@@ -1,5 +1,5 @@
 // Binds charts/node-life.json to its enums.
-#include "berylridge/Chart/NodeLife.h"
+#include "berylridge/Chart/NodeStateMachine.h"
 
 #include <array>
 
@@ -9,14 +9,14 @@
 
 constexpr auto stateNames
     = std::to_array<std::string_view>({"joining", "ready", "leaving", "stopped"});
-constexpr auto signNames = std::to_array<std::string_view>(
+constexpr auto signalNames = std::to_array<std::string_view>(
     {"documentsKnown", "leaveOrdered", "returnOrdered", "emptied", "limitReached"});
 
 } // namespace
 
-Expected<NodeLife> loadNodeLife(const std::string &chartDirectory)
+Expected<NodeStateMachine> loadNodeStateMachine(const std::string &chartDirectory)
 {
-    return NodeLife::load(chartDirectory + "/node-life.json", stateNames, signNames);
+    return NodeStateMachine::load(chartDirectory + "/node-life.json", stateNames, signalNames);
 }
 
 } // namespace berylridge
--- a/lib/Chart/RequestLife.cpp
+++ b/lib/Chart/RequestStateMachine.cpp
@@ -1,5 +1,5 @@
 // Binds charts/request-life.json to its enums.
-#include "berylridge/Chart/RequestLife.h"
+#include "berylridge/Chart/RequestStateMachine.h"
 
 #include <array>
 
@@ -9,15 +9,16 @@
 
 constexpr auto stateNames = std::to_array<std::string_view>(
     {"arrived", "claiming", "queued", "sent", "answering", "answered", "refused", "abandoned"});
-constexpr auto signNames = std::to_array<std::string_view>(
+constexpr auto signalNames = std::to_array<std::string_view>(
     {"claimBegun", "enqueued", "dispatched", "headCame", "answerEnded", "keptAnswerFound",
      "retried", "givenUp", "callerGone"});
 
 } // namespace
 
-Expected<RequestLife> loadRequestLife(const std::string &chartDirectory)
+Expected<RequestStateMachine> loadRequestStateMachine(const std::string &chartDirectory)
 {
-    return RequestLife::load(chartDirectory + "/request-life.json", stateNames, signNames);
+    return RequestStateMachine::load(chartDirectory + "/request-life.json", stateNames,
+                                     signalNames);
 }
 
 } // namespace berylridge
--- a/lib/Chart/ChartReader.cpp
+++ b/lib/Chart/StateChartParser.cpp
@@ -1,4 +1,4 @@
-#include "ChartReader.h"
+#include "StateChartParser.h"
 
 #include <algorithm>
 #include <array>
@@ -9,9 +9,9 @@
 
 namespace {
 
-constexpr std::size_t mostNames = 64;
+constexpr std::size_t maxNames = 64;
 
-constexpr auto knownNames = std::to_array<std::string_view>(
+constexpr auto knownMembers = std::to_array<std::string_view>(
     {"initial", "states", "final", "signals", "transitions", "ignored"});
 
 /// jsoncpp's first message is "* Line 3, Column 7\n  what is wrong\n...".
@@ -26,28 +26,29 @@
 
 } // namespace
 
-ChartReader::ChartReader(std::string file, std::string_view text)
+StateChartParser::StateChartParser(std::string file, std::string_view text)
     : m_file(std::move(file))
     , m_text(text)
 {
     m_chart.m_file = m_file;
 }
 
-Expected<Chart> ChartReader::read()
+Expected<StateChart> StateChartParser::read()
 {
     Json::Value root;
     if (parse(root)) {
-        checkNames(root);
+        checkMembers(root);
         m_chart.m_states = readNames(root, "states");
         m_chart.m_signals = readNames(root, "signals");
-        m_chart.m_table.assign(m_chart.m_states.size() * m_chart.m_signals.size(), Chart::unlisted);
+        m_chart.m_table.assign(m_chart.m_states.size() * m_chart.m_signals.size(),
+                               StateChart::noTransition);
         readInitial(root);
         readFinal(root);
-        readPairs(root, "transitions", true);
-        readPairs(root, "ignored", false);
+        readTransitions(root, "transitions", true);
+        readTransitions(root, "ignored", false);
         if (m_errors.empty()) {
-            checkReach(root);
-            checkWaysOut(root);
+            checkReachability(root);
+            checkOutgoingTransitions(root);
         }
     }
     if (m_errors.empty())
@@ -56,7 +57,7 @@
     return Reason {m_errors};
 }
 
-bool ChartReader::parse(Json::Value &root)
+bool StateChartParser::parse(Json::Value &root)
 {
     Json::CharReaderBuilder builder;
     Json::CharReaderBuilder::strictMode(&builder.settings_);
@@ -70,48 +71,48 @@
         return false;
     }
     if (!root.isObject()) {
-        fail(root, "a chart is a JSON object");
+        addError(root, "a chart is a JSON object");
         return false;
     }
     return true;
 }
 
-void ChartReader::checkNames(const Json::Value &root)
+void StateChartParser::checkMembers(const Json::Value &root)
 {
     for (const auto &name : root.getMemberNames()) {
-        if (std::find(knownNames.begin(), knownNames.end(), name) == knownNames.end()) {
-            fail(root[name],
-                 "'" + name
-                     + "' is unknown; allowed are initial, states, final, signals, transitions "
-                       "and ignored");
+        if (std::find(knownMembers.begin(), knownMembers.end(), name) == knownMembers.end()) {
+            addError(root[name],
+                     "'" + name
+                         + "' is unknown; allowed are initial, states, final, signals, transitions "
+                           "and ignored");
         }
     }
 }
 
-std::vector<std::string> ChartReader::readNames(const Json::Value &root, const char *name)
+std::vector<std::string> StateChartParser::readNames(const Json::Value &root, const char *name)
 {
     const Json::Value &list = root[name];
-    if (!list.isArray() || list.empty() || list.size() > mostNames) {
-        fail(list, "'" + std::string(name) + "' must be a list of 1 to 64 names");
+    if (!list.isArray() || list.empty() || list.size() > maxNames) {
+        addError(list, "'" + std::string(name) + "' must be a list of 1 to 64 names");
         return {};
     }
     std::vector<std::string> names;
     for (const auto &item : list) {
         if (!item.isString() || item.asString().empty())
-            fail(item, "'" + std::string(name) + "' must hold names only");
+            addError(item, "'" + std::string(name) + "' must hold names only");
         else if (std::find(names.begin(), names.end(), item.asString()) != names.end())
-            fail(item, "'" + item.asString() + "' stands twice in '" + name + "'");
+            addError(item, "'" + item.asString() + "' stands twice in '" + name + "'");
         else
             names.push_back(item.asString());
     }
     return names;
 }
 
-void ChartReader::readInitial(const Json::Value &root)
+void StateChartParser::readInitial(const Json::Value &root)
 {
     const Json::Value &initial = root["initial"];
     if (!initial.isString()) {
-        fail(initial, "'initial' is missing: it must name a state");
+        addError(initial, "'initial' is missing: it must name a state");
         return;
     }
     const auto found = indices(initial, m_chart.m_states, "state");
@@ -119,7 +120,7 @@
         m_chart.m_initial = found.front();
 }
 
-void ChartReader::readFinal(const Json::Value &root)
+void StateChartParser::readFinal(const Json::Value &root)
 {
     m_chart.m_final.assign(m_chart.m_states.size(), false);
     if (!root.isMember("final"))
@@ -128,28 +129,28 @@
         m_chart.m_final[state] = true;
 }
 
-void ChartReader::readPairs(const Json::Value &root, const char *list, bool hasTarget)
+void StateChartParser::readTransitions(const Json::Value &root, const char *list, bool hasTarget)
 {
     if (!root.isMember(list))
         return;
     const Json::Value &entries = root[list];
     if (!entries.isArray()) {
-        fail(entries, "'" + std::string(list) + "' must be a list");
+        addError(entries, "'" + std::string(list) + "' must be a list");
         return;
     }
     for (const auto &entry : entries) {
         if (entry.isObject())
-            readPair(entry, hasTarget);
+            readTransition(entry, hasTarget);
         else
-            fail(entry, "'" + std::string(list) + "' must hold objects only");
+            addError(entry, "'" + std::string(list) + "' must hold objects only");
     }
 }
 
-void ChartReader::readPair(const Json::Value &entry, bool hasTarget)
+void StateChartParser::readTransition(const Json::Value &entry, bool hasTarget)
 {
     for (const auto &name : entry.getMemberNames()) {
         if (name != "from" && name != "on" && !(hasTarget && name == "to"))
-            fail(entry[name], "'" + name + "' is unknown here");
+            addError(entry[name], "'" + name + "' is unknown here");
     }
     const auto from = indices(entry["from"], m_chart.m_states, "state");
     const auto on = indices(entry["on"], m_chart.m_signals, "signal");
@@ -157,7 +158,7 @@
     if (hasTarget) {
         to = indices(entry["to"], m_chart.m_states, "state");
         if (to.size() != 1) {
-            fail(entry, "'to' must name one state");
+            addError(entry, "'to' must name one state");
             return;
         }
     }
@@ -167,24 +168,23 @@
     }
 }
 
-void ChartReader::setNext(const Json::Value &entry, Index from, Index on, Index to)
+void StateChartParser::setNext(const Json::Value &entry, Index from, Index on, Index to)
 {
     Index &cell = m_chart.m_table[std::size_t {from} * m_chart.m_signals.size() + on];
-    if (cell != Chart::unlisted) {
-        fail(entry,
-             "signal '" + m_chart.m_signals[on] + "' in state '" + m_chart.m_states[from]
-                 + "' is listed twice");
+    if (cell != StateChart::noTransition) {
+        addError(entry,
+                 "signal '" + m_chart.m_signals[on] + "' in state '" + m_chart.m_states[from]
+                     + "' is listed twice");
         return;
     }
     cell = to;
 }
 
-std::vector<ChartReader::Index> ChartReader::indices(const Json::Value &value,
-                                                     const std::vector<std::string> &names,
-                                                     const char *kind)
+std::vector<StateChartParser::Index> StateChartParser::indices(
+    const Json::Value &value, const std::vector<std::string> &names, const char *kind)
 {
     if (!value.isString() && !value.isArray()) {
-        fail(value, std::string("a ") + kind + " or a list of them must stand here");
+        addError(value, std::string("a ") + kind + " or a list of them must stand here");
         return {};
     }
     std::vector<Index> found;
@@ -192,7 +192,7 @@
         const std::string name = item.isString() ? item.asString() : std::string();
         const auto at = std::find(names.begin(), names.end(), name);
         if (at == names.end())
-            fail(item, std::string(kind) + " '" + name + "' is unknown");
+            addError(item, std::string(kind) + " '" + name + "' is unknown");
         else
             found.push_back(static_cast<Index>(at - names.begin()));
     };
@@ -205,7 +205,7 @@
     return found;
 }
 
-void ChartReader::checkReach(const Json::Value &root)
+void StateChartParser::checkReachability(const Json::Value &root)
 {
     std::vector<bool> reached(m_chart.m_states.size(), false);
     std::vector<Index> open {m_chart.m_initial};
@@ -223,25 +223,25 @@
     }
     for (std::size_t i = 0; i < reached.size(); ++i) {
         if (!reached[i]) {
-            fail(root["states"][static_cast<Json::ArrayIndex>(i)],
-                 "state '" + m_chart.m_states[i] + "' can't be reached from '"
-                     + m_chart.m_states[m_chart.m_initial] + "'");
+            addError(root["states"][static_cast<Json::ArrayIndex>(i)],
+                     "state '" + m_chart.m_states[i] + "' can't be reached from '"
+                         + m_chart.m_states[m_chart.m_initial] + "'");
         }
     }
 }
 
-void ChartReader::checkWaysOut(const Json::Value &root)
+void StateChartParser::checkOutgoingTransitions(const Json::Value &root)
 {
     for (std::size_t i = 0; i < m_chart.m_states.size(); ++i) {
         const Json::Value &at = root["states"][static_cast<Json::ArrayIndex>(i)];
-        if (m_chart.m_final[i] && hasWayOut(i))
-            fail(at, "final state '" + m_chart.m_states[i] + "' has a transition out of it");
-        if (!m_chart.m_final[i] && !hasWayOut(i))
-            fail(at, "state '" + m_chart.m_states[i] + "' has no way out and is not final");
+        if (m_chart.m_final[i] && hasOutgoingTransition(i))
+            addError(at, "final state '" + m_chart.m_states[i] + "' has a transition out of it");
+        if (!m_chart.m_final[i] && !hasOutgoingTransition(i))
+            addError(at, "state '" + m_chart.m_states[i] + "' has no way out and is not final");
     }
 }
 
-bool ChartReader::hasWayOut(std::size_t state) const
+bool StateChartParser::hasOutgoingTransition(std::size_t state) const
 {
     for (std::size_t signal = 0; signal < m_chart.m_signals.size(); ++signal) {
         const auto to = m_chart.next(static_cast<Index>(state), static_cast<Index>(signal));
@@ -251,7 +251,7 @@
     return false;
 }
 
-void ChartReader::fail(std::ptrdiff_t offset, const std::string &message)
+void StateChartParser::addError(std::ptrdiff_t offset, const std::string &message)
 {
     const auto upTo = std::min<std::size_t>(static_cast<std::size_t>(offset), m_text.size());
     const auto line
@@ -259,9 +259,9 @@
     m_errors += m_file + ":" + std::to_string(line) + ": " + message + "\n";
 }
 
-void ChartReader::fail(const Json::Value &at, const std::string &message)
+void StateChartParser::addError(const Json::Value &at, const std::string &message)
 {
-    fail(at.getOffsetStart(), message);
+    addError(at.getOffsetStart(), message);
 }
 
 } // namespace berylridge
--- a/lib/Chart/ChartReader.h
+++ b/lib/Chart/StateChartParser.h
@@ -1,7 +1,7 @@
 // Reads the text of one chart file and collects every error with its line.
 #pragma once
 
-#include "berylridge/Chart/Chart.h"
+#include "berylridge/Chart/StateChart.h"
 
 #include <json/json.h>
 #include <string>
@@ -10,35 +10,35 @@
 
 namespace berylridge {
 
-class ChartReader
+class StateChartParser
 {
 public:
-    ChartReader(std::string file, std::string_view text);
+    StateChartParser(std::string file, std::string_view text);
 
-    Expected<Chart> read();
+    Expected<StateChart> read();
 
 private:
-    using Index = Chart::Index;
+    using Index = StateChart::Index;
 
     bool parse(Json::Value &root);
-    void checkNames(const Json::Value &root);
+    void checkMembers(const Json::Value &root);
     std::vector<std::string> readNames(const Json::Value &root, const char *name);
     void readInitial(const Json::Value &root);
     void readFinal(const Json::Value &root);
-    void readPairs(const Json::Value &root, const char *list, bool hasTarget);
-    void readPair(const Json::Value &entry, bool hasTarget);
+    void readTransitions(const Json::Value &root, const char *list, bool hasTarget);
+    void readTransition(const Json::Value &entry, bool hasTarget);
     void setNext(const Json::Value &entry, Index from, Index on, Index to);
     std::vector<Index> indices(const Json::Value &value, const std::vector<std::string> &names,
                                const char *kind);
-    void checkReach(const Json::Value &root);
-    void checkWaysOut(const Json::Value &root);
-    bool hasWayOut(std::size_t state) const;
-    void fail(std::ptrdiff_t offset, const std::string &message);
-    void fail(const Json::Value &at, const std::string &message);
+    void checkReachability(const Json::Value &root);
+    void checkOutgoingTransitions(const Json::Value &root);
+    bool hasOutgoingTransition(std::size_t state) const;
+    void addError(std::ptrdiff_t offset, const std::string &message);
+    void addError(const Json::Value &at, const std::string &message);
 
     std::string m_file;
     std::string_view m_text;
-    Chart m_chart;
+    StateChart m_chart;
     std::string m_errors;
 };
 
--- a/lib/Fleet/Membership.cpp
+++ b/lib/Fleet/Membership.cpp
@@ -31,7 +31,7 @@
 
 } // namespace
 
-Membership::Membership(const MemberLife &chart, MembershipOptions options, TimePoint now)
+Membership::Membership(const MemberStateMachine &chart, MembershipOptions options, TimePoint now)
     : m_chart(&chart)
     , m_options(std::move(options))
 {
@@ -73,13 +73,13 @@
             entry.endpoint = {vm.address, vm.port};
         }
         if (vm.isLeaving && entry.state == MemberState::Live)
-            step(entry, MemberSign::HeardLeaving);
+            step(entry, MemberSignal::HeardLeaving);
     }
     for (auto &[node, entry] : m_members) {
         if (listed.contains(node))
             continue;
         entry.isListed = false;
-        step(entry, MemberSign::Unlisted);
+        step(entry, MemberSignal::Unlisted);
     }
     // Removes unlisted nodes that are gone. The delay leaves time for late messages of their
     // incarnations.
@@ -105,7 +105,7 @@
         entry.incarnation = incarnation;
         // This also applies if the previous incarnation was known to have ended, because the new
         // one is a different process.
-        step(entry, MemberSign::NewIncarnation);
+        step(entry, MemberSignal::NewIncarnation);
         logMemberEvent(LogEventId::MemberJoined, entry);
     }
     entry.lastMessageAt = now;
@@ -128,13 +128,13 @@
     entry.vmListRevision = heartbeat.vmListRevision;
     switch (static_cast<MemberState>(heartbeat.nodeState)) {
     case MemberState::Live:
-        step(entry, MemberSign::HeardReady);
+        step(entry, MemberSignal::HeardReady);
         break;
     case MemberState::Leaving:
-        step(entry, MemberSign::HeardLeaving);
+        step(entry, MemberSignal::HeardLeaving);
         break;
     default:
-        step(entry, MemberSign::HeardJoining);
+        step(entry, MemberSignal::HeardJoining);
         break;
     }
 }
@@ -172,7 +172,7 @@
 
 void Membership::onGoodbye(const NodeId &from)
 {
-    step(member(from), MemberSign::Goodbye);
+    step(member(from), MemberSignal::Goodbye);
 }
 
 void Membership::onProbeEnded(const NodeId &node, Incarnation incarnation, bool isRefused)
@@ -185,7 +185,7 @@
     if (found->second.state != MemberState::Suspect && found->second.state != MemberState::Unknown)
         return;
     found->second.refusedIncarnation = incarnation;
-    step(found->second, MemberSign::ProbeRefused);
+    step(found->second, MemberSignal::ProbeRefused);
 }
 
 void Membership::onProcessResumed(TimePoint now)
@@ -211,9 +211,9 @@
             continue;
         if (!isOwnZone && (entry.incarnation == 0 || isZoneViewFresh(entry.zone, now)))
             continue;
-        step(entry, MemberSign::Silence);
+        step(entry, MemberSignal::Silence);
         if (entry.state == MemberState::Suspect && !entry.isListed && m_vmList.revision != 0)
-            step(entry, MemberSign::Unlisted);
+            step(entry, MemberSignal::Unlisted);
         if (entry.state != MemberState::Suspect || now - entry.lastProbeAt < probePeriod)
             continue;
         entry.lastProbeAt = now;
@@ -417,7 +417,7 @@
     return std::max(1U, (nodeCountInZone() + fullRateZoneNodes - 1) / fullRateZoneNodes);
 }
 
-void Membership::step(Member &member, MemberSign sign)
+void Membership::step(Member &member, MemberSignal sign)
 {
     const MemberState before = member.state;
     if (!m_chart->step(member.state, sign))
--- a/lib/Net/CallerRequest.cpp
+++ b/lib/Net/CallerRequest.cpp
@@ -128,7 +128,7 @@
     arrived.bodyHash = hash64(request.body());
     arrived.bodyBytes = request.body().size();
     arrived.costHint = costHintOf(request);
-    arrived.patience = patienceOf(request);
+    arrived.maxQueueWait = patienceOf(request);
     return arrived;
 }
 
--- a/lib/Net/CallerSession.cpp
+++ b/lib/Net/CallerSession.cpp
@@ -319,7 +319,7 @@
         = std::make_shared<Exchange>(m_thread, shared_from_this(), arrived, std::move(request));
     m_thread.begin(handle, m_exchange);
     if (arrived.service.isEmpty() && arrived.host.empty())
-        m_thread.report(KeyIssueAsked {handle, arrived.requestId, arrived.credential});
+        m_thread.report(KeyIssueRequested {handle, arrived.requestId, arrived.credential});
     else
         m_thread.report(std::move(arrived));
     watch();
--- a/lib/Net/ConnectionPool.cpp
+++ b/lib/Net/ConnectionPool.cpp
@@ -43,7 +43,7 @@
     return std::chrono::seconds(seconds);
 }
 
-std::optional<tcp::socket> ConnectionPool::take(const Endpoint &endpoint, Repeats repeats,
+std::optional<tcp::socket> ConnectionPool::take(const Endpoint &endpoint, ResendPolicy resendPolicy,
                                                 Clock::time_point now)
 {
     const auto found = m_idle.find(endpoint);
@@ -52,7 +52,7 @@
     auto &idle = found->second;
     while (!idle.empty()) {
         const Idle &last = idle.back();
-        if (now > (repeats == Repeats::Allowed ? last.usableUntil : last.onceUntil))
+        if (now > (resendPolicy == ResendPolicy::Allowed ? last.usableUntil : last.onceUntil))
             return std::nullopt; // The others have been idle for longer.
         tcp::socket socket = std::move(idle.back().socket);
         idle.pop_back();
--- a/lib/Net/ConnectionPool.h
+++ b/lib/Net/ConnectionPool.h
@@ -35,7 +35,7 @@
     /// A connection on which nothing has arrived since its last answer, and which the target won't
     /// close as idle while the request is on its way. The one used last: it is the safest, and the
     /// others can be closed when the load falls.
-    std::optional<tcp::socket> take(const Endpoint &endpoint, Repeats repeats,
+    std::optional<tcp::socket> take(const Endpoint &endpoint, ResendPolicy resendPolicy,
                                     Clock::time_point now);
 
     /// Only after a whole answer, with no byte left over. `told` is the target's idle limit; at
--- a/lib/Net/Exchange.cpp
+++ b/lib/Net/Exchange.cpp
@@ -64,7 +64,7 @@
     m_order = order;
     if (m_isBegun && !m_stream) {
         // Only an event stream can go on elsewhere; anything else would be glued from two answers.
-        attemptFailed(AttemptFailure::BadAnswer, false);
+        attemptFailed(AttemptFailure::InvalidResponse, false);
         return;
     }
     if (m_stream)
@@ -129,7 +129,7 @@
         return std::nullopt;
     }
     if (m_isBegun && !isStream)
-        return AttemptFailure::BadAnswer;
+        return AttemptFailure::InvalidResponse;
     if (!m_isBegun) {
         m_stream.reset();
         m_bodyBytes = 0;
@@ -138,7 +138,7 @@
             m_stream.emplace(rules.streamsEndWithMark).setLastId(m_callersLastId);
         if (!isStream && rules.buffersSmallAnswers && isSmall(head))
             m_held.emplace();
-        if (m_order.keepsAnswer)
+        if (m_order.storesResponse)
             m_kept.emplace();
         buildHead(head, hasBody);
     }
@@ -199,15 +199,15 @@
 void Exchange::reportHeldFailure()
 {
     // A failure that is too large to be kept, or was itself cut short, can't be passed on.
-    const bool holdsAnswer
+    const bool hasHeldResponse
         = m_held->isWhole && m_held->isPassable && !m_isBegun && m_held->body.size() <= keptLimit;
     m_thread.report(AttemptFailed {m_handle, m_order.attempt, *m_held->failure, true, m_isBegun,
-                                   holdsAnswer, m_coldFor});
+                                   hasHeldResponse, m_coldFor});
     if (!m_session)
         m_thread.end(m_handle);
 }
 
-void Exchange::passAnswer(const PassAnswer &order)
+void Exchange::passAnswer(const RelayHeldResponse &order)
 {
     if (!m_held || m_order.attempt != order.attempt)
         return;
@@ -237,7 +237,7 @@
     // Whole events before the fault are passed on: a resumed stream begins after them.
     if (m_session && !events.empty())
         m_session->write(takeIn(events, false), [] {});
-    return isUsable ? AttemptFailure::CutShort : AttemptFailure::BadAnswer;
+    return isUsable ? AttemptFailure::TruncatedResponse : AttemptFailure::InvalidResponse;
 }
 
 std::string Exchange::takeIn(std::string_view bytes, bool isEnd)
@@ -323,9 +323,9 @@
             const std::string_view name = view(field.name_string());
             const bool isOwn = !m_thread.protocol().passesAnswerField(name) || isHopByHop(name, {});
             if (!isOwn && field.name() != http::field::content_length)
-                done.keptHeaders.push_back({std::string(name), std::string(view(field.value()))});
+                done.storedHeaders.push_back({std::string(name), std::string(view(field.value()))});
         }
-        done.keptBody = std::move(m_kept);
+        done.storedBody = std::move(m_kept);
         m_kept.reset();
     }
     m_thread.report(std::move(done));
@@ -367,7 +367,7 @@
     answer(m_thread.protocol().problemAnswer(problemOf(order), m_requestId), order.verdict);
 }
 
-void Exchange::answerKept(const AnswerKept &order)
+void Exchange::answerKept(const SendStoredResponse &order)
 {
     StringResponse response;
     response.version(11);
--- a/lib/Net/Exchange.h
+++ b/lib/Net/Exchange.h
@@ -43,8 +43,8 @@
     void dispatch(const Dispatch &order);
     void abort(AttemptNumber attempt);
     void refuse(const Refuse &order);
-    void answerKept(const AnswerKept &order);
-    void passAnswer(const PassAnswer &order);
+    void answerKept(const SendStoredResponse &order);
+    void passAnswer(const RelayHeldResponse &order);
     void callerGone();
 
     AnswerFacts inspect(const AnswerHead &head) const override;
--- a/lib/Net/HttpClient.cpp
+++ b/lib/Net/HttpClient.cpp
@@ -19,7 +19,7 @@
         return AttemptFailure::Timeout;
     if (error.category() == make_error_code(http::error::end_of_stream).category()
         && error != http::error::end_of_stream)
-        return AttemptFailure::BadAnswer;
+        return AttemptFailure::InvalidResponse;
     return AttemptFailure::Reset;
 }
 
--- a/lib/Net/PlatformWatch.cpp
+++ b/lib/Net/PlatformWatch.cpp
@@ -208,12 +208,12 @@
     if (m_endpoints.empty())
         return;
     m_seen.clear();
-    const auto reached = [this] { m_take(PlatformReach {true}); };
+    const auto reached = [this] { m_take(PlatformReachability {true}); };
     // The VM list alone failing is no outage: documents say what is in force.
     m_documents = std::make_shared<LongPoll>(
         m_context, m_endpoints, "/v1/documents", ++m_seed, m_metrics,
         LongPoll::Handlers {[this](const std::string &body) { return takeDocuments(body); },
-                            reached, [this] { m_take(PlatformReach {false}); }});
+                            reached, [this] { m_take(PlatformReachability {false}); }});
     m_vms = std::make_shared<LongPoll>(
         m_context, m_endpoints, "/v1/vms", ++m_seed, m_metrics,
         LongPoll::Handlers {[this](const std::string &body) { return takeVms(body); }, [] {},
--- a/lib/Net/RouterNode.cpp
+++ b/lib/Net/RouterNode.cpp
@@ -86,8 +86,8 @@
     void operator()(Dispatch &action);
     void operator()(AbortAttempt &action);
     void operator()(Refuse &action);
-    void operator()(AnswerKept &action);
-    void operator()(PassAnswer &action);
+    void operator()(SendStoredResponse &action);
+    void operator()(RelayHeldResponse &action);
     void operator()(const SendToNode &action) { m_peers.send(action); }
     void operator()(const ProbeNode &action) { m_peers.probe(action); }
     void operator()(const PollTarget &action) { m_poller.poll(action); }
@@ -260,13 +260,13 @@
     thread.order(std::move(action));
 }
 
-void RouterNode::Impl::operator()(AnswerKept &action)
+void RouterNode::Impl::operator()(SendStoredResponse &action)
 {
     TrafficThread &thread = threadOf(action.handle);
     thread.order(std::move(action));
 }
 
-void RouterNode::Impl::operator()(PassAnswer &action)
+void RouterNode::Impl::operator()(RelayHeldResponse &action)
 {
     threadOf(action.handle).order(action);
 }
--- a/lib/Net/TargetAttempt.cpp
+++ b/lib/Net/TargetAttempt.cpp
@@ -36,11 +36,11 @@
 AttemptFailure failureOf(const error_code &error)
 {
     if (error == http::error::partial_message || error == asio::error::eof)
-        return AttemptFailure::CutShort;
+        return AttemptFailure::TruncatedResponse;
     if (error == http::error::end_of_stream)
         return AttemptFailure::Reset;
     if (error.category() == make_error_code(http::error::end_of_stream).category())
-        return AttemptFailure::BadAnswer;
+        return AttemptFailure::InvalidResponse;
     return AttemptFailure::Reset;
 }
 
@@ -72,7 +72,7 @@
     // A target may close a kept connection as idle just as the request is sent, and then nobody can
     // tell whether it ran. The pool gives a request that must not be repeated only what the target
     // keeps open for longer than the request's way.
-    auto kept = m_pool.take(m_order.endpoint, m_order.repeats, Clock::now());
+    auto kept = m_pool.take(m_order.endpoint, m_order.resendPolicy, Clock::now());
     if (!kept) {
         connect();
         return;
@@ -166,12 +166,12 @@
         return;
     }
     if (!facts.isOwn || !facts.isUsable || !isReadable(head)) {
-        fail(AttemptFailure::BadAnswer);
+        fail(AttemptFailure::InvalidResponse);
         return;
     }
     m_isEnd = m_parser->is_done();
     if (m_isEnd && m_buffer.size() > 0 && !m_rules.ignoresTrailingBytes) {
-        fail(AttemptFailure::BadAnswer);
+        fail(AttemptFailure::InvalidResponse);
         return;
     }
     const auto owner = m_owner; // The owner may let go of this attempt meanwhile.
@@ -208,7 +208,7 @@
     // answer.
     m_isStray = true;
     if (m_parser->need_eof()) {
-        fail(AttemptFailure::BadAnswer);
+        fail(AttemptFailure::InvalidResponse);
         return;
     }
     m_piece.resize(pieceBytes);
@@ -280,7 +280,7 @@
     }
     // Bytes beyond the announced end: the connection is out of step, and so may be this answer.
     if (m_isEnd && m_buffer.size() > 0 && !m_rules.ignoresTrailingBytes) {
-        fail(AttemptFailure::BadAnswer);
+        fail(AttemptFailure::InvalidResponse);
         return;
     }
     // A slow caller's time is not the target's silence.
--- a/lib/Net/TargetPoller.cpp
+++ b/lib/Net/TargetPoller.cpp
@@ -13,7 +13,7 @@
 
 } // namespace
 
-std::optional<TargetReport> readLoadAnswer(const TargetId &target, const std::string &body)
+std::optional<TargetLoadReport> readLoadAnswer(const TargetId &target, const std::string &body)
 {
     Json::CharReaderBuilder builder;
     const std::unique_ptr<Json::CharReader> reader(builder.newCharReader());
@@ -25,12 +25,12 @@
         return std::nullopt;
     const Json::Value &age = value["ageMs"];
     const std::int64_t ageMs = age.isUInt() ? std::int64_t {age.asUInt()} : 0;
-    return TargetReport {target,
-                         value["bootId"].asString(),
-                         value["running"].asUInt(),
-                         value["completed"].asUInt64(),
-                         std::chrono::milliseconds(ageMs),
-                         0};
+    return TargetLoadReport {target,
+                             value["bootId"].asString(),
+                             value["running"].asUInt(),
+                             value["completed"].asUInt64(),
+                             std::chrono::milliseconds(ageMs),
+                             0};
 }
 
 TargetPoller::TargetPoller(asio::io_context &context, Metrics &metrics,
@@ -55,20 +55,21 @@
     if (!client.http)
         client.http = std::make_shared<HttpClient>(m_context, order.endpoint);
     client.lastUse = std::chrono::steady_clock::now();
-    client.http->get("/load", pollTimeout,
-                     [this, target = order.target, poll = order.poll](const HttpReply &reply) {
-                         if (reply.failure) {
-                             m_take(TargetPollFailed {target, *reply.failure, poll});
-                             return;
-                         }
-                         auto report = readLoadAnswer(target, reply.body);
-                         if (!report || reply.status != okStatus) {
-                             m_take(TargetPollFailed {target, AttemptFailure::BadAnswer, poll});
-                             return;
-                         }
-                         report->poll = poll;
-                         m_take(std::move(*report));
-                     });
+    client.http->get(
+        "/load", pollTimeout,
+        [this, target = order.target, poll = order.poll](const HttpReply &reply) {
+            if (reply.failure) {
+                m_take(TargetPollFailed {target, *reply.failure, poll});
+                return;
+            }
+            auto report = readLoadAnswer(target, reply.body);
+            if (!report || reply.status != okStatus) {
+                m_take(TargetPollFailed {target, AttemptFailure::InvalidResponse, poll});
+                return;
+            }
+            report->poll = poll;
+            m_take(std::move(*report));
+        });
 }
 
 void TargetPoller::closeUnused()
--- a/lib/Net/TargetPoller.h
+++ b/lib/Net/TargetPoller.h
@@ -16,7 +16,7 @@
 namespace berylridge {
 
 /// Reads the answer to GET /load; nothing where it is not one.
-std::optional<TargetReport> readLoadAnswer(const TargetId &target, const std::string &body);
+std::optional<TargetLoadReport> readLoadAnswer(const TargetId &target, const std::string &body);
 
 /// Lives on the control thread.
 class TargetPoller
--- a/lib/Net/TrafficThread.cpp
+++ b/lib/Net/TrafficThread.cpp
@@ -37,8 +37,8 @@
     void operator()(Dispatch &order) const { exchange.dispatch(order); }
     void operator()(AbortAttempt &order) const { exchange.abort(order.attempt); }
     void operator()(Refuse &order) const { exchange.refuse(order); }
-    void operator()(AnswerKept &order) const { exchange.answerKept(order); }
-    void operator()(PassAnswer &order) const { exchange.passAnswer(order); }
+    void operator()(SendStoredResponse &order) const { exchange.answerKept(order); }
+    void operator()(RelayHeldResponse &order) const { exchange.passAnswer(order); }
 };
 
 } // namespace
@@ -196,8 +196,8 @@
     const bool isLate = lag > leastLag;
     // Once more after the last late turn, so that the core learns of its end.
     if (isLate || m_wasLate || isShedding())
-        report(TrafficLag {lag, std::exchange(m_accepted, 0), std::exchange(m_leftUnread, 0),
-                           m_load.takeShed()});
+        report(TrafficThreadReport {lag, std::exchange(m_accepted, 0),
+                                    std::exchange(m_leftUnread, 0), m_load.takeShed()});
     m_wasLate = isLate;
 }
 
--- a/lib/Net/TrafficThread.h
+++ b/lib/Net/TrafficThread.h
@@ -33,7 +33,8 @@
 class Exchange;
 
 /// What the control thread tells a traffic thread.
-using TrafficOrder = std::variant<Dispatch, AbortAttempt, Refuse, AnswerKept, PassAnswer>;
+using TrafficOrder
+    = std::variant<Dispatch, AbortAttempt, Refuse, SendStoredResponse, RelayHeldResponse>;
 
 /// What all traffic threads of a process share; outlives them.
 struct TrafficOptions
--- a/lib/Policy/PoolOwner.cpp
+++ b/lib/Policy/PoolOwner.cpp
@@ -20,7 +20,7 @@
 
 } // namespace
 
-PoolOwner::PoolOwner(const TargetLife &chart, PoolOwnerOptions options, TimePoint now)
+PoolOwner::PoolOwner(const TargetStateMachine &chart, PoolOwnerOptions options, TimePoint now)
     : m_chart(&chart)
     , m_options(options)
     , m_began(now)
@@ -228,7 +228,7 @@
     const auto target = m_targets.find(news.target);
     if (target == m_targets.end())
         return;
-    if (target->second.gauge.onSign(static_cast<TargetSign>(news.sign), news.bootId, now))
+    if (target->second.gauge.onSign(static_cast<TargetSignal>(news.sign), news.bootId, now))
         target->second.gauge.nextPoll = now;
 }
 
--- a/lib/Policy/TargetGauge.cpp
+++ b/lib/Policy/TargetGauge.cpp
@@ -27,7 +27,7 @@
     return slots * agreeing / listed;
 }
 
-TargetGauge::TargetGauge(const TargetLife &chart, TimePoint now)
+TargetGauge::TargetGauge(const TargetStateMachine &chart, TimePoint now)
     : m_chart(&chart)
     , m_state(chart.initial())
 
@@ -42,22 +42,22 @@
     m_warmAfter = document.warmAfter;
     if (isLeaving == (m_state == TargetState::Leaving))
         return;
-    step(isLeaving ? TargetSign::LeaveOrdered : TargetSign::ReturnOrdered);
+    step(isLeaving ? TargetSignal::LeaveOrdered : TargetSignal::ReturnOrdered);
     // It may have been restarted while it was out: only cold slots until its boot is heard again.
     m_evidenceAt.reset();
 }
 
-bool TargetGauge::onSign(TargetSign sign, std::string_view bootId, TimePoint now)
+bool TargetGauge::onSign(TargetSignal sign, std::string_view bootId, TimePoint now)
 {
     // News of a boot that has already ended says nothing about the present one.
     const bool isLate
         = hasEnded(bootId) || (!bootId.empty() && !m_bootId.empty() && bootId != m_bootId);
     switch (sign) {
-    case TargetSign::NewBoot:
-    case TargetSign::Heard:
+    case TargetSignal::NewBoot:
+    case TargetSignal::Heard:
         return heardBoot(bootId, now);
-    case TargetSign::RefusedConnection:
-    case TargetSign::Crash:
+    case TargetSignal::RefusedConnection:
+    case TargetSignal::Crash:
         if (isLate)
             return false;
         step(sign);
@@ -81,9 +81,9 @@
     // The target's report counts the same answers, so the two are never added up.
     m_told += count;
     m_completed = std::max(m_completed, m_told);
-    step(TargetSign::FirstAnswer);
+    step(TargetSignal::FirstAnswer);
     if (m_completed >= m_warmAfter)
-        step(TargetSign::RampDone);
+        step(TargetSignal::RampDone);
 }
 
 bool TargetGauge::onReport(std::string_view bootId, std::uint32_t running, std::uint64_t completed,
@@ -95,18 +95,18 @@
     m_reportedRunning = running;
     m_reportedAt = now - age;
     m_completed = std::max(m_completed, completed);
-    step(TargetSign::Heard);
+    step(TargetSignal::Heard);
     if (m_completed >= m_warmAfter)
-        step(TargetSign::RampDone);
+        step(TargetSignal::RampDone);
     return isNew;
 }
 
 void TargetGauge::onPollFailed(bool isRefused, TimePoint now)
 {
     if (isRefused)
-        onSign(TargetSign::RefusedConnection, {}, now);
+        onSign(TargetSignal::RefusedConnection, {}, now);
     else
-        step(TargetSign::Silence);
+        step(TargetSignal::Silence);
 }
 
 std::uint32_t TargetGauge::limit(OwnerPart part, TimePoint now) const
@@ -152,14 +152,14 @@
     m_isDown = false;
     m_evidenceAt = now;
     if (bootId.empty() || bootId == m_bootId) {
-        step(TargetSign::Heard);
+        step(TargetSignal::Heard);
         return false;
     }
     if (!m_bootId.empty())
         m_endedBoots.push_back(m_bootId);
     if (m_endedBoots.size() > endedBootsKept)
         m_endedBoots.pop_front();
-    step(TargetSign::NewBoot);
+    step(TargetSignal::NewBoot);
     m_bootId = bootId;
     m_completed = 0;
     m_told = 0;
--- a/lib/Router/CoreContext.cpp
+++ b/lib/Router/CoreContext.cpp
@@ -6,16 +6,16 @@
 
 Expected<Charts> Charts::load(const std::string &directory)
 {
-    Expected<MemberLife> member = loadMemberLife(directory);
+    Expected<MemberStateMachine> member = loadMemberStateMachine(directory);
     if (!member)
         return Reason {member.failureReason()};
-    Expected<NodeLife> node = loadNodeLife(directory);
+    Expected<NodeStateMachine> node = loadNodeStateMachine(directory);
     if (!node)
         return Reason {node.failureReason()};
-    Expected<RequestLife> request = loadRequestLife(directory);
+    Expected<RequestStateMachine> request = loadRequestStateMachine(directory);
     if (!request)
         return Reason {request.failureReason()};
-    Expected<TargetLife> target = loadTargetLife(directory);
+    Expected<TargetStateMachine> target = loadTargetStateMachine(directory);
     if (!target)
         return Reason {target.failureReason()};
     return Charts {*std::move(member), *std::move(node), *std::move(request), *std::move(target)};
@@ -38,26 +38,26 @@
 
 void CoreContext::log(LogEventId id, std::string detail)
 {
-    act(Log {LogRecord {id, std::move(detail)}});
+    emit(Log {LogRecord {id, std::move(detail)}});
 }
 
 void CoreContext::audit(AuditKind kind, std::string who, std::string what, std::string from,
                         std::string to)
 {
-    act(Audit {
+    emit(Audit {
         AuditEntry {kind, std::move(who), std::move(what), std::move(from), std::move(to), wall}});
 }
 
 void CoreContext::send(const NodeId &to, AnyMessage message)
 {
     if (isSelf(to)) {
-        toSelf.push_back(std::move(message));
+        selfMessages.push_back(std::move(message));
         return;
     }
     const Member *member = membership.find(to);
     if (!member || member->endpoint.port == 0)
         return;
-    act(SendToNode {to, member->endpoint, std::move(message)});
+    emit(SendToNode {to, member->endpoint, std::move(message)});
 }
 
 bool isZoneOut(const FleetDocument &fleet, const ZoneId &zone)
--- a/lib/Router/CoreContext.h
+++ b/lib/Router/CoreContext.h
@@ -2,14 +2,14 @@
 // force, and where actions go.
 #pragma once
 
-#include "berylridge/Chart/MemberLife.h"
-#include "berylridge/Chart/NodeLife.h"
-#include "berylridge/Chart/RequestLife.h"
-#include "berylridge/Chart/TargetLife.h"
+#include "berylridge/Chart/MemberStateMachine.h"
+#include "berylridge/Chart/NodeStateMachine.h"
+#include "berylridge/Chart/RequestStateMachine.h"
+#include "berylridge/Chart/TargetStateMachine.h"
 #include "berylridge/Config/DocumentStore.h"
 #include "berylridge/Fleet/Membership.h"
 #include "berylridge/Router/Actions.h"
-#include "berylridge/Router/Core.h"
+#include "berylridge/Router/RouterCore.h"
 
 #include <deque>
 #include <string>
@@ -23,10 +23,10 @@
 /// All state charts, loaded once.
 struct Charts
 {
-    MemberLife member;
-    NodeLife node;
-    RequestLife request;
-    TargetLife target;
+    MemberStateMachine member;
+    NodeStateMachine node;
+    RequestStateMachine request;
+    TargetStateMachine target;
 
     static Expected<Charts> load(const std::string &directory);
 };
@@ -36,7 +36,7 @@
 public:
     CoreContext(CoreOptions coreOptions, Charts loadedCharts, TimePoint start, WallTime wallStart);
 
-    void act(Action action) { actions->push_back(std::move(action)); }
+    void emit(Action action) { actions->push_back(std::move(action)); }
     void log(LogEventId id, std::string detail);
     void audit(AuditKind kind, std::string who, std::string what, std::string from, std::string to);
 
@@ -51,7 +51,7 @@
     Actions *actions = nullptr;
     Membership membership;
     DocumentStore documents;
-    std::deque<AnyMessage> toSelf;
+    std::deque<AnyMessage> selfMessages;
 };
 
 /// Whether operators have taken the zone out of service.
--- a/lib/Router/FleetSync.cpp
+++ b/lib/Router/FleetSync.cpp
@@ -12,13 +12,13 @@
 
 /// Watches of the platform per zone: one may be lost without a gap.
 constexpr std::size_t readersPerZone = 2;
-constexpr Duration requestPeriod = std::chrono::milliseconds(200);
+constexpr Duration minDocumentsRequestInterval = std::chrono::milliseconds(200);
 /// Bytes of document text in one reply; the rest is asked for again.
-constexpr std::size_t replyLimit = 512 << 10;
+constexpr std::size_t maxReplyBytes = 512 << 10;
 /// After a planned stop began, the balancer needs this long to see that this node is not ready.
-constexpr Duration balancerDelay = std::chrono::seconds(2);
+constexpr Duration balancerNoticeDelay = std::chrono::seconds(2);
 /// With no request coming in for this long, the balancer has stopped sending.
-constexpr Duration quietTime = std::chrono::seconds(1);
+constexpr Duration quietPeriod = std::chrono::seconds(1);
 
 } // namespace
 
@@ -32,8 +32,8 @@
 FleetSync::Changes FleetSync::takeChanges()
 {
     const std::uint64_t count = m_context.membership.changeCount();
-    m_changes.members = count != m_seenMemberChanges;
-    m_seenMemberChanges = count;
+    m_changes.members = count != m_handledMemberChanges;
+    m_handledMemberChanges = count;
     return std::exchange(m_changes, {});
 }
 
@@ -63,7 +63,7 @@
 void FleetSync::requestDocuments(const NodeId &from)
 {
     TimePoint &at = m_requestedAt[from];
-    if (at != TimePoint {} && m_context.now - at < requestPeriod)
+    if (at != TimePoint {} && m_context.now - at < minDocumentsRequestInterval)
         return;
     at = m_context.now;
     DocumentsRequest request;
@@ -85,7 +85,7 @@
         if (known != message.have.end() && known->version >= document.version)
             continue;
         bytes += document.text.size();
-        if (!reply.documents.empty() && bytes > replyLimit)
+        if (!reply.documents.empty() && bytes > maxReplyBytes)
             break;
         reply.documents.push_back({document.name, document.version, document.text});
     }
@@ -158,7 +158,7 @@
     m_changes.vmList = true;
 }
 
-void FleetSync::onPlatformReach(bool isReachable)
+void FleetSync::onPlatformReachability(bool isReachable)
 {
     if (m_isPlatformReachable == isReachable)
         return;
@@ -173,9 +173,9 @@
     m_context.audit(AuditKind::NodeState, who, m_context.options.node.str(),
                     m_context.charts.node.name(m_state), "leaving");
     m_leavingSince = m_context.now;
-    step(NodeSign::LeaveOrdered);
+    step(NodeSignal::LeaveOrdered);
     m_context.log(LogEventId::NodeLeaving, "by " + who);
-    m_context.act(Readiness {false});
+    m_context.emit(Readiness {false});
     for (const auto &[node, member] : m_context.membership.members())
         m_context.send(node, FleetMessage(Goodbye {++m_sequence}));
 }
@@ -185,7 +185,7 @@
     if (m_state != NodeState::Leaving)
         return;
     m_context.audit(AuditKind::NodeState, who, m_context.options.node.str(), "leaving", "joining");
-    step(NodeSign::ReturnOrdered);
+    step(NodeSignal::ReturnOrdered);
     checkReady();
     announce();
 }
@@ -193,14 +193,14 @@
 void FleetSync::onProcessResumed()
 {
     m_context.membership.onProcessResumed(m_context.now);
-    m_wokeAt = m_context.now;
+    m_resumedAt = m_context.now;
 }
 
-void FleetSync::tick(bool takesKeys)
+void FleetSync::tick(bool acceptsNewKeys)
 {
-    m_takesKeys = takesKeys;
+    m_acceptsNewKeys = acceptsNewKeys;
     for (const Member &silent : m_context.membership.tick(m_context.now))
-        m_context.act(ProbeNode {silent.node, silent.endpoint, silent.incarnation});
+        m_context.emit(ProbeNode {silent.node, silent.endpoint, silent.incarnation});
     checkReady();
     chooseReaders();
     for (const Member &member : m_context.membership.dueHeartbeats(m_context.now))
@@ -217,20 +217,21 @@
     const TimePoint now = m_context.now;
     // Requests that came during a pause are still unread in the sockets when the process wakes:
     // were the quiet counted from before the pause, it would end with them and cut them off.
-    const TimePoint quietSince = std::max(lastArrival, m_wokeAt);
-    const bool isQuiet = now - quietSince >= quietTime && now - m_leavingSince >= balancerDelay;
+    const TimePoint quietSince = std::max(lastArrival, m_resumedAt);
+    const bool isQuiet
+        = now - quietSince >= quietPeriod && now - m_leavingSince >= balancerNoticeDelay;
     if (requests == 0 && isQuiet) {
-        step(NodeSign::Emptied);
+        step(NodeSignal::Emptied);
         m_context.log(LogEventId::NodeStopped, "");
-        m_context.act(Stopped {});
+        m_context.emit(Stopped {});
         return;
     }
     if (now - m_leavingSince < m_context.options.stopLimit)
         return;
-    step(NodeSign::LimitReached);
+    step(NodeSignal::LimitReached);
     m_context.log(LogEventId::StopLimitReached,
                   std::to_string(requests) + " requests were running");
-    m_context.act(Stopped {});
+    m_context.emit(Stopped {});
 }
 
 void FleetSync::fillStatus(NodeStatus &status) const
@@ -255,9 +256,9 @@
     }
 }
 
-void FleetSync::step(NodeSign sign)
+void FleetSync::step(NodeSignal signal)
 {
-    if (!m_context.charts.node.step(m_state, sign))
+    if (!m_context.charts.node.step(m_state, signal))
         return;
     m_context.membership.setSelfState(memberState());
 }
@@ -282,11 +283,11 @@
         return;
     // Purchases that came before the nodes agreed on witnesses would be refused as perhaps run. In
     // a fleet that can't agree, as in a zone that is cut off, the rest is served without them.
-    if (!m_takesKeys && waited < 3 * m_context.options.readinessWait)
+    if (!m_acceptsNewKeys && waited < 3 * m_context.options.readinessWait)
         return;
-    step(NodeSign::DocumentsKnown);
+    step(NodeSignal::DocumentsKnown);
     m_context.log(LogEventId::NodeReady, "");
-    m_context.act(Readiness {true});
+    m_context.emit(Readiness {true});
     announce();
 }
 
@@ -313,7 +314,7 @@
         return;
     m_isReader = isReader;
     m_context.log(LogEventId::ReaderRole, isReader ? "begins" : "ceases");
-    m_context.act(WatchPlatform {isReader});
+    m_context.emit(WatchPlatform {isReader});
 }
 
 void FleetSync::sendHeartbeat(const Member &member)
--- a/lib/Router/FleetSync.h
+++ b/lib/Router/FleetSync.h
@@ -35,13 +35,13 @@
 
     void onDocument(const DocumentText &document, const std::string &who);
     void onVmList(const VmList &list);
-    void onPlatformReach(bool isReachable);
+    void onPlatformReachability(bool isReachable);
     void onLeave(const std::string &who);
     void onReturn(const std::string &who);
     void onProcessResumed();
 
-    /// takesKeys: whether callers' idempotency keys find witnesses.
-    void tick(bool takesKeys);
+    /// acceptsNewKeys: whether callers' idempotency keys find witnesses.
+    void tick(bool acceptsNewKeys);
     /// Ends a planned stop once nothing is left, or its time limit has passed.
     void checkStop(std::size_t requests, TimePoint lastArrival);
 
@@ -53,7 +53,7 @@
     void fillStatus(NodeStatus &status) const;
 
 private:
-    void step(NodeSign sign);
+    void step(NodeSignal signal);
     MemberState memberState() const;
     void checkReady();
 
@@ -67,14 +67,14 @@
     Changes m_changes;
     TimePoint m_startedAt;
     TimePoint m_leavingSince {};
-    TimePoint m_wokeAt {}; ///< End of the last pause of this process.
+    TimePoint m_resumedAt {}; ///< End of the last pause of this process.
 
     std::uint64_t m_sequence = 0;
-    std::uint64_t m_seenMemberChanges = 0;
+    std::uint64_t m_handledMemberChanges = 0;
     std::uint64_t m_pushedDigest = 0;
     bool m_isReader = false;
     bool m_isPlatformReachable = true;
-    bool m_takesKeys = false;
+    bool m_acceptsNewKeys = false;
     bool m_isSynchronised = false; ///< A ready node's documents have been compared with ours.
     std::map<NodeId, TimePoint> m_requestedAt; ///< Last DocumentsRequest to each.
 };
--- a/lib/Router/PoolManager.cpp
+++ b/lib/Router/PoolManager.cpp
@@ -8,13 +8,13 @@
 
 namespace {
 
-/// A request that its own zone has not served by then is offered to other zones' pools too.
-constexpr Duration spillAfter = std::chrono::milliseconds(20);
-/// After a spill other zones are asked at once for this long: the own zone is full.
-constexpr Duration spillLasts = std::chrono::seconds(2);
-constexpr Duration exchangePeriod = std::chrono::milliseconds(500);
+/// A request that its poolOwner zone has not served by then is offered to other zones' pools too.
+constexpr Duration spillDelay = std::chrono::milliseconds(20);
+/// After a spill other zones are asked at once for this long: the poolOwner zone is full.
+constexpr Duration spillDuration = std::chrono::seconds(2);
+constexpr Duration usageReportPeriod = std::chrono::milliseconds(500);
 
-PickRule ruleOf(SharingPolicy policy)
+PickRule schedulingPolicyFor(SharingPolicy policy)
 {
     switch (policy) {
     case SharingPolicy::PerNode:
@@ -31,18 +31,18 @@
 
 } // namespace
 
-PoolManager::PoolManager(CoreContext &context, LeaseUser &user)
+PoolManager::PoolManager(CoreContext &context, LeaseConsumer &user)
     : m_context(context)
-    , m_user(user)
+    , m_leaseConsumer(user)
 {
 }
 
 void PoolManager::onDocuments()
 {
-    std::map<PoolId, Entry> kept;
+    std::map<PoolId, ManagedPool> kept;
     m_byService.clear();
     m_targetPool.clear();
-    m_openTargets.clear();
+    m_openTargetCounts.clear();
     for (const auto &document : m_context.documents.services()) {
         std::vector<PoolId> &ids = m_byService[document->service];
         for (Pool &pool : poolsOf(*document)) {
@@ -50,15 +50,16 @@
             for (const TargetSpec &target : pool.targets)
                 m_targetPool[target.target] = {id, document->service};
             const auto found = m_pools.find(id);
-            Entry entry = found == m_pools.end() ? Entry(pool) : std::move(found->second);
+            ManagedPool entry
+                = found == m_pools.end() ? ManagedPool(pool) : std::move(found->second);
             entry.pool = std::move(pool);
             entry.document = document;
-            entry.openTargets = static_cast<std::size_t>(std::count_if(
+            entry.openTargetCount = static_cast<std::size_t>(std::count_if(
                 entry.pool.targets.begin(), entry.pool.targets.end(),
-                [&](const TargetSpec &target) { return isOpen(entry.pool, target); }));
-            m_openTargets[document->service] += entry.openTargets;
-            if (entry.own)
-                configureOwn(entry);
+                [&](const TargetSpec &target) { return acceptsNewWork(entry.pool, target); }));
+            m_openTargetCounts[document->service] += entry.openTargetCount;
+            if (entry.poolOwner)
+                configureOwner(entry);
             ids.push_back(id);
             kept.emplace(id, std::move(entry));
         }
@@ -76,42 +77,42 @@
 {
     for (auto &[id, entry] : m_pools) {
         const NodeId owner = ownerOf(entry.pool);
-        if (entry.own) {
-            entry.own->setPart(partOf(entry.pool));
-            entry.isOwnChanged = true;
+        if (entry.poolOwner) {
+            entry.poolOwner->setPart(ownerAgreementFor(entry.pool));
+            entry.needsGrant = true;
         }
         if (owner == entry.owner)
             continue;
-        const bool concernsSelf = m_context.isSelf(owner) || m_context.isSelf(entry.owner);
-        if (concernsSelf) {
+        const bool involvesSelf = m_context.isSelf(owner) || m_context.isSelf(entry.owner);
+        if (involvesSelf) {
             m_context.audit(AuditKind::OwnerChange, "node", entry.pool.name, entry.owner.str(),
                             owner.str());
             m_context.log(LogEventId::TargetOwner,
                           entry.pool.name + " from '" + entry.owner.str() + "' to '" + owner.str()
                               + "'");
         }
-        if (entry.own)
+        if (entry.poolOwner)
             handOver(entry, owner);
         entry.owner = owner;
-        entry.own.reset();
+        entry.poolOwner.reset();
         if (m_context.isSelf(owner)) {
-            beginOwning(entry);
-            takeEarlyHandover(entry);
+            becomeOwner(entry);
+            applyEarlyHandover(entry);
         }
         // The new owner must learn at once what is held, so that it counts it.
         entry.holder.listedAt = TimePoint {};
-        tellPeriodically(entry);
+        sendPeriodicDemand(entry);
     }
 }
 
 void PoolManager::onEndedRuns(const std::vector<EndedIncarnation> &runs)
 {
     for (auto &[id, entry] : m_pools) {
-        if (!entry.own)
+        if (!entry.poolOwner)
             continue;
         for (const EndedIncarnation &run : runs)
-            entry.own->onHolderGone(run.node, run.incarnation, m_context.now);
-        entry.isOwnChanged = true;
+            entry.poolOwner->onHolderGone(run.node, run.incarnation, m_context.now);
+        entry.needsGrant = true;
     }
 }
 
@@ -119,18 +120,18 @@
 {
     for (auto &[id, entry] : m_pools) {
         entry.holder.dropIdle();
-        if (entry.own)
-            beginOwning(entry);
+        if (entry.poolOwner)
+            becomeOwner(entry);
     }
 }
 
 void PoolManager::onDemand(const NodeId &from, Incarnation incarnation, const PoolDemand &message)
 {
     const auto found = m_pools.find(message.pool);
-    if (found == m_pools.end() || !found->second.own)
+    if (found == m_pools.end() || !found->second.poolOwner)
         return;
-    found->second.own->onDemand(from, incarnation, message, m_context.now);
-    found->second.isOwnChanged = true;
+    found->second.poolOwner->onDemand(from, incarnation, message, m_context.now);
+    found->second.needsGrant = true;
 }
 
 void PoolManager::onGrant(const NodeId &from, Incarnation incarnation, const PoolGrant &message)
@@ -138,37 +139,37 @@
     const auto found = m_pools.find(message.pool);
     if (found == m_pools.end())
         return;
-    Entry &entry = found->second;
-    bool isVain = false;
+    ManagedPool &entry = found->second;
+    bool hasUnusedLease = false;
     for (const LeaseId lease : entry.holder.onGrant(from, incarnation, message, m_context.now)) {
-        if (tryRun(entry, lease))
+        if (tryUseLease(entry, lease))
             continue;
-        isVain = true;
+        hasUnusedLease = true;
         giveBack(entry, lease, {}, isUnfit(entry, lease));
     }
     // The owner has a wrong picture of what waits here: other pools served it, or it was given up.
-    if (!isVain)
+    if (!hasUnusedLease)
         return;
-    if (const ServiceQueue *queue = m_user.queue(entry.pool.service))
-        tellUrgently(entry, *queue);
+    if (const ServiceQueue *queue = m_leaseConsumer.queue(entry.pool.service))
+        sendUrgentDemand(entry, *queue);
 }
 
 void PoolManager::onReturn(const NodeId &from, const PoolReturn &message)
 {
     const auto found = m_pools.find(message.pool);
-    if (found == m_pools.end() || !found->second.own)
+    if (found == m_pools.end() || !found->second.poolOwner)
         return;
-    found->second.own->onReturn(from, message, m_context.now);
-    found->second.isOwnChanged = true;
+    found->second.poolOwner->onReturn(from, message, m_context.now);
+    found->second.needsGrant = true;
 }
 
 void PoolManager::onNews(const TargetObservation &message)
 {
     const auto found = m_pools.find(message.pool);
-    if (found == m_pools.end() || !found->second.own)
+    if (found == m_pools.end() || !found->second.poolOwner)
         return;
-    found->second.own->onNews(message, m_context.now);
-    found->second.isOwnChanged = true;
+    found->second.poolOwner->onNews(message, m_context.now);
+    found->second.needsGrant = true;
 }
 
 void PoolManager::onRemoteService(const PoolUsage &message)
@@ -177,9 +178,9 @@
     if (pools == m_byService.end())
         return;
     for (const PoolId id : pools->second) {
-        Entry &entry = m_pools.at(id);
-        if (entry.own && id != message.pool)
-            entry.own->onRemoteService(message);
+        ManagedPool &entry = m_pools.at(id);
+        if (entry.poolOwner && id != message.pool)
+            entry.poolOwner->onRemoteService(message);
     }
 }
 
@@ -189,21 +190,21 @@
     if (found == m_pools.end())
         return;
     m_earlyHandovers[message.pool] = {m_context.now, message};
-    if (found->second.own)
-        takeEarlyHandover(found->second);
+    if (found->second.poolOwner)
+        applyEarlyHandover(found->second);
 }
 
-void PoolManager::onReport(const TargetReport &report)
+void PoolManager::onReport(const TargetLoadReport &report)
 {
     const auto found = m_targetPool.find(report.target);
     if (found == m_targetPool.end())
         return;
-    Entry &entry = m_pools.at(found->second.first);
-    if (!entry.own)
+    ManagedPool &entry = m_pools.at(found->second.first);
+    if (!entry.poolOwner)
         return;
-    entry.own->onReport(targetHash(report.target), report.bootId, report.running, report.completed,
-                        report.age, m_context.now);
-    entry.isOwnChanged = true;
+    entry.poolOwner->onReport(targetHash(report.target), report.bootId, report.running,
+                              report.completed, report.age, m_context.now);
+    entry.needsGrant = true;
 }
 
 void PoolManager::onPollFailed(const TargetPollFailed &failure)
@@ -211,11 +212,11 @@
     const auto found = m_targetPool.find(failure.target);
     if (found == m_targetPool.end())
         return;
-    Entry &entry = m_pools.at(found->second.first);
-    if (!entry.own)
+    ManagedPool &entry = m_pools.at(found->second.first);
+    if (!entry.poolOwner)
         return;
     const bool isRefused = failure.failure == AttemptFailure::ConnectRefused;
-    entry.own->onPollFailed(targetHash(failure.target), isRefused, m_context.now);
+    entry.poolOwner->onPollFailed(targetHash(failure.target), isRefused, m_context.now);
 }
 
 void PoolManager::endLease(const LeaseRef &ref, Duration used, bool isCompleted,
@@ -224,20 +225,20 @@
     const auto found = m_pools.find(ref.pool);
     if (found == m_pools.end() || !found->second.holder.find(ref.lease))
         return;
-    Entry &entry = found->second;
+    ManagedPool &entry = found->second;
     const bool mayRunAnother = entry.holder.end(ref.lease, used, isCompleted, m_context.now);
-    if (mayRunAnother && tryRun(entry, ref.lease))
+    if (mayRunAnother && tryUseLease(entry, ref.lease))
         return;
     giveBack(entry, ref.lease, bootId);
 }
 
-void PoolManager::tellNews(PoolId pool, TargetHash target, TargetSign sign,
-                           const std::string &bootId)
+void PoolManager::reportTargetSignal(PoolId pool, TargetHash target, TargetSignal signal,
+                                     const std::string &bootId)
 {
     const auto found = m_pools.find(pool);
     if (found == m_pools.end() || found->second.owner.isEmpty())
         return;
-    TargetObservation news {pool, target, static_cast<std::uint8_t>(sign), bootId};
+    TargetObservation news {pool, target, static_cast<std::uint8_t>(signal), bootId};
     m_context.send(found->second.owner, FleetMessage(std::move(news)));
 }
 
@@ -245,50 +246,50 @@
 {
     const std::set<ServiceId> changed = std::exchange(m_changedServices, {});
     for (const ServiceId &service : changed) {
-        const ServiceQueue *queue = m_user.queue(service);
+        const ServiceQueue *queue = m_leaseConsumer.queue(service);
         if (!queue || queue->size() == 0)
             continue;
-        for (Entry *entry : poolsToAsk(service)) {
+        for (ManagedPool *entry : poolsToAsk(service)) {
             if (queue->anyFlow([&](FlowId flow, std::size_t waiting) {
                     return entry->holder.isOwnerBehind(flow, waiting);
                 })) {
-                tellUrgently(*entry, *queue);
+                sendUrgentDemand(*entry, *queue);
             }
         }
     }
     for (auto &[id, entry] : m_pools) {
-        if (entry.own && entry.isOwnChanged)
-            grantOwn(entry);
+        if (entry.poolOwner && entry.needsGrant)
+            grantFreeSlots(entry);
     }
 }
 
 void PoolManager::tick()
 {
     for (auto &[id, entry] : m_pools) {
-        if (!entry.own)
+        if (!entry.poolOwner)
             continue;
-        entry.own->setPart(partOf(entry.pool));
-        entry.own->tick(m_context.now);
-        entry.isOwnChanged = true;
-        for (const TargetHash hash : entry.own->duePolls(m_context.now)) {
+        entry.poolOwner->setPart(ownerAgreementFor(entry.pool));
+        entry.poolOwner->tick(m_context.now);
+        entry.needsGrant = true;
+        for (const TargetHash hash : entry.poolOwner->duePolls(m_context.now)) {
             if (const TargetSpec *target = findTarget(entry, hash))
-                m_context.act(PollTarget {target->target, {target->address, target->port}});
+                m_context.emit(PollTarget {target->target, {target->address, target->port}});
         }
     }
     for (auto &[service, pools] : m_byService) {
-        const ServiceQueue *queue = m_user.queue(service);
+        const ServiceQueue *queue = m_leaseConsumer.queue(service);
         const std::optional<TimePoint> oldest = queue ? queue->oldest() : std::nullopt;
-        if (oldest && m_context.now - *oldest >= spillAfter) {
-            m_spillUntil[service] = m_context.now + spillLasts;
+        if (oldest && m_context.now - *oldest >= spillDelay) {
+            m_spillUntil[service] = m_context.now + spillDuration;
             m_changedServices.insert(service);
         }
     }
     for (auto &[id, entry] : m_pools) {
-        tellPeriodically(entry);
+        sendPeriodicDemand(entry);
     }
-    if (m_context.now >= m_exchangeAt) {
-        m_exchangeAt = m_context.now + exchangePeriod;
-        exchangeService();
+    if (m_context.now >= m_nextUsageReportAt) {
+        m_nextUsageReportAt = m_context.now + usageReportPeriod;
+        sendUsageReports();
     }
 }
 
@@ -296,14 +297,14 @@
 {
     return std::any_of(m_pools.begin(), m_pools.end(), [](const auto &entry) {
         return entry.second.holder.size() > 0 || entry.second.holder.hasToldDemand()
-            || (entry.second.own && entry.second.own->waiting() > 0);
+            || (entry.second.poolOwner && entry.second.poolOwner->waiting() > 0);
     });
 }
 
-std::size_t PoolManager::openTargets(const ServiceId &service) const
+std::size_t PoolManager::openTargetCount(const ServiceId &service) const
 {
-    const auto found = m_openTargets.find(service);
-    return found == m_openTargets.end() ? 0 : found->second;
+    const auto found = m_openTargetCounts.find(service);
+    return found == m_openTargetCounts.end() ? 0 : found->second;
 }
 
 void PoolManager::fillStatus(NodeStatus &status) const
@@ -316,9 +317,10 @@
             target.target = spec.target;
             target.zone = spec.zone;
             target.owner = entry.owner;
-            target.state = isOpen(entry.pool, spec) ? "open" : "leaving";
+            target.state = acceptsNewWork(entry.pool, spec) ? "open" : "leaving";
             target.held = entry.holder.heldAt(hash);
-            const auto view = entry.own ? entry.own->target(hash, m_context.now) : std::nullopt;
+            const auto view
+                = entry.poolOwner ? entry.poolOwner->target(hash, m_context.now) : std::nullopt;
             if (view) {
                 target.state = view->gauge->stateName();
                 target.limit = view->limit;
@@ -335,50 +337,51 @@
     if (pools == m_byService.end())
         return 0;
     for (const PoolId id : pools->second) {
-        const Entry &entry = m_pools.at(id);
-        if (entry.own)
-            return entry.own->virtualTime(flow, m_context.now);
+        const ManagedPool &entry = m_pools.at(id);
+        if (entry.poolOwner)
+            return entry.poolOwner->virtualTime(flow, m_context.now);
     }
     return 0;
 }
 
-void PoolManager::beginOwning(Entry &entry)
+void PoolManager::becomeOwner(ManagedPool &entry)
 {
-    entry.own.emplace(m_context.charts.target,
-                      PoolOwnerOptions {m_context.options.incarnation, m_context.options.leaseTerm,
-                                        ruleOf(m_context.options.policy)},
-                      m_context.now);
-    configureOwn(entry);
-    entry.own->setPart(partOf(entry.pool));
-    entry.isOwnChanged = true;
+    entry.poolOwner.emplace(m_context.charts.target,
+                            PoolOwnerOptions {m_context.options.incarnation,
+                                              m_context.options.leaseTerm,
+                                              schedulingPolicyFor(m_context.options.policy)},
+                            m_context.now);
+    configureOwner(entry);
+    entry.poolOwner->setPart(ownerAgreementFor(entry.pool));
+    entry.needsGrant = true;
 }
 
 /// Ownership moves while this node lives: the successor need not wait for what it can be told.
-void PoolManager::handOver(Entry &entry, const NodeId &successor)
+void PoolManager::handOver(ManagedPool &entry, const NodeId &successor)
 {
     if (!successor.isEmpty())
-        m_context.send(successor, FleetMessage(entry.own->handover(m_context.now)));
+        m_context.send(successor, FleetMessage(entry.poolOwner->handover(m_context.now)));
 }
 
-void PoolManager::takeEarlyHandover(Entry &entry)
+void PoolManager::applyEarlyHandover(ManagedPool &entry)
 {
     const auto found = m_earlyHandovers.find(entry.pool.id);
     if (found == m_earlyHandovers.end())
         return;
     // An older one tells of a reign that others may have followed.
     if (m_context.now - found->second.first <= m_context.options.leaseTerm)
-        entry.own->takeOver(found->second.second, m_context.now);
+        entry.poolOwner->takeOver(found->second.second, m_context.now);
     m_earlyHandovers.erase(found);
-    entry.isOwnChanged = true;
+    entry.needsGrant = true;
 }
 
-void PoolManager::configureOwn(Entry &entry)
+void PoolManager::configureOwner(ManagedPool &entry)
 {
     Pool pool = entry.pool;
     for (TargetSpec &target : pool.targets)
-        target.isLeaving = !isOpen(entry.pool, target);
-    entry.own->configure(*entry.document, pool, m_context.now);
-    entry.isOwnChanged = true;
+        target.isLeaving = !acceptsNewWork(entry.pool, target);
+    entry.poolOwner->configure(*entry.document, pool, m_context.now);
+    entry.needsGrant = true;
 }
 
 NodeId PoolManager::ownerOf(const Pool &pool) const
@@ -390,7 +393,7 @@
                             m_context.membership.eligibleOwners(pool.zone, m_context.now));
 }
 
-OwnerPart PoolManager::partOf(const Pool &pool) const
+OwnerPart PoolManager::ownerAgreementFor(const Pool &pool) const
 {
     const Membership &membership = m_context.membership;
     if (pool.zone == m_context.options.zone)
@@ -399,13 +402,13 @@
     return {static_cast<std::uint32_t>(eligibleOwners), membership.nodeCountInFleet()};
 }
 
-bool PoolManager::isOpen(const Pool &pool, const TargetSpec &target) const
+bool PoolManager::acceptsNewWork(const Pool &pool, const TargetSpec &target) const
 {
     return !target.isLeaving && !isZoneOut(*m_context.documents.fleet(), pool.zone)
         && !m_context.membership.isVmLeaving(target.target.str());
 }
 
-const TargetSpec *PoolManager::findTarget(const Entry &entry, TargetHash target) const
+const TargetSpec *PoolManager::findTarget(const ManagedPool &entry, TargetHash target) const
 {
     const auto found
         = std::find_if(entry.pool.targets.begin(), entry.pool.targets.end(),
@@ -414,30 +417,32 @@
 }
 
 /// Begins a request on a lease that is held, if the target still takes new work and a request fits.
-bool PoolManager::tryRun(Entry &entry, LeaseId lease)
+bool PoolManager::tryUseLease(ManagedPool &entry, LeaseId lease)
 {
     const LeaseHolder::Held *held = entry.holder.find(lease);
     if (!held || !entry.holder.mayBegin(lease, m_context.now))
         return false;
     const TargetSpec *target = findTarget(entry, held->target);
-    if (!target || !isOpen(entry.pool, *target))
+    if (!target || !acceptsNewWork(entry.pool, *target))
         return false;
-    if (!m_user.runOn({entry.pool.id, lease}, held->flow, *target, *entry.document, held->startsBy))
+    if (!m_leaseConsumer.tryDispatch({entry.pool.id, lease}, held->flow, *target, *entry.document,
+                                     held->startsBy))
         return false;
     entry.holder.begin(lease);
     return true;
 }
 
 /// Whether a lease can't be used although it is valid and its flow waits.
-bool PoolManager::isUnfit(const Entry &entry, LeaseId lease) const
+bool PoolManager::isUnfit(const ManagedPool &entry, LeaseId lease) const
 {
     const LeaseHolder::Held *held = entry.holder.find(lease);
-    const ServiceQueue *queue = m_user.queue(entry.pool.service);
+    const ServiceQueue *queue = m_leaseConsumer.queue(entry.pool.service);
     return held && queue && entry.holder.mayBegin(lease, m_context.now)
         && queue->waiting(held->flow) > 0;
 }
 
-void PoolManager::giveBack(Entry &entry, LeaseId lease, const std::string &bootId, bool isUnfit)
+void PoolManager::giveBack(ManagedPool &entry, LeaseId lease, const std::string &bootId,
+                           bool isUnfit)
 {
     PoolReturn message;
     message.pool = entry.pool.id;
@@ -449,10 +454,10 @@
         m_context.send(entry.owner, FleetMessage(std::move(message)));
 }
 
-void PoolManager::grantOwn(Entry &entry)
+void PoolManager::grantFreeSlots(ManagedPool &entry)
 {
-    entry.isOwnChanged = false;
-    for (OwnerMessage &message : entry.own->grant(m_context.now))
+    entry.needsGrant = false;
+    for (OwnerMessage &message : entry.poolOwner->grant(m_context.now))
         m_context.send(message.to, FleetMessage(std::move(message.grant)));
 }
 
--- a/lib/Router/PoolManager.h
+++ b/lib/Router/PoolManager.h
@@ -23,13 +23,13 @@
 };
 
 /// What the pools ask of the requests: to run one on a lease.
-class LeaseUser
+class LeaseConsumer
 {
 public:
-    virtual ~LeaseUser() = default;
+    virtual ~LeaseConsumer() = default;
     /// Begins a request of the flow on the target if one fits; false when none does.
-    virtual bool runOn(const LeaseRef &ref, FlowId flow, const TargetSpec &target,
-                       const ServiceDocument &document, TimePoint notAfter)
+    virtual bool tryDispatch(const LeaseRef &ref, FlowId flow, const TargetSpec &target,
+                             const ServiceDocument &document, TimePoint notAfter)
         = 0;
     virtual ServiceQueue *queue(const ServiceId &service) = 0;
 };
@@ -37,14 +37,14 @@
 class PoolManager
 {
 public:
-    PoolManager(CoreContext &context, LeaseUser &user);
+    PoolManager(CoreContext &context, LeaseConsumer &user);
 
     /// Documents in force, or the VM list, have changed.
     void onDocuments();
     /// Members or their states have changed: owners may be others now.
     void onMembers();
     void onEndedRuns(const std::vector<EndedIncarnation> &runs);
-    /// After a pause: others may own what this node owned, and leases have run out.
+    /// After a pause: others may poolOwner what this node owned, and leases have run out.
     void onProcessResumed();
 
     void onDemand(const NodeId &from, Incarnation incarnation, const PoolDemand &message);
@@ -53,7 +53,7 @@
     void onNews(const TargetObservation &message);
     void onRemoteService(const PoolUsage &message);
     void onHandover(const PoolHandover &message);
-    void onReport(const TargetReport &report);
+    void onReport(const TargetLoadReport &report);
     void onPollFailed(const TargetPollFailed &failure);
 
     /// A request of the service waits, or waits no longer.
@@ -61,7 +61,8 @@
     /// The request on the lease ended: the lease is used again or goes back.
     void endLease(const LeaseRef &ref, Duration used, bool isCompleted, const std::string &bootId);
     /// Tells the target's owner what was met there.
-    void tellNews(PoolId pool, TargetHash target, TargetSign sign, const std::string &bootId);
+    void reportTargetSignal(PoolId pool, TargetHash target, TargetSignal signal,
+                            const std::string &bootId);
 
     /// Sends demand that can't wait, and gives out free slots. Called after each event.
     void flush();
@@ -69,14 +70,14 @@
     /// Whether anything waits or is held, so that ticks must be frequent.
     bool isBusy() const;
 
-    std::size_t openTargets(const ServiceId &service) const;
+    std::size_t openTargetCount(const ServiceId &service) const;
     void fillStatus(NodeStatus &status) const;
     double virtualTime(const ServiceId &service, FlowId flow) const;
 
 private:
-    struct Entry
+    struct ManagedPool
     {
-        explicit Entry(Pool ofPool)
+        explicit ManagedPool(Pool ofPool)
             : pool(std::move(ofPool))
             , holder(pool.id)
         {
@@ -85,44 +86,45 @@
         Pool pool;
         std::shared_ptr<const ServiceDocument> document;
         NodeId owner;
-        std::optional<PoolOwner> own; ///< Where this node is the owner.
+        std::optional<PoolOwner> poolOwner; ///< Where this node is the owner.
         LeaseHolder holder;
-        std::size_t openTargets = 0; ///< That take new work, by the documents and the VM list.
-        std::size_t nextPartner = 0; ///< Turn in the exchange of service.
-        bool isOwnChanged = false;   ///< Slots may be free or wanted since the last grant.
+        std::size_t openTargetCount = 0; ///< That take new work, by the documents and the VM list.
+        std::size_t nextReceiverIndex = 0; ///< Turn in the exchange of service.
+        bool needsGrant = false;           ///< Slots may be free or wanted since the last grant.
     };
 
-    void beginOwning(Entry &entry);
-    void handOver(Entry &entry, const NodeId &successor);
-    void takeEarlyHandover(Entry &entry);
+    void becomeOwner(ManagedPool &entry);
+    void handOver(ManagedPool &entry, const NodeId &successor);
+    void applyEarlyHandover(ManagedPool &entry);
 
-    void configureOwn(Entry &entry);
+    void configureOwner(ManagedPool &entry);
     NodeId ownerOf(const Pool &pool) const;
-    OwnerPart partOf(const Pool &pool) const;
-    bool isOpen(const Pool &pool, const TargetSpec &target) const;
-
-    const TargetSpec *findTarget(const Entry &entry, TargetHash target) const;
-    bool tryRun(Entry &entry, LeaseId lease);
-    bool isUnfit(const Entry &entry, LeaseId lease) const;
-    void giveBack(Entry &entry, LeaseId lease, const std::string &bootId, bool isUnfit = false);
-    std::vector<Entry *> poolsToAsk(const ServiceId &service);
-    void tellDemand(Entry &entry, const ServiceQueue &queue);
-    void tellUrgently(Entry &entry, const ServiceQueue &queue);
-    void tellPeriodically(Entry &entry);
-    void grantOwn(Entry &entry);
-    std::set<NodeId> nextPartners(Entry &entry);
-    void exchangeService();
+    OwnerPart ownerAgreementFor(const Pool &pool) const;
+    bool acceptsNewWork(const Pool &pool, const TargetSpec &target) const;
+
+    const TargetSpec *findTarget(const ManagedPool &entry, TargetHash target) const;
+    bool tryUseLease(ManagedPool &entry, LeaseId lease);
+    bool isUnfit(const ManagedPool &entry, LeaseId lease) const;
+    void giveBack(ManagedPool &entry, LeaseId lease, const std::string &bootId,
+                  bool isUnfit = false);
+    std::vector<ManagedPool *> poolsToAsk(const ServiceId &service);
+    void sendFullDemand(ManagedPool &entry, const ServiceQueue &queue);
+    void sendUrgentDemand(ManagedPool &entry, const ServiceQueue &queue);
+    void sendPeriodicDemand(ManagedPool &entry);
+    void grantFreeSlots(ManagedPool &entry);
+    std::set<NodeId> nextReportReceivers(ManagedPool &entry);
+    void sendUsageReports();
 
     CoreContext &m_context;
-    LeaseUser &m_user;
-    std::map<PoolId, Entry> m_pools;
+    LeaseConsumer &m_leaseConsumer;
+    std::map<PoolId, ManagedPool> m_pools;
     std::map<ServiceId, std::vector<PoolId>> m_byService; ///< In this node's order of asking.
     std::map<TargetId, std::pair<PoolId, ServiceId>> m_targetPool;
     std::map<ServiceId, TimePoint>
         m_spillUntil; ///< Until then other zones' pools are asked at once.
-    std::map<ServiceId, std::size_t> m_openTargets;
+    std::map<ServiceId, std::size_t> m_openTargetCounts;
     std::set<ServiceId> m_changedServices;
-    TimePoint m_exchangeAt {};
+    TimePoint m_nextUsageReportAt {};
     /// Handovers that came before this node knew that it is the owner, and when they came.
     std::map<PoolId, std::pair<TimePoint, PoolHandover>> m_earlyHandovers;
 };
--- a/lib/Router/Request.h
+++ b/lib/Router/Request.h
@@ -3,7 +3,7 @@
 
 #include "PoolManager.h"
 
-#include "berylridge/Chart/RequestLife.h"
+#include "berylridge/Chart/RequestStateMachine.h"
 #include "berylridge/Router/Events.h"
 #include "berylridge/Support/Verdict.h"
 
@@ -14,7 +14,7 @@
 
 namespace berylridge {
 
-/// What happened to a request, for Core::explain().
+/// What happened to a request, for RouterCore::explain().
 struct TraceStep
 {
     TimePoint at;
@@ -33,13 +33,13 @@
     bool isIdempotent = false;
     std::uint64_t fingerprint = 0;
     TimePoint arrivedAt;
-    TimePoint giveUpAt; ///< While it waits.
+    TimePoint queueDeadline; ///< While it waits.
     RequestState state = RequestState::Arrived;
     Verdict verdict = Verdict::NotRun;
 
     AttemptNumber attempts = 0;
-    std::set<TargetHash> avoided; ///< Targets at which it failed.
-    bool isResumed = false;       ///< The caller has part of the answer.
+    std::set<TargetHash> failedTargets; ///< Targets at which it failed.
+    bool isResumed = false;             ///< The caller has part of the answer.
     bool isCallerGone = false;
 
     // Of the attempt that runs.
--- a/lib/Router/RequestAttempts.cpp
+++ b/lib/Router/RequestAttempts.cpp
@@ -5,19 +5,20 @@
 
 namespace {
 
-constexpr AttemptNumber attemptLimit = 3;
+constexpr AttemptNumber maxAttempts = 3;
 
 } // namespace
 
-bool RequestManager::runOn(const LeaseRef &ref, FlowId flow, const TargetSpec &target,
-                           const ServiceDocument &document, TimePoint notAfter)
+bool RequestManager::tryDispatch(const LeaseRef &ref, FlowId flow, const TargetSpec &target,
+                                 const ServiceDocument &document, TimePoint notAfter)
 {
     Service &service = m_services.at(document.service);
     const TargetHash hash = targetHash(target.target);
-    const std::size_t open = m_pools->openTargets(document.service);
+    const std::size_t open = m_pools->openTargetCount(document.service);
     const auto isFit = [&](RequestHandle handle) {
         const Request &request = m_requests.at(handle);
-        const bool isAvoided = request.avoided.contains(hash) && request.avoided.size() < open;
+        const bool isAvoided
+            = request.failedTargets.contains(hash) && request.failedTargets.size() < open;
         const bool isHeld
             = request.attempts == 0 && m_crashes.isHeld(request.fingerprint, m_context.now);
         return !isAvoided && !isHeld
@@ -30,12 +31,12 @@
     m_pools->onQueueChanged(document.service);
 
     Request &request = m_requests.at(*handle);
-    m_deadlines.erase({request.giveUpAt, request.handle});
+    m_queueDeadlines.erase({request.queueDeadline, request.handle});
     request.target = target.target;
     request.endpoint = {target.address, target.port};
     request.lease = ref;
     request.dispatchedAt = m_context.now;
-    request.bootId = m_boots[target.target];
+    request.bootId = m_knownBoots[target.target];
     ++request.attempts;
     if (request.attempts == 1)
         service.budget.onFirstAttempt();
@@ -46,8 +47,8 @@
     if (!request.key.empty())
         m_keys.dispatched(request.key);
     ++m_usage[flow].running;
-    step(request, RequestSign::Dispatched);
-    note(request, "sent to", target.target.str());
+    step(request, RequestSignal::Dispatched);
+    addTrace(request, "sent to", target.target.str());
 
     Dispatch dispatch;
     dispatch.handle = request.handle;
@@ -58,10 +59,10 @@
     dispatch.attemptTimeout = document.attemptTimeout;
     dispatch.idleTimeout = document.idleTimeout;
     dispatch.isResumed = request.isResumed;
-    dispatch.keepsAnswer = !request.key.empty();
+    dispatch.storesResponse = !request.key.empty();
     dispatch.workspace = request.workspace;
-    dispatch.repeats = request.isIdempotent ? Repeats::Allowed : Repeats::Forbidden;
-    m_context.act(std::move(dispatch));
+    dispatch.resendPolicy = request.isIdempotent ? ResendPolicy::Allowed : ResendPolicy::Forbidden;
+    m_context.emit(std::move(dispatch));
     return true;
 }
 
@@ -70,9 +71,9 @@
     Request *request = find(event.handle, event.attempt);
     if (!request)
         return;
-    step(*request, RequestSign::HeadCame);
-    note(*request, "answer begins", std::to_string(event.status));
-    noteBoot(*request, event.bootId);
+    step(*request, RequestSignal::HeadCame);
+    addTrace(*request, "answer begins", std::to_string(event.status));
+    recordBoot(*request, event.bootId);
 }
 
 void RequestManager::onDone(const AttemptDone &event)
@@ -80,13 +81,13 @@
     Request *request = find(event.handle, event.attempt);
     if (!request)
         return;
-    noteBoot(*request, event.bootId);
+    recordBoot(*request, event.bootId);
     request->verdict = Verdict::Ran;
     m_crashes.clear(request->fingerprint);
-    note(*request, "answered", std::to_string(event.status));
+    addTrace(*request, "answered", std::to_string(event.status));
     if (!request->key.empty())
-        m_keys.finished(request->key, event.status, event.keptHeaders, event.keptBody);
-    step(*request, RequestSign::AnswerEnded);
+        m_keys.finished(request->key, event.status, event.storedHeaders, event.storedBody);
+    step(*request, RequestSignal::AnswerEnded);
     endAttempt(*request, true);
     finish(event.handle);
 }
@@ -100,30 +101,32 @@
         = {"refused connection", "connect timeout", "reset",        "timeout",     "bad answer",
            "cut short",          "not run",         "other target", "target error"};
     const char *name = names[static_cast<std::size_t>(event.failure)];
-    note(*request, "attempt failed:", name);
+    addTrace(*request, "attempt failed:", name);
     m_context.log(LogEventId::AttemptFailed,
                   request->id + " at " + request->target.str() + ' ' + name);
     const TargetHash hash = targetHash(request->target);
-    request->avoided.insert(hash);
+    request->failedTargets.insert(hash);
     switch (event.failure) {
     case AttemptFailure::ConnectRefused:
-        m_pools->tellNews(request->lease.pool, hash, TargetSign::RefusedConnection,
-                          request->bootId);
+        m_pools->reportTargetSignal(request->lease.pool, hash, TargetSignal::RefusedConnection,
+                                    request->bootId);
         break;
     case AttemptFailure::Reset:
-    case AttemptFailure::CutShort:
+    case AttemptFailure::TruncatedResponse:
         if (event.sentAny)
-            m_pools->tellNews(request->lease.pool, hash, TargetSign::Crash, request->bootId);
+            m_pools->reportTargetSignal(request->lease.pool, hash, TargetSignal::Crash,
+                                        request->bootId);
         break;
     case AttemptFailure::ConnectTimeout:
     case AttemptFailure::Timeout:
-        m_pools->tellNews(request->lease.pool, hash, TargetSign::Timeout, request->bootId);
+        m_pools->reportTargetSignal(request->lease.pool, hash, TargetSignal::Timeout,
+                                    request->bootId);
         break;
     // Failures that only protocols of the balancer tell apart.
     case AttemptFailure::NotRun:
     case AttemptFailure::OtherTarget:
     case AttemptFailure::TargetError:
-    case AttemptFailure::BadAnswer:
+    case AttemptFailure::InvalidResponse:
         m_context.log(LogEventId::AnswerRejected, request->id + " from " + request->target.str());
         break;
     }
@@ -143,21 +146,23 @@
     request.isResumed = request.isResumed || event.answerBegun;
     const bool isRetried = !request.isCallerGone && mayRetry(request, event);
     const bool maybeCrash = event.sentAny
-        && (event.failure == AttemptFailure::Reset || event.failure == AttemptFailure::CutShort);
+        && (event.failure == AttemptFailure::Reset
+            || event.failure == AttemptFailure::TruncatedResponse);
     if (isRetried) {
-        step(request, RequestSign::Retried);
-        request.giveUpAt = m_context.now + m_services.at(request.service).document->queueTimeout;
-        m_deadlines.emplace(request.giveUpAt, request.handle);
+        step(request, RequestSignal::Retried);
+        request.queueDeadline
+            = m_context.now + m_services.at(request.service).document->queueTimeout;
+        m_queueDeadlines.emplace(request.queueDeadline, request.handle);
         m_context.log(LogEventId::RequestRetried, request.id);
     }
     if (maybeCrash)
-        checkCrash(request, isRetried);
+        startCrashCheck(request, isRetried);
     if (isRetried && !maybeCrash)
         retry(request);
     if (isRetried)
         return;
     if (request.isCallerGone) {
-        step(request, RequestSign::CallerGone);
+        step(request, RequestSignal::CallerGone);
         finish(request.handle);
         return;
     }
@@ -171,7 +176,7 @@
 
 bool RequestManager::mayRetry(const Request &request, const AttemptFailed &event)
 {
-    if (request.attempts >= attemptLimit)
+    if (request.attempts >= maxAttempts)
         return false;
     // Once the target may have acted on it, only what is idempotent may be sent again; whatever the
     // caller would like, a doubled purchase is worse than a refusal.
@@ -221,16 +226,17 @@
 }
 
 /// Keeps the boot in mind that answered; tells the owner where it is another than before.
-void RequestManager::noteBoot(Request &request, const std::string &bootId)
+void RequestManager::recordBoot(Request &request, const std::string &bootId)
 {
     if (bootId.empty())
         return;
     request.bootId = bootId;
-    std::string &known = m_boots[request.target];
+    std::string &known = m_knownBoots[request.target];
     if (known == bootId)
         return;
     known = bootId;
-    m_pools->tellNews(request.lease.pool, targetHash(request.target), TargetSign::NewBoot, bootId);
+    m_pools->reportTargetSignal(request.lease.pool, targetHash(request.target),
+                                TargetSignal::NewBoot, bootId);
 }
 
 } // namespace berylridge
--- a/lib/Router/RequestCrashes.cpp
+++ b/lib/Router/RequestCrashes.cpp
@@ -10,10 +10,10 @@
 
 /// Time for a broken target's port to answer a poll, and for word of a crash to reach every node,
 /// before the request that may have caused it goes to a second target.
-constexpr Duration crashCheckTime = std::chrono::milliseconds(400);
+constexpr Duration crashCheckTimeout = std::chrono::milliseconds(400);
 /// With a tenth of the datagrams lost, all four are lost once in ten thousand times.
-constexpr int crashNewsCopies = 4;
-constexpr Duration crashNewsPeriod = std::chrono::milliseconds(200);
+constexpr int crashReportCopies = 4;
+constexpr Duration crashReportPeriod = std::chrono::milliseconds(200);
 
 std::uint64_t bootHash(const TargetId &target, const std::string &bootId)
 {
@@ -24,22 +24,22 @@
 
 /// Asks the target whether its boot has ended. Until it is known the request is not tried again: if
 /// it crashes whatever runs it, each target that it reached meanwhile would be lost.
-void RequestManager::checkCrash(Request &request, bool isRetried)
+void RequestManager::startCrashCheck(Request &request, bool isRetried)
 {
     CrashCheck check;
     check.fingerprint = request.fingerprint;
     check.bootId = request.bootId;
     check.handle = isRetried ? request.handle : 0;
     check.attempt = request.attempts;
-    check.until = m_context.now + crashCheckTime;
-    check.poll = ++m_polls;
-    m_checks.emplace(request.target, check);
-    m_context.act(PollTarget {request.target, request.endpoint, check.poll});
+    check.until = m_context.now + crashCheckTimeout;
+    check.poll = ++m_lastPollNumber;
+    m_crashChecks.emplace(request.target, check);
+    m_context.emit(PollTarget {request.target, request.endpoint, check.poll});
 }
 
-void RequestManager::onReport(const TargetReport &report)
+void RequestManager::onReport(const TargetLoadReport &report)
 {
-    m_boots[report.target] = report.bootId;
+    m_knownBoots[report.target] = report.bootId;
     resolveCrashChecks(report.target, report.poll, report.bootId);
 }
 
@@ -54,7 +54,7 @@
 void RequestManager::resolveCrashChecks(const TargetId &target, std::uint64_t poll,
                                         const std::string &bootId)
 {
-    const auto [first, last] = m_checks.equal_range(target);
+    const auto [first, last] = m_crashChecks.equal_range(target);
     for (auto check = first; check != last;) {
         const CrashCheck &pending = check->second;
         const bool isSameBoot = !bootId.empty() && bootId == pending.bootId;
@@ -63,7 +63,7 @@
             ++check;
             continue;
         }
-        // An answer to an earlier poll may be older than the crash: taken for a sign of life, the
+        // An answer to an earlier poll may be older than the crash: taken for a signal of life, the
         // request that caused the crash went to a third target at once.
         if (poll < pending.poll) {
             ++check;
@@ -71,8 +71,8 @@
         }
         // The boot lives: the connection alone broke.
         const CrashCheck alive = pending;
-        check = m_checks.erase(check);
-        crashCheckDone(alive);
+        check = m_crashChecks.erase(check);
+        finishCrashCheck(alive);
     }
 }
 
@@ -82,31 +82,31 @@
     if (!m_crashes.add(check.fingerprint, boot, m_context.now))
         return;
     m_context.log(LogEventId::TargetCold, target.str() + " crashed while it ran a request");
-    m_crashEchoes.push_back({{check.fingerprint, boot}, m_context.now, crashNewsCopies});
-    repeatCrashNews();
-    refuseCrashing(check.fingerprint);
+    m_crashBroadcasts.push_back({{check.fingerprint, boot}, m_context.now, crashReportCopies});
+    resendCrashReports();
+    refuseCrashingRequests(check.fingerprint);
 }
 
 /// Sends word of crashes to all nodes, each several times: a datagram may be lost, and the node
 /// that misses it lets the request crash two more targets.
-void RequestManager::repeatCrashNews()
+void RequestManager::resendCrashReports()
 {
-    for (CrashEcho &echo : m_crashEchoes) {
-        if (echo.left == 0 || echo.at > m_context.now)
+    for (CrashBroadcast &broadcast : m_crashBroadcasts) {
+        if (broadcast.left == 0 || broadcast.at > m_context.now)
             continue;
-        --echo.left;
-        echo.at = m_context.now + crashNewsPeriod;
+        --broadcast.left;
+        broadcast.at = m_context.now + crashReportPeriod;
         for (const auto &[node, member] : m_context.membership.members()) {
             if (member.state != MemberState::Gone)
-                m_context.send(node, FleetMessage(echo.news));
+                m_context.send(node, FleetMessage(broadcast.news));
         }
     }
-    while (!m_crashEchoes.empty() && m_crashEchoes.front().left == 0)
-        m_crashEchoes.pop_front();
+    while (!m_crashBroadcasts.empty() && m_crashBroadcasts.front().left == 0)
+        m_crashBroadcasts.pop_front();
 }
 
 /// The time for word of a crash is over: the request goes on, or is given up.
-void RequestManager::crashCheckDone(const CrashCheck &check)
+void RequestManager::finishCrashCheck(const CrashCheck &check)
 {
     const auto found = m_requests.find(check.handle);
     if (found == m_requests.end() || found->second.attempts != check.attempt
@@ -122,14 +122,14 @@
     refuse(request, crashingRefusal(502, request.fingerprint));
 }
 
-void RequestManager::onCrashNews(const CrashReport &news)
+void RequestManager::onCrashReport(const CrashReport &news)
 {
     m_crashes.add(news.fingerprint, news.boot, m_context.now);
-    refuseCrashing(news.fingerprint);
+    refuseCrashingRequests(news.fingerprint);
 }
 
 /// Requests that wait with a blocked fingerprint would be the next to crash a target.
-void RequestManager::refuseCrashing(std::uint64_t fingerprint)
+void RequestManager::refuseCrashingRequests(std::uint64_t fingerprint)
 {
     if (!m_crashes.blockedFor(fingerprint, m_context.now))
         return;
@@ -151,12 +151,12 @@
 
 /// A node that starts anew knows nothing: without word of it, a request that crashed two targets
 /// would crash two more through that node.
-void RequestManager::tellCrashes()
+void RequestManager::sendKnownCrashes()
 {
     for (const auto &[node, member] : m_context.membership.members()) {
-        if (!member.hasDirectContact || member.incarnation == m_crashesToldTo[node])
+        if (!member.hasDirectContact || member.incarnation == m_crashesSentTo[node])
             continue;
-        m_crashesToldTo[node] = member.incarnation;
+        m_crashesSentTo[node] = member.incarnation;
         m_crashes.forEach([&, to = node](std::uint64_t fingerprint, std::uint64_t boot) {
             m_context.send(to, FleetMessage(CrashReport {fingerprint, boot}));
         });
--- a/lib/Router/RequestManager.cpp
+++ b/lib/Router/RequestManager.cpp
@@ -12,9 +12,9 @@
 namespace {
 
 /// Ended requests whose way can still be explained.
-constexpr std::size_t explainLimit = 1000;
-constexpr Duration shortestRetryAfter = std::chrono::seconds(1);
-constexpr Duration longestRetryAfter = std::chrono::seconds(60);
+constexpr std::size_t maxExplainedRequests = 1000;
+constexpr Duration minRetryAfter = std::chrono::seconds(1);
+constexpr Duration maxRetryAfter = std::chrono::seconds(60);
 
 /// RFC 9110, section 9.2.2.
 bool isIdempotentMethod(const std::string &method)
@@ -63,7 +63,7 @@
 {
     m_lastArrival = m_context.now;
     if (isJoining) {
-        refuseEarly(event, {503, "not-ready", "this node is starting", shortestRetryAfter});
+        refuseEarly(event, {503, "not-ready", "this node is starting", minRetryAfter});
         return;
     }
     const auto found = m_services.find(event.service);
@@ -92,14 +92,15 @@
     request.isIdempotent = isIdempotent(*service.document, event.method, event.path);
     request.fingerprint = fingerprintOf(event, request.workspace);
     request.arrivedAt = m_context.now;
-    const Duration patience = std::min(event.patience.value_or(service.document->queueTimeout),
-                                       service.document->queueTimeout);
-    request.giveUpAt = m_context.now + patience;
+    const Duration maxQueueWait
+        = std::min(event.maxQueueWait.value_or(service.document->queueTimeout),
+                   service.document->queueTimeout);
+    request.queueDeadline = m_context.now + maxQueueWait;
     if (!request.isIdempotent && event.idempotencyKey)
         request.key = scopedKey(event.service, request.workspace, *event.idempotencyKey);
     Request &kept = m_requests[event.handle] = std::move(request);
-    note(kept, "arrived", kept.workspace.str());
-    m_deadlines.emplace(kept.giveUpAt, kept.handle);
+    addTrace(kept, "arrived", kept.workspace.str());
+    m_queueDeadlines.emplace(kept.queueDeadline, kept.handle);
 
     if (kept.key.empty()) {
         admit(kept, service);
@@ -107,28 +108,28 @@
     }
     // A key is asked for before anything else can refuse the request: only then is it known whether
     // the operation that it names may have run through another node.
-    step(kept, RequestSign::ClaimBegun);
-    note(kept, "asks for its key");
+    step(kept, RequestSignal::ClaimBegun);
+    addTrace(kept, "asks for its key");
     KeyOutput output;
     const std::string key = kept.key;
     // The fingerprint holds the method and the path as well: a key names one request, not one body.
     m_keys.begin(kept.handle, key, kept.fingerprint, m_context.now, m_context.wall, output);
-    carryOut(std::move(output));
+    applyKeyOutput(std::move(output));
 }
 
-void RequestManager::onKeyIssueAsked(const KeyIssueAsked &event)
+void RequestManager::onKeyIssueRequested(const KeyIssueRequested &event)
 {
     const std::string digest = credentialDigest(event.credential);
     const bool isKnown = std::any_of(m_services.begin(), m_services.end(), [&](const auto &entry) {
         return entry.second.byCredential.contains(digest);
     });
     if (!isKnown) {
-        m_context.act(Refuse {event.handle, 401, Verdict::NotRun, "no workspace has this key",
-                              "unknown-workspace", std::nullopt});
+        m_context.emit(Refuse {event.handle, 401, Verdict::NotRun, "no workspace has this key",
+                               "unknown-workspace", std::nullopt});
         return;
     }
     const std::string key = m_keys.issueKey(m_context.now, m_context.wall);
-    m_context.act(AnswerKept {
+    m_context.emit(SendStoredResponse {
         event.handle, 201, {{"Content-Type", "application/json"}}, "{\"key\":\"" + key + "\"}\n"});
 }
 
@@ -151,15 +152,14 @@
     }
     // A request that would wait in vain is refused now, not after the wait.
     const auto wait = service.queue.expectedWait(request.flow, m_context.now);
-    if (wait && m_context.now + *wait > request.giveUpAt) {
+    if (wait && m_context.now + *wait > request.queueDeadline) {
         refuse(request,
                {503, "wait-too-long", "the request would wait longer than it may",
                 retryAfterFor(service, request.flow)});
         return;
     }
-    if (m_pools->openTargets(request.service) == 0) {
-        refuse(request,
-               {503, "no-target", "no target of the service takes work", shortestRetryAfter});
+    if (m_pools->openTargetCount(request.service) == 0) {
+        refuse(request, {503, "no-target", "no target of the service takes work", minRetryAfter});
         return;
     }
     enqueue(request);
@@ -168,8 +168,8 @@
 void RequestManager::enqueue(Request &request)
 {
     Service &service = m_services.at(request.service);
-    step(request, RequestSign::Enqueued);
-    note(request, "waits");
+    step(request, RequestSignal::Enqueued);
+    addTrace(request, "waits");
     service.queue.push(request.flow, request.handle, m_context.now);
     m_pools->onQueueChanged(request.service);
 }
@@ -180,7 +180,7 @@
     if (found == m_requests.end())
         return;
     Request &request = found->second;
-    note(request, "caller gone");
+    addTrace(request, "caller gone");
     const bool isRunning
         = request.state == RequestState::Sent || request.state == RequestState::Answering;
     if (isRunning && !request.isIdempotent) {
@@ -189,17 +189,17 @@
         return;
     }
     if (isRunning) {
-        m_context.act(AbortAttempt {request.handle, request.attempts});
+        m_context.emit(AbortAttempt {request.handle, request.attempts});
         endAttempt(request, false);
     } else {
-        stopWaiting(request);
+        removeFromQueue(request);
         if (!request.key.empty()) {
             KeyOutput output;
             m_keys.release(request.key, output);
-            carryOut(std::move(output));
+            applyKeyOutput(std::move(output));
         }
     }
-    step(request, RequestSign::CallerGone);
+    step(request, RequestSignal::CallerGone);
     finish(event.handle);
 }
 
@@ -220,14 +220,14 @@
     }
     m_services.swap(kept);
     // What waited for a service that is gone is answered now; what runs there ends.
-    std::vector<RequestHandle> stranded;
+    std::vector<RequestHandle> orphaned;
     for (const auto &[handle, request] : m_requests) {
         const bool waits
             = request.state == RequestState::Queued || request.state == RequestState::Claiming;
         if (waits && !m_services.contains(request.service))
-            stranded.push_back(handle);
+            orphaned.push_back(handle);
     }
-    for (const RequestHandle handle : stranded)
+    for (const RequestHandle handle : orphaned)
         refuse(m_requests.at(handle),
                {404, "unknown-service", "the service was withdrawn", std::nullopt});
 }
@@ -237,7 +237,7 @@
 {
     KeyOutput output;
     m_keys.onMessage(from, incarnation, message, m_context.now, m_context.wall, output);
-    carryOut(std::move(output));
+    applyKeyOutput(std::move(output));
 }
 
 void RequestManager::onMembers()
@@ -257,18 +257,18 @@
     }
     KeyOutput output;
     m_keys.onMembers(members, m_context.now, m_context.wall, output);
-    carryOut(std::move(output));
-    tellCrashes();
+    applyKeyOutput(std::move(output));
+    sendKnownCrashes();
 }
 
 void RequestManager::onVmList(const VmList &list)
 {
     KeyOutput output;
     m_keys.onVmList(list, m_context.now, m_context.wall, output);
-    carryOut(std::move(output));
+    applyKeyOutput(std::move(output));
 }
 
-void RequestManager::carryOut(KeyOutput output)
+void RequestManager::applyKeyOutput(KeyOutput output)
 {
     for (OutgoingKeyMessage &send : output.sends)
         m_context.send(send.to, std::move(send.message));
@@ -280,22 +280,22 @@
             continue;
         Request &request = found->second;
         if (std::holds_alternative<KeyAdmitted>(decision)) {
-            note(request, "key admitted");
+            addTrace(request, "key admitted");
             admit(request, m_services.at(request.service));
         } else if (auto *refused = std::get_if<KeyRefused>(&decision)) {
             m_context.log(LogEventId::KeyConflict, request.id + ' ' + refused->type);
             request.verdict = worse(request.verdict, refused->verdict);
             request.key.clear(); // It is not this request that holds it.
-            m_context.act(Refuse {handle, refused->status, request.verdict, refused->title,
-                                  refused->type, refused->retryAfter});
-            note(request, "refused", refused->type);
-            step(request, RequestSign::GivenUp);
+            m_context.emit(Refuse {handle, refused->status, request.verdict, refused->title,
+                                   refused->type, refused->retryAfter});
+            addTrace(request, "refused", refused->type);
+            step(request, RequestSignal::GivenUp);
             finish(handle);
         } else if (auto *answered = std::get_if<KeyReplayed>(&decision)) {
-            note(request, "answered from a kept answer");
-            m_context.act(AnswerKept {handle, answered->status, std::move(answered->headers),
-                                      std::move(answered->body)});
-            step(request, RequestSign::KeptAnswerFound);
+            addTrace(request, "answered from a kept answer");
+            m_context.emit(SendStoredResponse {
+                handle, answered->status, std::move(answered->headers), std::move(answered->body)});
+            step(request, RequestSignal::KeptAnswerFound);
             finish(handle);
         }
     }
@@ -303,41 +303,41 @@
 
 void RequestManager::tick()
 {
-    while (!m_deadlines.empty() && m_deadlines.begin()->first <= m_context.now) {
-        const RequestHandle handle = m_deadlines.begin()->second;
+    while (!m_queueDeadlines.empty() && m_queueDeadlines.begin()->first <= m_context.now) {
+        const RequestHandle handle = m_queueDeadlines.begin()->second;
         Request &request = m_requests.at(handle);
         Service &service = m_services.at(request.service);
         refuse(request,
                {503, "queue-timeout", "no slot came free in time",
                 retryAfterFor(service, request.flow)});
     }
-    for (auto check = m_checks.begin(); check != m_checks.end();) {
+    for (auto check = m_crashChecks.begin(); check != m_crashChecks.end();) {
         if (check->second.until > m_context.now) {
             ++check;
             continue;
         }
         const TargetId target = check->first;
         const CrashCheck due = check->second;
-        check = m_checks.erase(check);
+        check = m_crashChecks.erase(check);
         recordCrash(due, target);
-        crashCheckDone(due);
+        finishCrashCheck(due);
     }
-    repeatCrashNews();
+    resendCrashReports();
     m_crashes.expire(m_context.now);
     KeyOutput output;
     m_keys.tick(m_context.now, m_context.wall, output);
-    carryOut(std::move(output));
+    applyKeyOutput(std::move(output));
 }
 
 TimePoint RequestManager::nextTimer() const
 {
     TimePoint next = m_keys.nextTimer();
-    if (!m_deadlines.empty())
-        next = std::min(next, m_deadlines.begin()->first);
-    for (const auto &[target, check] : m_checks)
+    if (!m_queueDeadlines.empty())
+        next = std::min(next, m_queueDeadlines.begin()->first);
+    for (const auto &[target, check] : m_crashChecks)
         next = std::min(next, check.until);
-    for (const CrashEcho &echo : m_crashEchoes)
-        next = std::min(next, echo.left > 0 ? echo.at : next);
+    for (const CrashBroadcast &broadcast : m_crashBroadcasts)
+        next = std::min(next, broadcast.left > 0 ? broadcast.at : next);
     return next;
 }
 
@@ -350,21 +350,21 @@
 /// Gives a request up: it is answered now, and everything it held is let go.
 void RequestManager::refuse(Request &request, Refusal refusal)
 {
-    stopWaiting(request);
+    removeFromQueue(request);
     if (!request.key.empty() && request.verdict == Verdict::NotRun) {
         KeyOutput output;
         const Verdict verdict = m_keys.release(request.key, output);
         request.verdict = worse(request.verdict, verdict);
         request.key.clear();
-        carryOut(std::move(output));
+        applyKeyOutput(std::move(output));
     }
     m_context.log(LogEventId::RequestRefused,
                   request.id + ' ' + refusal.type + ' '
                       + std::string(verdictName(request.verdict)));
-    note(request, "refused", refusal.type);
-    m_context.act(Refuse {request.handle, refusal.status, request.verdict, std::move(refusal.title),
-                          refusal.type, refusal.retryAfter});
-    step(request, RequestSign::GivenUp);
+    addTrace(request, "refused", refusal.type);
+    m_context.emit(Refuse {request.handle, refusal.status, request.verdict,
+                           std::move(refusal.title), refusal.type, refusal.retryAfter});
+    step(request, RequestSignal::GivenUp);
     finish(request.handle);
 }
 
@@ -375,36 +375,36 @@
     const Verdict verdict = event.idempotencyKey ? Verdict::MayHaveRun : Verdict::NotRun;
     m_context.log(LogEventId::RequestRefused,
                   event.requestId + ' ' + refusal.type + ' ' + std::string(verdictName(verdict)));
-    m_context.act(Refuse {event.handle, refusal.status, verdict, std::move(refusal.title),
-                          refusal.type, refusal.retryAfter});
+    m_context.emit(Refuse {event.handle, refusal.status, verdict, std::move(refusal.title),
+                           refusal.type, refusal.retryAfter});
 }
 
 void RequestManager::finish(RequestHandle handle)
 {
     const auto found = m_requests.find(handle);
     // Whoever ends a request, no deadline may speak of it afterwards.
-    m_deadlines.erase({found->second.giveUpAt, handle});
-    m_ended.emplace_back(found->second.id, std::move(found->second.trace));
-    if (m_ended.size() > explainLimit)
-        m_ended.pop_front();
+    m_queueDeadlines.erase({found->second.queueDeadline, handle});
+    m_endedTraces.emplace_back(found->second.id, std::move(found->second.trace));
+    if (m_endedTraces.size() > maxExplainedRequests)
+        m_endedTraces.pop_front();
     m_requests.erase(found);
 }
 
 /// Takes a request out of the queue and off the list of deadlines.
-void RequestManager::stopWaiting(Request &request)
+void RequestManager::removeFromQueue(Request &request)
 {
-    m_deadlines.erase({request.giveUpAt, request.handle});
+    m_queueDeadlines.erase({request.queueDeadline, request.handle});
     const auto service = m_services.find(request.service);
     if (service != m_services.end() && service->second.queue.remove(request.flow, request.handle))
         m_pools->onQueueChanged(request.service);
 }
 
-void RequestManager::step(Request &request, RequestSign sign)
+void RequestManager::step(Request &request, RequestSignal signal)
 {
-    m_context.charts.request.step(request.state, sign);
+    m_context.charts.request.step(request.state, signal);
 }
 
-void RequestManager::note(Request &request, const char *what, std::string detail)
+void RequestManager::addTrace(Request &request, const char *what, std::string detail)
 {
     request.trace.push_back({m_context.now, what, std::move(detail)});
 }
@@ -413,7 +413,7 @@
 Duration RequestManager::retryAfterFor(const Service &service, FlowId flow) const
 {
     const auto wait = service.queue.expectedWait(flow, m_context.now);
-    return std::clamp(wait.value_or(longestRetryAfter / 4), shortestRetryAfter, longestRetryAfter);
+    return std::clamp(wait.value_or(maxRetryAfter / 4), minRetryAfter, maxRetryAfter);
 }
 
 std::vector<std::string> RequestManager::explain(const std::string &requestId) const
@@ -428,7 +428,7 @@
             lines.push_back(std::move(line));
         }
     };
-    for (const auto &[id, trace] : m_ended) {
+    for (const auto &[id, trace] : m_endedTraces) {
         if (id == requestId)
             print(trace);
     }
--- a/lib/Router/RequestManager.h
+++ b/lib/Router/RequestManager.h
@@ -20,22 +20,22 @@
 
 namespace berylridge {
 
-class RequestManager : public LeaseUser
+class RequestManager : public LeaseConsumer
 {
 public:
     explicit RequestManager(CoreContext &context);
     /// The two need each other; called once, before the first event.
-    void connect(PoolManager &pools) { m_pools = &pools; }
+    void setPoolManager(PoolManager &pools) { m_pools = &pools; }
 
     void onArrived(const RequestArrived &event, bool isJoining);
-    void onKeyIssueAsked(const KeyIssueAsked &event);
+    void onKeyIssueRequested(const KeyIssueRequested &event);
     void onCallerGone(const CallerGone &event);
     void onHead(const AttemptHead &event);
     void onDone(const AttemptDone &event);
     void onFailed(const AttemptFailed &event);
-    void onReport(const TargetReport &report);
+    void onReport(const TargetLoadReport &report);
     void onPollFailed(const TargetPollFailed &failure);
-    void onCrashNews(const CrashReport &news);
+    void onCrashReport(const CrashReport &news);
     void onDocuments();
 
     void onKeyMessage(const NodeId &from, Incarnation incarnation, const KeyMessage &message);
@@ -43,15 +43,15 @@
     void onVmList(const VmList &list);
 
     /// Whether a key that a caller makes now could be admitted.
-    bool takesKeys() const { return m_keys.acceptsNewKeys(m_context.wall); }
+    bool acceptsNewKeys() const { return m_keys.acceptsNewKeys(m_context.wall); }
 
     /// Refuses what has waited too long and tries again what was put off.
     void tick();
     TimePoint nextTimer() const;
 
-    // LeaseUser
-    bool runOn(const LeaseRef &ref, FlowId flow, const TargetSpec &target,
-               const ServiceDocument &document, TimePoint notAfter) override;
+    // LeaseConsumer
+    bool tryDispatch(const LeaseRef &ref, FlowId flow, const TargetSpec &target,
+                     const ServiceDocument &document, TimePoint notAfter) override;
     ServiceQueue *queue(const ServiceId &service) override;
 
     std::size_t size() const { return m_requests.size(); }
@@ -97,23 +97,23 @@
     void refuse(Request &request, Refusal refusal);
     void refuseEarly(const RequestArrived &event, Refusal refusal);
     void finish(RequestHandle handle);
-    void step(Request &request, RequestSign sign);
-    void note(Request &request, const char *what, std::string detail = {});
-    void stopWaiting(Request &request);
+    void step(Request &request, RequestSignal signal);
+    void addTrace(Request &request, const char *what, std::string detail = {});
+    void removeFromQueue(Request &request);
     void endAttempt(Request &request, bool isCompleted);
     void afterFailure(Request &request, const AttemptFailed &event);
     bool mayRetry(const Request &request, const AttemptFailed &event);
     void retry(Request &request);
-    void checkCrash(Request &request, bool isRetried);
+    void startCrashCheck(Request &request, bool isRetried);
     void resolveCrashChecks(const TargetId &target, std::uint64_t poll, const std::string &bootId);
-    void repeatCrashNews();
-    void refuseCrashing(std::uint64_t fingerprint);
+    void resendCrashReports();
+    void refuseCrashingRequests(std::uint64_t fingerprint);
     Refusal crashingRefusal(unsigned status, std::uint64_t fingerprint) const;
     void recordCrash(const CrashCheck &check, const TargetId &target);
-    void crashCheckDone(const CrashCheck &check);
-    void noteBoot(Request &request, const std::string &bootId);
-    void carryOut(KeyOutput output);
-    void tellCrashes();
+    void finishCrashCheck(const CrashCheck &check);
+    void recordBoot(Request &request, const std::string &bootId);
+    void applyKeyOutput(KeyOutput output);
+    void sendKnownCrashes();
     Duration retryAfterFor(const Service &service, FlowId flow) const;
 
     CoreContext &m_context;
@@ -121,22 +121,22 @@
     KeyRegistry m_keys;
     CrashRecord m_crashes;
     /// Word of a crash that is still to be repeated.
-    struct CrashEcho
+    struct CrashBroadcast
     {
         CrashReport news;
         TimePoint at;
         int left = 0;
     };
-    std::deque<CrashEcho> m_crashEchoes;
-    std::map<NodeId, Incarnation> m_crashesToldTo;
+    std::deque<CrashBroadcast> m_crashBroadcasts;
+    std::map<NodeId, Incarnation> m_crashesSentTo;
     std::map<ServiceId, Service> m_services;
     std::unordered_map<RequestHandle, Request> m_requests;
-    std::set<std::pair<TimePoint, RequestHandle>> m_deadlines; ///< Of requests that wait.
-    std::multimap<TargetId, CrashCheck> m_checks;
-    std::uint64_t m_polls = 0;               ///< Made for crash checks; each has the next number.
-    std::map<TargetId, std::string> m_boots; ///< Last boot that this node saw of a target.
+    std::set<std::pair<TimePoint, RequestHandle>> m_queueDeadlines; ///< Of requests that wait.
+    std::multimap<TargetId, CrashCheck> m_crashChecks;
+    std::uint64_t m_lastPollNumber = 0; ///< Made for crash checks; each has the next number.
+    std::map<TargetId, std::string> m_knownBoots; ///< Last boot that this node saw of a target.
     std::map<FlowId, Usage> m_usage;
-    std::deque<std::pair<std::string, std::vector<TraceStep>>> m_ended; ///< For explain().
+    std::deque<std::pair<std::string, std::vector<TraceStep>>> m_endedTraces; ///< For explain().
     TimePoint m_lastArrival {};
 };
 
--- a/lib/Router/Core.cpp
+++ b/lib/Router/RouterCore.cpp
@@ -1,4 +1,4 @@
-#include "berylridge/Router/Core.h"
+#include "berylridge/Router/RouterCore.h"
 
 #include "CoreContext.h"
 #include "FleetSync.h"
@@ -15,14 +15,14 @@
 namespace {
 
 /// Periodic work while requests wait or leases are held: spills, give-ups, free slots.
-constexpr Duration busyTick = std::chrono::milliseconds(20);
+constexpr Duration busyTickPeriod = std::chrono::milliseconds(20);
 /// Events come at least every heartbeat period. A longer gap means that the process was paused, and
 /// what it knows of others is as old as the gap.
-constexpr Duration pauseLimit = std::chrono::milliseconds(1000);
+constexpr Duration pauseThreshold = std::chrono::milliseconds(1000);
 
 } // namespace
 
-class Core::Impl
+class RouterCore::Impl
 {
 public:
     Impl(CoreOptions options, Charts charts, TimePoint now, WallTime wall)
@@ -30,11 +30,11 @@
         , m_requests(m_context)
         , m_pools(m_context, m_requests)
         , m_fleet(m_context)
-        , m_handledAt(now)
+        , m_lastEventAt(now)
         , m_nextHeartbeat(now)
         , m_nextTick(now)
     {
-        m_requests.connect(m_pools);
+        m_requests.setPoolManager(m_pools);
     }
 
     void handle(const Event &event, TimePoint now, WallTime wall, Actions &actions);
@@ -44,59 +44,59 @@
     std::vector<std::string> explain(const std::string &id) const { return m_requests.explain(id); }
 
 private:
-    void noticePause();
+    void detectPause();
     void dispatch(const Event &event);
     void onNodeMessage(const NodeId &from, Incarnation incarnation, const AnyMessage &message);
     void onFleetMessage(const NodeId &from, Incarnation incarnation, const FleetMessage &message);
-    void settle();
-    void takeInChanges();
-    void takeInOwnMessages();
+    void processPendingWork();
+    void applyFleetChanges();
+    void handleSelfMessages();
     void runTimers();
 
     CoreContext m_context;
     RequestManager m_requests;
     PoolManager m_pools;
     FleetSync m_fleet;
-    TimePoint m_handledAt;
+    TimePoint m_lastEventAt;
     TimePoint m_nextHeartbeat;
     TimePoint m_nextTick;
 };
 
-void Core::Impl::handle(const Event &event, TimePoint now, WallTime wall, Actions &actions)
+void RouterCore::Impl::handle(const Event &event, TimePoint now, WallTime wall, Actions &actions)
 {
     assert(now >= m_context.now && "time must not step back");
     m_context.now = now;
     m_context.wall = wall;
     m_context.actions = &actions;
-    noticePause();
-    m_handledAt = now;
+    detectPause();
+    m_lastEventAt = now;
     dispatch(event);
     runTimers();
-    settle();
+    processPendingWork();
     m_context.actions = nullptr;
 }
 
-void Core::Impl::noticePause()
+void RouterCore::Impl::detectPause()
 {
-    const Duration gap = m_context.now - m_handledAt;
-    if (gap <= pauseLimit)
+    const Duration gap = m_context.now - m_lastEventAt;
+    if (gap <= pauseThreshold)
         return;
     m_context.log(LogEventId::WokeLate, std::to_string(gap.count() / 1000) + " ms");
     m_fleet.onProcessResumed();
     m_pools.onProcessResumed();
 }
 
-void Core::Impl::dispatch(const Event &event)
+void RouterCore::Impl::dispatch(const Event &event)
 {
     std::visit(
         Overloaded {
             [&](const RequestArrived &e) { m_requests.onArrived(e, m_fleet.isJoining()); },
-            [&](const KeyIssueAsked &e) { m_requests.onKeyIssueAsked(e); },
+            [&](const KeyIssueRequested &e) { m_requests.onKeyIssueRequested(e); },
             [&](const CallerGone &e) { m_requests.onCallerGone(e); },
             [&](const AttemptHead &e) { m_requests.onHead(e); },
             [&](const AttemptDone &e) { m_requests.onDone(e); },
             [&](const AttemptFailed &e) { m_requests.onFailed(e); },
-            [&](const TargetReport &e) {
+            [&](const TargetLoadReport &e) {
                 m_pools.onReport(e);
                 m_requests.onReport(e);
             },
@@ -111,21 +111,21 @@
             [&](const ProbeEnded &e) { m_fleet.onProbeEnded(e); },
             [&](const DocumentArrived &e) { m_fleet.onDocument(e.document, "platform"); },
             [&](const VmListArrived &e) { m_fleet.onVmList(e.list); },
-            [&](const PlatformReach &e) { m_fleet.onPlatformReach(e.isReachable); },
+            [&](const PlatformReachability &e) { m_fleet.onPlatformReachability(e.isReachable); },
             [&](const LeaveOrdered &e) { m_fleet.onLeave(e.who); },
             [&](const ReturnOrdered &e) { m_fleet.onReturn(e.who); },
             // What the balancer alone takes in (lib/Balancer).
             [](const CatalogArrived &) {},
             [](const DirectoryArrived &) {},
             [](const SeedsChanged &) {},
-            [](const TrafficLag &) {},
+            [](const TrafficThreadReport &) {},
             [](const TimerDue &) {},
         },
         event);
 }
 
-void Core::Impl::onNodeMessage(const NodeId &from, Incarnation incarnation,
-                               const AnyMessage &message)
+void RouterCore::Impl::onNodeMessage(const NodeId &from, Incarnation incarnation,
+                                     const AnyMessage &message)
 {
     if (const auto *key = std::get_if<KeyMessage>(&message)) {
         m_requests.onKeyMessage(from, incarnation, *key);
@@ -136,8 +136,8 @@
         onFleetMessage(from, incarnation, *fleet);
 }
 
-void Core::Impl::onFleetMessage(const NodeId &from, Incarnation incarnation,
-                                const FleetMessage &message)
+void RouterCore::Impl::onFleetMessage(const NodeId &from, Incarnation incarnation,
+                                      const FleetMessage &message)
 {
     std::visit(Overloaded {
                    [&](const Heartbeat &m) { m_fleet.onHeartbeat(from, m); },
@@ -150,40 +150,40 @@
                    [&](const PoolReturn &m) { m_pools.onReturn(from, m); },
                    [&](const TargetObservation &m) { m_pools.onNews(m); },
                    [&](const PoolUsage &m) { m_pools.onRemoteService(m); },
-                   [&](const CrashReport &m) { m_requests.onCrashNews(m); },
+                   [&](const CrashReport &m) { m_requests.onCrashReport(m); },
                    [&](const Goodbye &) { m_fleet.onGoodbye(from); },
                    [&](const PoolHandover &m) { m_pools.onHandover(m); },
                },
                message);
 }
 
-void Core::Impl::runTimers()
+void RouterCore::Impl::runTimers()
 {
     if (m_context.now >= m_nextHeartbeat) {
         m_nextHeartbeat = m_context.now + m_context.options.heartbeatPeriod;
-        m_fleet.tick(m_requests.takesKeys());
+        m_fleet.tick(m_requests.acceptsNewKeys());
         m_fleet.checkStop(m_requests.size(), m_requests.lastArrival());
     }
     if (m_context.now >= m_nextTick || m_context.now >= m_requests.nextTimer()) {
-        m_nextTick = m_context.now + busyTick;
+        m_nextTick = m_context.now + busyTickPeriod;
         m_requests.tick();
         m_pools.tick();
     }
 }
 
 /// Carries the event's consequences through this node until nothing is left to take in.
-void Core::Impl::settle()
+void RouterCore::Impl::processPendingWork()
 {
-    takeInChanges();
+    applyFleetChanges();
     m_pools.flush();
-    while (!m_context.toSelf.empty()) {
-        takeInOwnMessages();
-        takeInChanges();
+    while (!m_context.selfMessages.empty()) {
+        handleSelfMessages();
+        applyFleetChanges();
         m_pools.flush();
     }
 }
 
-void Core::Impl::takeInChanges()
+void RouterCore::Impl::applyFleetChanges()
 {
     const FleetSync::Changes changes = m_fleet.takeChanges();
     if (changes.documents) {
@@ -201,14 +201,14 @@
     m_requests.onMembers();
 }
 
-void Core::Impl::takeInOwnMessages()
+void RouterCore::Impl::handleSelfMessages()
 {
-    const std::deque<AnyMessage> messages = std::exchange(m_context.toSelf, {});
+    const std::deque<AnyMessage> messages = std::exchange(m_context.selfMessages, {});
     for (const AnyMessage &message : messages)
         onNodeMessage(m_context.options.node, m_context.options.incarnation, message);
 }
 
-TimePoint Core::Impl::nextTimer() const
+TimePoint RouterCore::Impl::nextTimer() const
 {
     TimePoint next = std::min(m_nextHeartbeat, m_requests.nextTimer());
     if (m_requests.size() > 0 || m_pools.isBusy())
@@ -216,7 +216,7 @@
     return next;
 }
 
-NodeStatus Core::Impl::status() const
+NodeStatus RouterCore::Impl::status() const
 {
     NodeStatus status;
     m_fleet.fillStatus(status);
@@ -225,7 +225,7 @@
     return status;
 }
 
-std::vector<DocumentText> Core::Impl::documents() const
+std::vector<DocumentText> RouterCore::Impl::documents() const
 {
     std::vector<DocumentText> documents;
     for (const auto &[name, document] : m_context.documents.texts())
@@ -233,43 +233,44 @@
     return documents;
 }
 
-Expected<std::unique_ptr<Core>> Core::create(CoreOptions options, TimePoint now, WallTime wall)
+Expected<std::unique_ptr<RouterCore>> RouterCore::create(CoreOptions options, TimePoint now,
+                                                         WallTime wall)
 {
     Expected<Charts> charts = Charts::load(options.chartDirectory);
     if (!charts)
         return Reason {charts.failureReason()};
     auto impl = std::make_unique<Impl>(std::move(options), *std::move(charts), now, wall);
-    return std::unique_ptr<Core>(new Core(std::move(impl)));
+    return std::unique_ptr<RouterCore>(new RouterCore(std::move(impl)));
 }
 
-Core::Core(std::unique_ptr<Impl> impl)
+RouterCore::RouterCore(std::unique_ptr<Impl> impl)
     : m_impl(std::move(impl))
 {
 }
 
-Core::~Core() = default;
+RouterCore::~RouterCore() = default;
 
-void Core::handle(const Event &event, TimePoint now, WallTime wall, Actions &actions)
+void RouterCore::handle(const Event &event, TimePoint now, WallTime wall, Actions &actions)
 {
     m_impl->handle(event, now, wall, actions);
 }
 
-TimePoint Core::nextTimer() const
+TimePoint RouterCore::nextTimer() const
 {
     return m_impl->nextTimer();
 }
 
-NodeStatus Core::status() const
+NodeStatus RouterCore::status() const
 {
     return m_impl->status();
 }
 
-std::vector<DocumentText> Core::documents() const
+std::vector<DocumentText> RouterCore::documents() const
 {
     return m_impl->documents();
 }
 
-std::vector<std::string> Core::explain(const std::string &requestId) const
+std::vector<std::string> RouterCore::explain(const std::string &requestId) const
 {
     return m_impl->explain(requestId);
 }
--- a/test/faults/FaultSeedsTest.cpp
+++ b/test/faults/FaultSeedsTest.cpp
@@ -33,7 +33,7 @@
 
 // Failed once, outside the fixed range. 1019: a cold target got one too many beside work of a
 // cut-off node. 1166: nodes ready just after the rig's wait. 111, 2114: a planned stop across a
-// pause (CoreTest.APlannedStopCountsItsQuietAnewAfterAPause). Of the range, these failed once and
+// pause (RouterCoreTest.PauseRestartsQuietPeriodOfPlannedStop). Of the range, these failed once and
 // what was mended: 3 10 28 60 69 80 117 182 (query of death), 14 38 79 112 180 (cold target), 51 55
 // (drain meter), 29 59 121 130 136 174 (address of a node first heard by a key message).
 INSTANTIATE_TEST_SUITE_P(OnceFailed, FaultSeeds, testing::Values<std::uint64_t>(1019, 1166, 2114));
--- a/test/rig/FakeNode.cpp
+++ b/test/rig/FakeNode.cpp
@@ -38,7 +38,7 @@
     m_options.seed = m_world.random();
     // Each process has a clock epoch of its own; a core that compares two nodes' clocks shows here.
     m_clockOffset = std::chrono::seconds(1 + m_world.random() % 100000);
-    auto core = Core::create(m_options, localNow(), m_world.queue.wallNow());
+    auto core = RouterCore::create(m_options, localNow(), m_world.queue.wallNow());
     if (!core) {
         m_world.journal.fail("start", core.failureReason());
         return;
@@ -236,8 +236,10 @@
             [this](const Dispatch &order) { dispatch(order); },
             [this](const AbortAttempt &order) { abort(order); },
             [this](const Refuse &refusal) { refuse(refusal); },
-            [this](const AnswerKept &kept) { answerKept(kept); },
-            [](const PassAnswer &) { assert(false && "only the balancer passes failures on"); },
+            [this](const SendStoredResponse &kept) { answerKept(kept); },
+            [](const RelayHeldResponse &) {
+                assert(false && "only the balancer passes failures on");
+            },
             [this](const SendToNode &message) { enqueue(message); },
             [this](const ProbeNode &silent) { probe(silent); },
             [this](const PollTarget &target) { poll(target); },
@@ -349,7 +351,7 @@
     endTry(action.handle, ending, action.type);
 }
 
-void FakeNode::answerKept(const AnswerKept &action)
+void FakeNode::answerKept(const SendStoredResponse &action)
 {
     const auto found = m_open.find(action.handle);
     if (found != m_open.end())
@@ -388,8 +390,8 @@
             return;
         }
         const auto &load = target.load();
-        handle(TargetReport {action.target, load.bootId, load.running, load.completed,
-                             m_world.queue.now() - load.at, action.poll});
+        handle(TargetLoadReport {action.target, load.bootId, load.running, load.completed,
+                                 m_world.queue.now() - load.at, action.poll});
     });
 }
 
--- a/test/rig/FakeNode.h
+++ b/test/rig/FakeNode.h
@@ -7,7 +7,7 @@
 #include "Journal.h"
 #include "Links.h"
 
-#include "berylridge/Router/Core.h"
+#include "berylridge/Router/RouterCore.h"
 
 #include <map>
 #include <memory>
@@ -118,7 +118,7 @@
     void close(const AttemptPtr &attempt);
     void endTry(RequestHandle handle, Ending ending, const std::string &problem);
     void refuse(const Refuse &action);
-    void answerKept(const AnswerKept &action);
+    void answerKept(const SendStoredResponse &action);
     void probe(const ProbeNode &action);
     void poll(const PollTarget &action);
     void stopped();
@@ -130,7 +130,7 @@
     World &m_world;
     PlaceId m_place;
     CoreOptions m_options;
-    std::unique_ptr<Core> m_core;
+    std::unique_ptr<RouterCore> m_core;
     std::uint64_t m_run = 0; ///< Counts incarnations.
     Duration m_clockOffset {0};
     bool m_isPaused = false;
--- a/test/rig/FakeNodeAttempts.cpp
+++ b/test/rig/FakeNodeAttempts.cpp
@@ -44,7 +44,7 @@
     constexpr Duration onceIdleLimit = std::chrono::milliseconds(250);
     const bool isFresh
         = idle != m_idle.end() && m_world.queue.now() - idle->second.since <= onceIdleLimit;
-    if (idle != m_idle.end() && (isFresh || action.repeats == Repeats::Allowed)) {
+    if (idle != m_idle.end() && (isFresh || action.resendPolicy == ResendPolicy::Allowed)) {
         attempt->reusedBoot = idle->second.boot;
         m_idle.erase(idle);
         sendRequest(attempt);
@@ -149,8 +149,8 @@
     m_idle[attempt->target] = {bootId, m_world.queue.now()};
     const auto &action = attempt->action;
     AttemptDone done {action.handle, action.attempt, statusOk, bootId, 100, {}, {}};
-    if (action.keepsAnswer)
-        done.keptBody = answerText(*attempt->callerTry->request);
+    if (action.storesResponse)
+        done.storedBody = answerText(*attempt->callerTry->request);
     endTry(action.handle, Ending::Answered, "");
     handle(done);
 }
--- a/test/rig/FakePlatform.cpp
+++ b/test/rig/FakePlatform.cpp
@@ -100,7 +100,7 @@
 void FakePlatform::reach(FakeNode &node, bool isReachable)
 {
     node.later(m_world.links.delay(m_place, node.place()),
-               [&node, isReachable] { node.handle(PlatformReach {isReachable}); });
+               [&node, isReachable] { node.handle(PlatformReachability {isReachable}); });
 }
 
 void FakePlatform::notifyAll()
--- a/test/sessions/RecordTrace.cpp
+++ b/test/sessions/RecordTrace.cpp
@@ -36,7 +36,7 @@
         node.watchActions = [this](const Action &action) {
             if (std::holds_alternative<Dispatch>(action))
                 ++m_outcome["dispatched"];
-            if (std::holds_alternative<AnswerKept>(action))
+            if (std::holds_alternative<SendStoredResponse>(action))
                 ++m_outcome["kept"];
             if (const auto *refusal = std::get_if<Refuse>(&action))
                 ++m_outcome["refused-" + std::string(verdictName(refusal->verdict))];
--- a/tools/berylctl/Charts.cpp
+++ b/tools/berylctl/Charts.cpp
@@ -2,7 +2,7 @@
 #include "Command.h"
 #include "Sources.h"
 
-#include "berylridge/Chart/Chart.h"
+#include "berylridge/Chart/StateChart.h"
 #include "berylridge/CommandLine/CommandLine.h"
 
 #include <algorithm>
@@ -25,17 +25,17 @@
     return files;
 }
 
-void printChart(const std::string &file, const Chart &chart)
+void printChart(const std::string &file, const StateChart &chart)
 {
     std::cout << std::filesystem::path(file).filename().string() << '\n';
     const auto states = chart.states();
     const auto signalNames = chart.signalNames();
     for (std::size_t state = 0; state < states.size(); ++state) {
-        const auto from = static_cast<Chart::Index>(state);
+        const auto from = static_cast<StateChart::Index>(state);
         std::cout << "    " << states[state] << (from == chart.initial() ? " (initial)" : "")
                   << (chart.isFinal(from) ? " (final)" : "") << '\n';
         for (std::size_t sign = 0; sign < signalNames.size(); ++sign) {
-            const auto to = chart.next(from, static_cast<Chart::Index>(sign));
+            const auto to = chart.next(from, static_cast<StateChart::Index>(sign));
             if (to && *to != from)
                 std::cout << "        " << signalNames[sign] << " -> " << states[*to] << '\n';
         }
@@ -64,7 +64,7 @@
     }
     int status = exitSuccess;
     for (const auto &file : files) {
-        const auto chart = Chart::load(file);
+        const auto chart = StateChart::load(file);
         if (chart) {
             printChart(file, *chart);
             continue;
--- a/tools/berylreplay/Session.cpp
+++ b/tools/berylreplay/Session.cpp
@@ -52,12 +52,12 @@
         line() << "refuse " << action.handle << ' ' << action.status << ' ' << action.type << ' '
                << verdictName(action.verdict) << '\n';
     }
-    void write(const AnswerKept &action)
+    void write(const SendStoredResponse &action)
     {
         ++outcome["kept"];
         line() << "answer kept " << action.handle << ' ' << action.status << '\n';
     }
-    void write(const PassAnswer &action)
+    void write(const RelayHeldResponse &action)
     {
         ++outcome["passed"];
         line() << "pass answer " << action.handle << '/' << action.attempt << '\n';
@@ -111,7 +111,7 @@
 {
     CoreOptions options = trace.options;
     options.chartDirectory = chartDirectory;
-    auto core = Core::create(options, trace.start, trace.startWall);
+    auto core = RouterCore::create(options, trace.start, trace.startWall);
     if (!core)
         return Reason {core.failureReason()};
     SessionWriter writer(trace, isWhole, out);
--- a/tools/berylreplay/Trace.cpp
+++ b/tools/berylreplay/Trace.cpp
@@ -105,7 +105,7 @@
     return std::visit(
         Overloaded {
             [](const RequestArrived &e) { return requestToJson(e); },
-            [](const KeyIssueAsked &e) {
+            [](const KeyIssueRequested &e) {
                 Json::Value json = typed("keyIssue");
                 json["handle"] = Json::UInt64(e.handle);
                 json["id"] = e.requestId;
@@ -128,8 +128,8 @@
                 json["status"] = e.status;
                 json["boot"] = e.bootId;
                 json["bodyBytes"] = Json::UInt64(e.bodyBytes);
-                if (e.keptBody)
-                    json["body"] = *e.keptBody;
+                if (e.storedBody)
+                    json["body"] = *e.storedBody;
                 return json;
             },
             [](const AttemptFailed &e) {
@@ -139,7 +139,7 @@
                 json["answerBegun"] = e.answerBegun;
                 return json;
             },
-            [](const TargetReport &e) {
+            [](const TargetLoadReport &e) {
                 Json::Value json = typed("report");
                 json["target"] = e.target.str();
                 json["boot"] = e.bootId;
@@ -185,7 +185,7 @@
                     json["vms"].append(toJson(vm));
                 return json;
             },
-            [](const PlatformReach &e) {
+            [](const PlatformReachability &e) {
                 Json::Value json = typed("platform");
                 json["isReachable"] = e.isReachable;
                 return json;
@@ -194,7 +194,7 @@
             [](const CatalogArrived &) { return typed("catalog"); },
             [](const DirectoryArrived &) { return typed("directory"); },
             [](const SeedsChanged &) { return typed("seeds"); },
-            [](const TrafficLag &) { return typed("lag"); },
+            [](const TrafficThreadReport &) { return typed("lag"); },
             [](const LeaveOrdered &e) {
                 Json::Value json = typed("leave");
                 json["who"] = e.who;
@@ -232,19 +232,19 @@
         AttemptDone done {
             handle, attempt, json["status"].asUInt(), boot, json["bodyBytes"].asUInt64(), {}, {}};
         if (json.isMember("body"))
-            done.keptBody = json["body"].asString();
+            done.storedBody = json["body"].asString();
         return done;
     }
     if (type == "failed")
         return AttemptFailed {handle, attempt, failure, json["sentAny"].asBool(),
                               json["answerBegun"].asBool()};
     if (type == "report") {
-        return TargetReport {target,
-                             boot,
-                             json["running"].asUInt(),
-                             json["completed"].asUInt64(),
-                             Duration(json["ageUs"].asInt64()),
-                             json["poll"].asUInt64()};
+        return TargetLoadReport {target,
+                                 boot,
+                                 json["running"].asUInt(),
+                                 json["completed"].asUInt64(),
+                                 Duration(json["ageUs"].asInt64()),
+                                 json["poll"].asUInt64()};
     }
     if (type == "pollFailed")
         return TargetPollFailed {target, failure, json["poll"].asUInt64()};
@@ -257,8 +257,8 @@
     if (type == "request")
         return requestOf(json);
     if (type == "keyIssue")
-        return KeyIssueAsked {json["handle"].asUInt64(), json["id"].asString(),
-                              json["credential"].asString()};
+        return KeyIssueRequested {json["handle"].asUInt64(), json["id"].asString(),
+                                  json["credential"].asString()};
     if (type == "callerGone")
         return CallerGone {json["handle"].asUInt64()};
     if (type == "message")
@@ -277,7 +277,7 @@
         return event;
     }
     if (type == "platform")
-        return PlatformReach {json["isReachable"].asBool()};
+        return PlatformReachability {json["isReachable"].asBool()};
     if (type == "leave")
         return LeaveOrdered {json["who"].asString()};
     if (type == "return")
--- a/tools/berylreplay/Trace.h
+++ b/tools/berylreplay/Trace.h
@@ -2,7 +2,7 @@
 // it.
 #pragma once
 
-#include "berylridge/Router/Core.h"
+#include "berylridge/Router/RouterCore.h"
 
 #include <iosfwd>
 #include <json/json.h>
--- a/tools/berylridged/Main.cpp
+++ b/tools/berylridged/Main.cpp
@@ -6,7 +6,7 @@
 #include "berylridge/Config/SettingsFile.h"
 #include "berylridge/Net/LogSink.h"
 #include "berylridge/Net/RouterNode.h"
-#include "berylridge/Router/Core.h"
+#include "berylridge/Router/RouterCore.h"
 #include "berylridge/Support/FatalSignal.h"
 
 #include <iostream>
@@ -64,12 +64,13 @@
 {
     const SystemClock clock;
     const CoreOptions options = coreOptions(settings, clock.wallNow());
-    Expected<std::unique_ptr<Core>> core = Core::create(options, clock.now(), clock.wallNow());
+    Expected<std::unique_ptr<RouterCore>> core
+        = RouterCore::create(options, clock.now(), clock.wallNow());
     if (!core) {
         std::cerr << core.failureReason() << '\n';
         return exitUsageError;
     }
-    Core &decisions = **core;
+    RouterCore &decisions = **core;
     LogSink log(logLevelOf(settings.logLevel), log4cplusWriter());
     AuditTrail trail;
     std::unique_ptr<RouterNode> node;
--- a/unittests/Balancer/BalancerCoreTest.cpp
+++ b/unittests/Balancer/BalancerCoreTest.cpp
@@ -111,10 +111,10 @@
     const Dispatch second = *findAction<Dispatch>();
     EXPECT_NE(first.target, second.target);
     AttemptFailed again = makeFailure(second, AttemptFailure::TargetError);
-    again.holdsAnswer = true;
+    again.hasHeldResponse = true;
     handle(again);
     EXPECT_FALSE(findAction<Dispatch>());
-    EXPECT_TRUE(findAction<PassAnswer>());
+    EXPECT_TRUE(findAction<RelayHeldResponse>());
 }
 
 // Every target fails every request. Retries must stop at the fleet's budget instead of two attempts
@@ -129,10 +129,10 @@
         const auto *first = findAction<Dispatch>();
         if (!first)
             continue;
-        handle(makeFailure(*first, AttemptFailure::BadAnswer));
+        handle(makeFailure(*first, AttemptFailure::InvalidResponse));
         if (const auto *second = findAction<Dispatch>()) {
             ++repeats;
-            handle(makeFailure(*second, AttemptFailure::BadAnswer));
+            handle(makeFailure(*second, AttemptFailure::InvalidResponse));
         }
     }
     EXPECT_GT(repeats, 5);
@@ -178,12 +178,12 @@
     sendRequest("/stream/1");
     const Dispatch first = *findAction<Dispatch>();
     handle(AttemptHead {first.handle, first.attempt, 200, ""});
-    AttemptFailed cut = makeFailure(first, AttemptFailure::CutShort);
+    AttemptFailed cut = makeFailure(first, AttemptFailure::TruncatedResponse);
     cut.answerBegun = true;
     handle(cut);
     ASSERT_TRUE(findAction<Dispatch>());
     EXPECT_TRUE(findAction<Dispatch>()->isResumed);
-    AttemptFailed again = makeFailure(*findAction<Dispatch>(), AttemptFailure::CutShort);
+    AttemptFailed again = makeFailure(*findAction<Dispatch>(), AttemptFailure::TruncatedResponse);
     again.answerBegun = true;
     handle(again);
     EXPECT_FALSE(findAction<Dispatch>());
--- a/unittests/Chart/ChartTest.cpp
+++ b/unittests/Chart/StateChartTest.cpp
@@ -1,5 +1,5 @@
-// Chart files: what is read, and that every error is told with its line.
-#include "berylridge/Chart/Chart.h"
+// StateChart files: what is read, and that every error is told with its line.
+#include "berylridge/Chart/StateChart.h"
 
 #include <array>
 #include <cstdio>
@@ -33,17 +33,17 @@
 
 std::string errorsOf(const std::string &text)
 {
-    return Chart::read("door.json", text).failureReason();
+    return StateChart::read("door.json", text).failureReason();
 }
 
 enum class Door : std::uint8_t { Broken, Shut, Open };
-enum class Blow : std::uint8_t { Push, Kick };
+enum class DoorSignal : std::uint8_t { Push, Kick };
 
 } // namespace
 
-TEST(Chart, ListedIgnoredAndUnlistedPairs)
+TEST(StateChart, ListedIgnoredAndUnlistedPairs)
 {
-    const auto chart = Chart::read("door.json", door);
+    const auto chart = StateChart::read("door.json", door);
     ASSERT_TRUE(chart) << chart.failureReason();
     EXPECT_EQ(chart->initial(), 0);
     EXPECT_EQ(chart->next(0, 0), 1);
@@ -52,7 +52,7 @@
     EXPECT_TRUE(chart->isFinal(2));
 }
 
-TEST(Chart, EveryErrorHasItsLine)
+TEST(StateChart, EveryErrorNamesItsLine)
 {
     EXPECT_EQ(errorsOf(replaced(R"("shut",
 )",
@@ -78,21 +78,21 @@
               "door.json:7:");
 }
 
-TEST(Chart, NumbersFollowTheEnum)
+TEST(StateChart, IndicesFollowEnumOrder)
 {
     const std::string path = testing::TempDir() + "door.json";
     std::ofstream(path) << door;
     constexpr auto states = std::to_array<std::string_view>({"broken", "shut", "open"});
-    constexpr auto blows = std::to_array<std::string_view>({"push", "kick"});
-    const auto table = ChartTable<Door, Blow>::load(path, states, blows);
+    constexpr auto doorSignals = std::to_array<std::string_view>({"push", "kick"});
+    const auto table = StateMachine<Door, DoorSignal>::load(path, states, doorSignals);
     ASSERT_TRUE(table) << table.failureReason();
     EXPECT_EQ(table->initial(), Door::Shut);
-    EXPECT_EQ(table->next(Door::Shut, Blow::Push), Door::Open);
-    EXPECT_EQ(table->next(Door::Open, Blow::Push), std::nullopt);
+    EXPECT_EQ(table->next(Door::Shut, DoorSignal::Push), Door::Open);
+    EXPECT_EQ(table->next(Door::Open, DoorSignal::Push), std::nullopt);
     EXPECT_EQ(table->name(Door::Broken), "broken");
 
     constexpr auto others = std::to_array<std::string_view>({"broken", "shut", "ajar"});
-    const auto wrong = ChartTable<Door, Blow>::load(path, others, blows);
+    const auto wrong = StateMachine<Door, DoorSignal>::load(path, others, doorSignals);
     EXPECT_EQ(wrong.failureReason(),
               path + ":1: state 'ajar' is missing\n" + path
                   + ":1: state 'open' is not one that the program knows");
--- a/unittests/Fleet/MembershipTest.cpp
+++ b/unittests/Fleet/MembershipTest.cpp
@@ -52,10 +52,13 @@
     }
     MemberState state(const NodeId &node) const { return m_members.find(node)->state; }
 
-    static MemberLife chart() { return *loadMemberLife(BERYLRIDGE_SOURCE_DIR "/charts"); }
+    static MemberStateMachine chart()
+    {
+        return *loadMemberStateMachine(BERYLRIDGE_SOURCE_DIR "/charts");
+    }
 
     ManualClock m_clock;
-    MemberLife m_chart = chart();
+    MemberStateMachine m_chart = chart();
     Membership m_members {
         m_chart, {self, zoneA, {"127.0.0.1", 7400}, 1, 250ms, 1200ms}, m_clock.now()};
 };
--- a/unittests/Net/CallerFaceTest.cpp
+++ b/unittests/Net/CallerFaceTest.cpp
@@ -91,14 +91,14 @@
 TEST(CallerFaceTest, handsOutKeysThatThisNodeIssues)
 {
     FakeCore core([](const Event &event, Actions &actions) {
-        if (const auto *asked = std::get_if<KeyIssueAsked>(&event))
-            actions.emplace_back(AnswerKept {asked->handle, 201, {}, "{\"key\":\"k1\"}\n"});
+        if (const auto *asked = std::get_if<KeyIssueRequested>(&event))
+            actions.emplace_back(SendStoredResponse {asked->handle, 201, {}, "{\"key\":\"k1\"}\n"});
     });
     TestNode node(core);
     FakeCaller caller = node.caller();
     caller.send(requestText("POST", "/v1/idempotency-keys"));
     EXPECT_TRUE(caller.readUntil("}").starts_with("HTTP/1.1 201 "));
-    EXPECT_EQ(core.seen<KeyIssueAsked>().at(0).credential, "key");
+    EXPECT_EQ(core.seen<KeyIssueRequested>().at(0).credential, "key");
 }
 
 TEST(CallerFaceTest, refusalTellsAllThereIsToKnow)
@@ -223,7 +223,8 @@
 {
     FakeCore core([](const Event &event, Actions &actions) {
         if (const auto *arrived = std::get_if<RequestArrived>(&event)) {
-            actions.emplace_back(AnswerKept {arrived->handle, 200, {}, std::string(1 << 20, 'x')});
+            actions.emplace_back(
+                SendStoredResponse {arrived->handle, 200, {}, std::string(1 << 20, 'x')});
             actions.emplace_back(Stopped {});
         }
     });
--- a/unittests/Net/CallerRequestTest.cpp
+++ b/unittests/Net/CallerRequestTest.cpp
@@ -42,7 +42,7 @@
     EXPECT_EQ(arrived.credential, "secret");
     EXPECT_EQ(arrived.requestId, "r-1");
     EXPECT_EQ(arrived.idempotencyKey, "k-1");
-    EXPECT_EQ(arrived.patience, Duration(std::chrono::seconds(3)));
+    EXPECT_EQ(arrived.maxQueueWait, Duration(std::chrono::seconds(3)));
     EXPECT_EQ(arrived.costHint, 1.5);
     EXPECT_EQ(arrived.bodyBytes, 4U);
     EXPECT_EQ(accepted(requestFor("/v1/services/shop/")).requestId, "fresh");
@@ -76,7 +76,7 @@
         request.set("X-Cost-Hint", hint);
         request.set("Prefer", "wait=soon");
         EXPECT_EQ(accepted(request).costHint, std::nullopt) << hint;
-        EXPECT_EQ(accepted(request).patience, std::nullopt);
+        EXPECT_EQ(accepted(request).maxQueueWait, std::nullopt);
     }
 }
 
--- a/unittests/Net/ConnectionPoolTest.cpp
+++ b/unittests/Net/ConnectionPoolTest.cpp
@@ -28,7 +28,10 @@
         pool.put(target, connected(), told, 8, now);
     }
 
-    bool gives(Repeats repeats) { return pool.take(target, repeats, now).has_value(); }
+    bool gives(ResendPolicy resendPolicy)
+    {
+        return pool.take(target, resendPolicy, now).has_value();
+    }
 
     asio::io_context context;
     std::vector<tcp::socket> peers;
@@ -43,14 +46,14 @@
 {
     keep(4s);
     now += 1900ms;
-    EXPECT_TRUE(gives(Repeats::Forbidden));
+    EXPECT_TRUE(gives(ResendPolicy::Forbidden));
     keep(4s);
     now += 2100ms;
-    EXPECT_FALSE(gives(Repeats::Forbidden));
-    EXPECT_TRUE(gives(Repeats::Allowed));
+    EXPECT_FALSE(gives(ResendPolicy::Forbidden));
+    EXPECT_TRUE(gives(ResendPolicy::Allowed));
     keep(4s);
     now += 3300ms;
-    EXPECT_FALSE(gives(Repeats::Allowed));
+    EXPECT_FALSE(gives(ResendPolicy::Allowed));
 }
 
 // Whole seconds are told, so a target that tells nothing may close within one.
@@ -58,18 +61,18 @@
 {
     keep(std::nullopt);
     now += 200ms;
-    EXPECT_TRUE(gives(Repeats::Forbidden));
+    EXPECT_TRUE(gives(ResendPolicy::Forbidden));
     keep(std::nullopt);
     now += 300ms;
-    EXPECT_FALSE(gives(Repeats::Forbidden));
-    EXPECT_TRUE(gives(Repeats::Allowed));
+    EXPECT_FALSE(gives(ResendPolicy::Forbidden));
+    EXPECT_TRUE(gives(ResendPolicy::Allowed));
 }
 
 TEST_F(ConnectionPoolTest, AClosedConnectionIsNotGiven)
 {
     keep(10s);
     peers.clear();
-    EXPECT_FALSE(gives(Repeats::Allowed));
+    EXPECT_FALSE(gives(ResendPolicy::Allowed));
 }
 
 // One connection to a target broke, so the others are in doubt: the next request finds out on a new
@@ -79,16 +82,16 @@
     keep(10s);
     keep(10s);
     pool.drop(target);
-    EXPECT_FALSE(gives(Repeats::Allowed));
+    EXPECT_FALSE(gives(ResendPolicy::Allowed));
 }
 
 TEST_F(ConnectionPoolTest, KeepsNoMoreThanItsPart)
 {
     for (int i = 0; i < 3; ++i)
         pool.put(target, connected(), 10s, 2, now);
-    EXPECT_TRUE(gives(Repeats::Allowed));
-    EXPECT_TRUE(gives(Repeats::Allowed));
-    EXPECT_FALSE(gives(Repeats::Allowed));
+    EXPECT_TRUE(gives(ResendPolicy::Allowed));
+    EXPECT_TRUE(gives(ResendPolicy::Allowed));
+    EXPECT_FALSE(gives(ResendPolicy::Allowed));
 }
 
 TEST(ToldIdleLimit, IsReadFromTheHead)
--- a/unittests/Net/ForwardingTest.cpp
+++ b/unittests/Net/ForwardingTest.cpp
@@ -37,9 +37,9 @@
         answer = caller.readUntil("done");
         const auto done = core.await<AttemptDone>(1);
         EXPECT_EQ(done[0].bootId, "b1");
-        EXPECT_EQ(done[0].keptBody, "done");
-        ASSERT_EQ(done[0].keptHeaders.size(), 1U);
-        EXPECT_EQ(done[0].keptHeaders[0].value, "text/plain");
+        EXPECT_EQ(done[0].storedBody, "done");
+        ASSERT_EQ(done[0].storedHeaders.size(), 1U);
+        EXPECT_EQ(done[0].storedHeaders[0].value, "text/plain");
     }
     EXPECT_TRUE(head.starts_with("POST /orders HTTP/1.1\r\n")) << head;
     EXPECT_EQ(body, "clay");
@@ -175,26 +175,29 @@
     All, BadAnswerTest,
     testing::Values(
         BadAnswerCase {"Crossed", okAnswer("x", "X-Attempt-Id: another\r\n"),
-                       AttemptFailure::BadAnswer, false},
-        BadAnswerCase {"NotHttp", "hello\r\n\r\n", AttemptFailure::BadAnswer, false},
+                       AttemptFailure::InvalidResponse, false},
+        BadAnswerCase {"NotHttp", "hello\r\n\r\n", AttemptFailure::InvalidResponse, false},
         BadAnswerCase {"NoAnswer", "", AttemptFailure::Reset, false},
-        BadAnswerCase {"HalfHead", "HTTP/1.1 200 OK\r\nConte", AttemptFailure::CutShort, false},
-        BadAnswerCase {"NoLength", "HTTP/1.1 200 OK\r\n\r\nbody", AttemptFailure::BadAnswer, false},
-        BadAnswerCase {"OverLong", okAnswer("whole") + "more", AttemptFailure::BadAnswer, false},
+        BadAnswerCase {"HalfHead", "HTTP/1.1 200 OK\r\nConte", AttemptFailure::TruncatedResponse,
+                       false},
+        BadAnswerCase {"NoLength", "HTTP/1.1 200 OK\r\n\r\nbody", AttemptFailure::InvalidResponse,
+                       false},
+        BadAnswerCase {"OverLong", okAnswer("whole") + "more", AttemptFailure::InvalidResponse,
+                       false},
         BadAnswerCase {"OtherCoding",
                        "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n",
-                       AttemptFailure::BadAnswer, false},
+                       AttemptFailure::InvalidResponse, false},
         BadAnswerCase {"Switching", "HTTP/1.1 101 Switching Protocols\r\n\r\n",
-                       AttemptFailure::BadAnswer, false},
+                       AttemptFailure::InvalidResponse, false},
         BadAnswerCase {"Short", "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf",
-                       AttemptFailure::CutShort, true},
+                       AttemptFailure::TruncatedResponse, true},
         BadAnswerCase {"ChunksCut",
                        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
-                       AttemptFailure::CutShort, true},
+                       AttemptFailure::TruncatedResponse, true},
         BadAnswerCase {"StreamWithoutEnd",
                        "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: "
                        "chunked\r\n\r\nf\r\nid: 1\ndata: a\n\n\r\n0\r\n\r\n",
-                       AttemptFailure::CutShort, true}),
+                       AttemptFailure::TruncatedResponse, true}),
     [](const auto &each) { return each.param.name; });
 
 TEST(ForwardingTest, saysNotRunOnlyBeforeTheFirstByte)
@@ -286,7 +289,7 @@
     FakeCore core([&](const Event &event, Actions &actions) {
         if (const auto *arrived = std::get_if<RequestArrived>(&event)) {
             Dispatch dispatch = dispatchOf(arrived->handle, target.endpoint());
-            dispatch.keepsAnswer = true;
+            dispatch.storesResponse = true;
             actions.emplace_back(dispatch);
         }
     });
@@ -297,7 +300,7 @@
     caller.close();
     core.await<CallerGone>(1);
     mayAnswer = true;
-    EXPECT_EQ(core.await<AttemptDone>(1)[0].keptBody, "bought");
+    EXPECT_EQ(core.await<AttemptDone>(1)[0].storedBody, "bought");
 }
 
 TEST(ForwardingTest, passesEachChunkOnBeforeTheNextComes)
@@ -386,8 +389,8 @@
 {
     FakeCore core([](const Event &event, Actions &actions) {
         if (const auto *arrived = std::get_if<RequestArrived>(&event))
-            actions.emplace_back(
-                AnswerKept {arrived->handle, 201, {{"Content-Type", "text/plain"}}, "kept"});
+            actions.emplace_back(SendStoredResponse {
+                arrived->handle, 201, {{"Content-Type", "text/plain"}}, "kept"});
     });
     TestNode node(core);
     FakeCaller caller = node.caller();
--- a/unittests/Net/NodeFixture.cpp
+++ b/unittests/Net/NodeFixture.cpp
@@ -73,8 +73,8 @@
     return [endpoint = std::move(endpoint), isIdempotent](const Event &event, Actions &actions) {
         if (const auto *arrived = std::get_if<RequestArrived>(&event)) {
             Dispatch dispatch = dispatchOf(arrived->handle, endpoint);
-            dispatch.repeats = isIdempotent ? Repeats::Allowed : Repeats::Forbidden;
-            dispatch.keepsAnswer = arrived->idempotencyKey.has_value();
+            dispatch.resendPolicy = isIdempotent ? ResendPolicy::Allowed : ResendPolicy::Forbidden;
+            dispatch.storesResponse = arrived->idempotencyKey.has_value();
             actions.emplace_back(std::move(dispatch));
         }
         if (const auto *failed = std::get_if<AttemptFailed>(&event)) {
--- a/unittests/Net/OverloadTest.cpp
+++ b/unittests/Net/OverloadTest.cpp
@@ -116,7 +116,7 @@
     EXPECT_NE(answer.find("X-Request-Id: r1"), std::string::npos) << answer;
     EXPECT_NE(answer.find("Connection: close"), std::string::npos) << answer;
     for (const Event &event : reported)
-        EXPECT_TRUE(std::holds_alternative<TrafficLag>(event));
+        EXPECT_TRUE(std::holds_alternative<TrafficThreadReport>(event));
 }
 
 // Guards against refusals that use up the processor of a busy thread, so that it serves next to
