--- a/unittests/Net/PeerLinkTest.cpp
+++ b/unittests/Net/PeerLinkTest.cpp
@@ -19,11 +19,11 @@
     return FleetMessage(reply);
 }
 
-/// A core that sends the messages to the endpoint at each PlatformReach.
+/// A core that sends the messages to the endpoint at each PlatformReachability.
 FakeCore::Rule sendAtReach(std::vector<PeerMessage> messages, const Endpoint &to)
 {
     return [messages = std::move(messages), to](const Event &event, Actions &actions) {
-        if (std::get_if<PlatformReach>(&event) == nullptr)
+        if (std::get_if<PlatformReachability>(&event) == nullptr)
             return;
         for (const PeerMessage &message : messages)
             actions.emplace_back(SendToNode {NodeId("b1"), to, message});
@@ -43,7 +43,7 @@
     TestNode to(receiver);
     FakeCore sender(sendAtReach({heartbeat(1), heartbeat(2), heartbeat(3)}, to.node().peers()));
     TestNode from(sender, [](Settings &settings) { settings.node = NodeId("a2"); });
-    from.node().post(PlatformReach {true});
+    from.node().post(PlatformReachability {true});
     const auto messages = receiver.await<NodeMessage>(3);
     EXPECT_EQ(messages[2].from, NodeId("a2"));
     EXPECT_EQ(messages[2].incarnation, 7U);
@@ -58,7 +58,7 @@
     FakeCore sender(
         sendAtReach({heartbeat(1), longMessage(300000), heartbeat(2)}, to.node().peers()));
     TestNode from(sender);
-    from.node().post(PlatformReach {true});
+    from.node().post(PlatformReachability {true});
     receiver.await<NodeMessage>(3);
     std::size_t longest = 0;
     for (const NodeMessage &message : receiver.seen<NodeMessage>()) {
@@ -98,13 +98,13 @@
     TestNode live(other);
     const Endpoint dead = closedPort();
     FakeCore core([&](const Event &event, Actions &actions) {
-        if (std::get_if<PlatformReach>(&event) == nullptr)
+        if (std::get_if<PlatformReachability>(&event) == nullptr)
             return;
         actions.emplace_back(ProbeNode {NodeId("live"), live.node().peers(), 3});
         actions.emplace_back(ProbeNode {NodeId("dead"), dead, 4});
     });
     TestNode node(core);
-    node.node().post(PlatformReach {true});
+    node.node().post(PlatformReachability {true});
     for (const ProbeEnded &ended : core.await<ProbeEnded>(2))
         EXPECT_EQ(ended.isRefused, ended.node == NodeId("dead"));
 }
--- a/unittests/Net/PlatformTest.cpp
+++ b/unittests/Net/PlatformTest.cpp
@@ -54,7 +54,7 @@
     const auto lists = core.await<VmListArrived>(1);
     EXPECT_EQ(lists[0].list.revision, 5U);
     EXPECT_TRUE(lists[0].list.vms.at(0).isLeaving);
-    core.await<PlatformReach>(1);
+    core.await<PlatformReachability>(1);
 }
 
 TEST(PlatformTest, saysThatThePlatformIsSilentAndBack)
@@ -68,10 +68,10 @@
     });
     FakeCore core(watchAtStart());
     TestNode node(core, [&](Settings &settings) { settings.platform = {platform.endpoint()}; });
-    EXPECT_FALSE(core.await<PlatformReach>(1)[0].isReachable);
+    EXPECT_FALSE(core.await<PlatformReachability>(1)[0].isReachable);
     EXPECT_TRUE(core.seen<DocumentArrived>().empty());
     isWell = true;
-    EXPECT_TRUE(eventually([&] { return core.seen<PlatformReach>().back().isReachable; }));
+    EXPECT_TRUE(eventually([&] { return core.seen<PlatformReachability>().back().isReachable; }));
     EXPECT_EQ(core.await<DocumentArrived>(2).size(), 2U);
 }
 
@@ -84,14 +84,14 @@
     });
     const Endpoint closed = closedPort();
     FakeCore core([&](const Event &event, Actions &actions) {
-        if (std::get_if<PlatformReach>(&event) == nullptr)
+        if (std::get_if<PlatformReachability>(&event) == nullptr)
             return;
         actions.emplace_back(PollTarget {TargetId("t1"), target.endpoint()});
         actions.emplace_back(PollTarget {TargetId("t2"), closed});
     });
     TestNode node(core);
-    node.node().post(PlatformReach {true});
-    const auto report = core.await<TargetReport>(1)[0];
+    node.node().post(PlatformReachability {true});
+    const auto report = core.await<TargetLoadReport>(1)[0];
     EXPECT_EQ(report.bootId, "b7");
     EXPECT_EQ(report.running, 3U);
     EXPECT_EQ(report.completed, 17U);
--- a/unittests/Net/ResumeTest.cpp
+++ b/unittests/Net/ResumeTest.cpp
@@ -118,7 +118,7 @@
     EXPECT_EQ(eventsOf(answer),
               "id: 1\ndata: token1\nid: 2\ndata: token2\nid: 3\ndata: token3\n"
               "data: [DONE]\n");
-    EXPECT_EQ(core.seen<AttemptFailed>().at(0).failure, AttemptFailure::CutShort);
+    EXPECT_EQ(core.seen<AttemptFailed>().at(0).failure, AttemptFailure::TruncatedResponse);
 }
 
 TEST(ResumeTest, cutsTheCallerWhereTheSecondFailsToo)
@@ -154,7 +154,7 @@
     caller.send(requestText("GET", "/v1/services/shop/x"));
     const std::string answer = caller.readAll();
     EXPECT_TRUE(answer.ends_with("\r\n\r\nhalf")) << answer;
-    EXPECT_EQ(core.await<AttemptFailed>(2)[1].failure, AttemptFailure::BadAnswer);
+    EXPECT_EQ(core.await<AttemptFailed>(2)[1].failure, AttemptFailure::InvalidResponse);
     EXPECT_EQ(target.connections(), 1);
 }
 
--- a/unittests/Policy/PoolOwnerTest.cpp
+++ b/unittests/Policy/PoolOwnerTest.cpp
@@ -31,7 +31,10 @@
         m_owner.configure(m_document, m_pool, m_clock.now());
     }
 
-    static TargetLife chart() { return *loadTargetLife(BERYLRIDGE_SOURCE_DIR "/charts"); }
+    static TargetStateMachine chart()
+    {
+        return *loadTargetStateMachine(BERYLRIDGE_SOURCE_DIR "/charts");
+    }
 
     void waitOutTakeover() { m_clock.advance(2200ms); }
     void waitWithTwoColdSlots()
@@ -60,7 +63,7 @@
     }
 
     ManualClock m_clock;
-    TargetLife m_chart = chart();
+    TargetStateMachine m_chart = chart();
     ServiceDocument m_document;
     Pool m_pool;
     PoolOwner m_owner {m_chart, {ownerRun, 2s, FleetRule {}}, m_clock.now()};
--- a/unittests/Policy/TargetGaugeTest.cpp
+++ b/unittests/Policy/TargetGaugeTest.cpp
@@ -27,10 +27,13 @@
     }
     std::uint32_t limit(OwnerPart part = whole) const { return m_gauge.limit(part, m_clock.now()); }
 
-    static TargetLife chart() { return *loadTargetLife(BERYLRIDGE_SOURCE_DIR "/charts"); }
+    static TargetStateMachine chart()
+    {
+        return *loadTargetStateMachine(BERYLRIDGE_SOURCE_DIR "/charts");
+    }
 
     ManualClock m_clock;
-    TargetLife m_chart = chart();
+    TargetStateMachine m_chart = chart();
     ServiceDocument m_document;
     TargetGauge m_gauge {m_chart, m_clock.now()};
 };
@@ -81,11 +84,11 @@
 TEST_F(TargetGaugeTest, LateNewsOfAnEndedBootChangesNothing)
 {
     warmUp("boot1");
-    EXPECT_TRUE(m_gauge.onSign(TargetSign::Crash, "boot1", m_clock.now()));
+    EXPECT_TRUE(m_gauge.onSign(TargetSignal::Crash, "boot1", m_clock.now()));
     EXPECT_EQ(limit(), 0U) << "nothing is sent before the new boot was heard";
     m_gauge.onReport("boot2", 0, 0, 0ms, m_clock.now());
     EXPECT_EQ(limit(), 2U);
-    EXPECT_FALSE(m_gauge.onSign(TargetSign::Crash, "boot1", m_clock.now()));
+    EXPECT_FALSE(m_gauge.onSign(TargetSignal::Crash, "boot1", m_clock.now()));
     m_gauge.onCompleted(40, "boot1", m_clock.now());
     EXPECT_EQ(limit(), 2U);
 }
@@ -137,7 +140,7 @@
 TEST_F(TargetGaugeTest, ABrokenConnectionToALivingBootCostsOnlyUntilTheNextPoll)
 {
     warmUp("boot1");
-    m_gauge.onSign(TargetSign::Crash, "boot1", m_clock.now());
+    m_gauge.onSign(TargetSignal::Crash, "boot1", m_clock.now());
     m_gauge.onCompleted(1, "boot1", m_clock.now());
     EXPECT_EQ(limit(), 0U) << "an answer that was on its way proves nothing";
     m_gauge.onReport("boot1", 0, 44, 0ms, m_clock.now());
--- a/unittests/Router/CoreTest.cpp
+++ b/unittests/Router/RouterCoreTest.cpp
@@ -1,4 +1,4 @@
-#include "berylridge/Router/Core.h"
+#include "berylridge/Router/RouterCore.h"
 
 #include "berylridge/Support/Hash.h"
 
@@ -19,10 +19,10 @@
 }
 
 /// One core that is alone in its fleet.
-class CoreTest : public testing::Test
+class RouterCoreTest : public testing::Test
 {
 protected:
-    CoreTest()
+    RouterCoreTest()
     {
         CoreOptions options;
         options.node = NodeId("a1");
@@ -30,11 +30,11 @@
         options.endpoint = {"127.0.0.1", 7400};
         options.incarnation = 1;
         options.chartDirectory = BERYLRIDGE_SOURCE_DIR "/charts";
-        m_core = *Core::create(options, m_clock.now(), m_clock.wallNow());
+        m_core = *RouterCore::create(options, m_clock.now(), m_clock.wallNow());
     }
 
     template <typename T>
-    std::vector<T> give(const Event &event)
+    std::vector<T> actionsAfter(const Event &event)
     {
         Actions actions;
         m_core->handle(event, m_clock.now(), m_clock.wallNow(), actions);
@@ -45,29 +45,29 @@
         }
         return found;
     }
-    /// Lets time pass as an event loop sees it.
+    /// Lets time advanceTime as an event loop sees it.
     template <typename T>
-    std::vector<T> pass(Duration time)
+    std::vector<T> advanceTime(Duration time)
     {
         std::vector<T> found;
         for (const TimePoint end = m_clock.now() + time; m_clock.now() < end;) {
             m_clock.advance(10ms);
-            const std::vector<T> step = give<T>(TimerDue {});
+            const std::vector<T> step = actionsAfter<T>(TimerDue {});
             found.insert(found.end(), step.begin(), step.end());
         }
         return found;
     }
-    void serve()
+    void startServing()
     {
-        give<Log>(DocumentArrived {{"service/shop", 7, documentText()}});
-        pass<Log>(12s);
-        TargetReport report;
+        actionsAfter<Log>(DocumentArrived {{"service/shop", 7, documentText()}});
+        advanceTime<Log>(12s);
+        TargetLoadReport report;
         report.target = TargetId("shop-1");
         report.bootId = "boot";
         report.completed = 10;
-        give<Log>(report);
+        actionsAfter<Log>(report);
     }
-    RequestArrived lookup(RequestHandle handle, const std::string &credential = "key") const
+    RequestArrived lookupRequest(RequestHandle handle, const std::string &credential = "key") const
     {
         RequestArrived request;
         request.handle = handle;
@@ -80,23 +80,23 @@
     }
 
     ManualClock m_clock;
-    std::unique_ptr<Core> m_core;
+    std::unique_ptr<RouterCore> m_core;
 };
 
 } // namespace
 
-TEST_F(CoreTest, ARequestReachesTheTargetAndIsExplained)
+TEST_F(RouterCoreTest, RequestReachesTargetAndIsExplained)
 {
-    serve();
-    const auto sent = give<Dispatch>(lookup(1));
+    startServing();
+    const auto sent = actionsAfter<Dispatch>(lookupRequest(1));
     ASSERT_EQ(sent.size(), 1U);
     EXPECT_EQ(sent.front().target, TargetId("shop-1"));
-    EXPECT_EQ(sent.front().repeats, Repeats::Allowed);
+    EXPECT_EQ(sent.front().resendPolicy, ResendPolicy::Allowed);
     AttemptDone done;
     done.handle = 1;
     done.attempt = 1;
     done.status = 200;
-    give<Log>(done);
+    actionsAfter<Log>(done);
     const auto lines = m_core->explain("request-1");
     EXPECT_TRUE(std::any_of(lines.begin(), lines.end(), [](const std::string &line) {
         return line.find("sent to shop-1") != std::string::npos;
@@ -106,39 +106,40 @@
 // A planned stop is under way, nothing runs, and the process is paused. Callers' requests arrive in
 // its sockets meanwhile. On waking the quiet seems long enough; had the process ended at once, the
 // requests would have been cut off unread.
-TEST_F(CoreTest, APlannedStopCountsItsQuietAnewAfterAPause)
+TEST_F(RouterCoreTest, PauseRestartsQuietPeriodOfPlannedStop)
 {
-    serve();
-    give<Log>(LeaveOrdered {"operator"});
-    pass<Log>(500ms);
+    startServing();
+    actionsAfter<Log>(LeaveOrdered {"operator"});
+    advanceTime<Log>(500ms);
     m_clock.advance(10s);
-    EXPECT_TRUE(give<Stopped>(TimerDue {}).empty());
-    give<Log>(lookup(1));
-    EXPECT_EQ(pass<Dispatch>(4s).size(), 1U) << "served after the wait of a new owner";
+    EXPECT_TRUE(actionsAfter<Stopped>(TimerDue {}).empty());
+    actionsAfter<Log>(lookupRequest(1));
+    EXPECT_EQ(advanceTime<Dispatch>(4s).size(), 1U) << "served after the wait of a new owner";
     AttemptDone done;
     done.handle = 1;
     done.attempt = 1;
     done.status = 200;
-    give<Log>(done);
-    EXPECT_EQ(pass<Stopped>(15s).size(), 1U);
+    actionsAfter<Log>(done);
+    EXPECT_EQ(advanceTime<Stopped>(15s).size(), 1U);
 }
 
 // The platform is stale and offers an older document than the one in force. Taking it would undo
 // what operators published; every node must keep the newer one.
-TEST_F(CoreTest, AnOlderDocumentChangesNothing)
+TEST_F(RouterCoreTest, OlderDocumentIsIgnored)
 {
-    serve();
+    startServing();
     std::string older = documentText();
     older.replace(older.find("studio"), 6, "others");
-    give<Log>(DocumentArrived {{"service/shop", 6, older}});
+    actionsAfter<Log>(DocumentArrived {{"service/shop", 6, older}});
     EXPECT_EQ(m_core->status().documents.front().version, 7U);
     EXPECT_EQ(m_core->status().workspaces.front().workspace, WorkspaceId("studio"));
 }
 
-TEST_F(CoreTest, ABadDocumentLeavesTheLastGoodOneInForce)
+TEST_F(RouterCoreTest, InvalidDocumentKeepsLastValidOne)
 {
-    serve();
-    const auto audits = give<Audit>(DocumentArrived {{"service/shop", 8, "{\"slots\": \"many\"}"}});
+    startServing();
+    const auto audits
+        = actionsAfter<Audit>(DocumentArrived {{"service/shop", 8, "{\"slots\": \"many\"}"}});
     ASSERT_EQ(audits.size(), 1U);
     EXPECT_EQ(audits.front().entry.kind, AuditKind::DocumentRefused);
     EXPECT_EQ(m_core->status().documents.front().version, 7U);
@@ -146,46 +147,46 @@
 
 // A purchase is sent again with its key, but with a workspace key that is not known here any more.
 // The first sending may have run elsewhere: "not run" would invite a doubled purchase.
-TEST_F(CoreTest, AnEarlyRefusalOfAKeyedRequestDoesNotSayNotRun)
+TEST_F(RouterCoreTest, EarlyRefusalOfKeyedRequestIsNotReportedAsNotRun)
 {
-    serve();
-    RequestArrived request = lookup(1, "withdrawn");
-    EXPECT_EQ(give<Refuse>(request).front().verdict, Verdict::NotRun);
+    startServing();
+    RequestArrived request = lookupRequest(1, "withdrawn");
+    EXPECT_EQ(actionsAfter<Refuse>(request).front().verdict, Verdict::NotRun);
     request.handle = 2;
     request.method = "POST";
     request.idempotencyKey = "0197-purchase";
-    EXPECT_EQ(give<Refuse>(request).front().verdict, Verdict::MayHaveRun);
+    EXPECT_EQ(actionsAfter<Refuse>(request).front().verdict, Verdict::MayHaveRun);
 }
 
 // A purchase without a key broke off after its first byte had left. It must not be tried again, and
 // the answer must say that it may have run.
-TEST_F(CoreTest, ANonIdempotentRequestIsNotTriedAgainAfterItsFirstByte)
+TEST_F(RouterCoreTest, NonIdempotentRequestIsNotRetriedAfterFirstByte)
 {
-    serve();
-    RequestArrived request = lookup(1);
+    startServing();
+    RequestArrived request = lookupRequest(1);
     request.method = "POST";
-    ASSERT_EQ(give<Dispatch>(request).size(), 1U);
+    ASSERT_EQ(actionsAfter<Dispatch>(request).size(), 1U);
     AttemptFailed failed;
     failed.handle = 1;
     failed.attempt = 1;
     failed.failure = AttemptFailure::Reset;
-    const auto refusals = give<Refuse>(failed);
+    const auto refusals = actionsAfter<Refuse>(failed);
     ASSERT_EQ(refusals.size(), 1U);
     EXPECT_EQ(refusals.front().verdict, Verdict::MayHaveRun);
-    EXPECT_TRUE(pass<Dispatch>(5s).empty());
+    EXPECT_TRUE(advanceTime<Dispatch>(5s).empty());
 }
 
 // A request waits longer than it may. It is answered then, not later, and told when to come back.
-TEST_F(CoreTest, GivingUpIsAnsweredAtOnce)
+TEST_F(RouterCoreTest, QueueTimeoutIsReportedImmediately)
 {
-    serve();
-    give<Log>(lookup(1));
-    give<Log>(lookup(2));
-    RequestArrived impatient = lookup(3);
-    impatient.patience = 300ms;
-    give<Log>(impatient);
-    EXPECT_TRUE(pass<Refuse>(290ms).empty());
-    const auto refusals = pass<Refuse>(30ms);
+    startServing();
+    actionsAfter<Log>(lookupRequest(1));
+    actionsAfter<Log>(lookupRequest(2));
+    RequestArrived impatient = lookupRequest(3);
+    impatient.maxQueueWait = 300ms;
+    actionsAfter<Log>(impatient);
+    EXPECT_TRUE(advanceTime<Refuse>(290ms).empty());
+    const auto refusals = advanceTime<Refuse>(30ms);
     ASSERT_EQ(refusals.size(), 1U);
     EXPECT_EQ(refusals.front().verdict, Verdict::NotRun);
     EXPECT_TRUE(refusals.front().retryAfter.has_value());
@@ -195,21 +196,21 @@
 // poll, made before the crash, comes just afterwards. Taken for a sign of life it would send the
 // request on to the next target at once, and a third one would fall (seen in
 // FleetProcess.QueryOfDeathStopsAtTwoEngines).
-TEST_F(CoreTest, AnAnswerToAnEarlierPollIsNoSignOfLife)
+TEST_F(RouterCoreTest, StaleLoadReportDoesNotProveTargetAlive)
 {
-    serve();
-    ASSERT_EQ(give<Dispatch>(lookup(1)).size(), 1U);
+    startServing();
+    ASSERT_EQ(actionsAfter<Dispatch>(lookupRequest(1)).size(), 1U);
     AttemptFailed failed;
     failed.handle = 1;
     failed.attempt = 1;
     failed.failure = AttemptFailure::Reset;
-    const auto polls = give<PollTarget>(failed);
+    const auto polls = actionsAfter<PollTarget>(failed);
     ASSERT_EQ(polls.size(), 1U);
-    TargetReport report;
+    TargetLoadReport report;
     report.target = TargetId("shop-1");
     report.bootId = "boot";
     report.completed = 10;
-    EXPECT_TRUE(give<Dispatch>(report).empty());
+    EXPECT_TRUE(actionsAfter<Dispatch>(report).empty());
     report.poll = polls.front().poll;
-    EXPECT_EQ(give<Dispatch>(report).size(), 1U);
+    EXPECT_EQ(actionsAfter<Dispatch>(report).size(), 1U);
 }
