--- a/include/berylridge/Chart/NodeStateMachine.h
+++ b/include/berylridge/Chart/NodeStateMachine.h
@@ -1,4 +1,4 @@
-// The life of this node (charts/node-life.json).
+// Declares the state machine of this node (charts/node-life.json).
 #pragma once
 
 #include "berylridge/Chart/StateChart.h"
@@ -6,23 +6,23 @@
 namespace berylridge {
 
 enum class NodeState : std::uint8_t {
-    Joining, ///< Learns the documents in force; not ready for callers.
-    Ready,   ///< Takes requests.
-    Leaving, ///< A planned stop: ends what runs.
-    Stopped, ///< Nothing runs; the process may end.
+    Joining, ///< Fetches the active documents; not ready for callers.
+    Ready,   ///< Accepts requests.
+    Leaving, ///< Performs a planned stop: finishes the running requests.
+    Stopped, ///< No request runs; the process may exit.
 };
 
 enum class NodeSignal : std::uint8_t {
-    DocumentsKnown, ///< It may trust its documents.
-    LeaveOrdered,   ///< A planned stop begins.
-    ReturnOrdered,  ///< The planned stop is taken back.
-    Emptied,        ///< The last request has ended.
+    DocumentsKnown, ///< The node may rely on its documents.
+    LeaveOrdered,   ///< A planned stop was requested.
+    ReturnOrdered,  ///< The planned stop was cancelled.
+    Emptied,        ///< The last request ended.
     LimitReached,   ///< The planned stop took longer than stopLimit.
 };
 
 using NodeStateMachine = StateMachine<NodeState, NodeSignal>;
 
-/// Loads node-life.json from the directory of charts.
+/// Loads node-life.json from the chart directory.
 Expected<NodeStateMachine> loadNodeStateMachine(const std::string &chartDirectory);
 
 } // namespace berylridge
--- a/include/berylridge/Chart/RequestStateMachine.h
+++ b/include/berylridge/Chart/RequestStateMachine.h
@@ -1,4 +1,5 @@
-// The life of one request at the node that took it (charts/request-life.json).
+// Declares the state machine of one request at the node that accepted it
+// (charts/request-life.json).
 #pragma once
 
 #include "berylridge/Chart/StateChart.h"
@@ -6,31 +7,31 @@
 namespace berylridge {
 
 enum class RequestState : std::uint8_t {
-    Arrived,   ///< Read whole.
+    Arrived,   ///< Read completely.
     Claiming,  ///< Waits for witnesses to admit its idempotency key.
     Queued,    ///< Waits for a slot.
-    Sent,      ///< An attempt began; no answer head yet.
-    Answering, ///< The answer streams to the caller.
-    Answered,  ///< The caller has its whole answer.
-    Refused,   ///< Given up; the caller was told, or its connection cut.
-    Abandoned, ///< The caller went away.
+    Sent,      ///< An attempt is running; no response head arrived yet.
+    Answering, ///< The response is streamed to the caller.
+    Answered,  ///< The caller received the complete response.
+    Refused,   ///< Rejected with an error response, or the connection was closed.
+    Abandoned, ///< The caller disconnected.
 };
 
 enum class RequestSignal : std::uint8_t {
-    ClaimBegun,      ///< It carries a key that must be admitted first.
-    Enqueued,        ///< It may wait for a slot.
-    Dispatched,      ///< An attempt begins.
-    HeadCame,        ///< The answer head came with its own id.
-    AnswerEnded,     ///< The answer is whole.
-    KeptAnswerFound, ///< An earlier request with its key was answered.
+    ClaimBegun,      ///< The request has an idempotency key that must be admitted first.
+    Enqueued,        ///< The request was put into the queue for a slot.
+    Dispatched,      ///< An attempt was started.
+    HeadCame,        ///< The response head arrived with the matching request id.
+    AnswerEnded,     ///< The response is complete.
+    KeptAnswerFound, ///< An earlier request with the same key has a stored response.
     Retried,         ///< The attempt failed and another one is allowed.
-    GivenUp,         ///< It is refused, or its answer cut.
+    GivenUp,         ///< The request is refused, or its response is cut off.
     CallerGone,      ///< The caller closed its connection.
 };
 
 using RequestStateMachine = StateMachine<RequestState, RequestSignal>;
 
-/// Loads request-life.json from the directory of charts.
+/// Loads request-life.json from the chart directory.
 Expected<RequestStateMachine> loadRequestStateMachine(const std::string &chartDirectory);
 
 } // namespace berylridge
--- a/include/berylridge/Chart/StateChart.h
+++ b/include/berylridge/Chart/StateChart.h
@@ -1,5 +1,5 @@
-// State charts that stand in files: read and checked whole once, compiled to a dense table, then
-// one lookup a signal.
+// Declares state charts that are loaded from files. A chart is parsed and validated once and
+// compiled into a dense transition table, so that each signal costs one lookup.
 #pragma once
 
 #include "berylridge/Support/Expected.h"
@@ -13,7 +13,7 @@
 
 namespace berylridge {
 
-/// A chart as its file tells it. The file is a JSON object, comments allowed:
+/// Holds the transition table of one chart file. The file is a JSON object; comments are allowed:
 ///
 ///     "initial": "cold",
 ///     "states": ["cold", "warm", "gone"],
@@ -22,19 +22,20 @@
 ///     "transitions": [{"from": ["cold", "warm"], "on": "removed", "to": "gone"}, ...],
 ///     "ignored": [{"from": "warm", "on": ["rampDone"]}, ...]
 ///
-/// "from" and "on" are a name or a list of names. A pair of state and signal stands once, under
-/// "transitions" or under "ignored"; a pair that stands nowhere has no next state. Every state must
-/// be reachable from the initial one, and only final states may have no way out.
+/// "from" and "on" hold a name or a list of names. Each pair of a state and a signal is listed at
+/// most once, under "transitions" or under "ignored"; an unlisted pair has no next state. Every
+/// state must be reachable from the initial one, and only final states may have no outgoing
+/// transition.
 class StateChart
 {
 public:
     using Index = std::uint8_t;
 
-    /// Reads a chart file. On failure the reason holds every error, one "file:line: message" a
+    /// Loads a chart file. On failure the reason lists every error, one "file:line: message" per
     /// line.
     static Expected<StateChart> load(const std::string &path);
 
-    /// The same for a text; file is used in messages only.
+    /// Parses the text of a chart. `file` is used in error messages only.
     static Expected<StateChart> read(const std::string &file, std::string_view text);
 
     std::span<const std::string> states() const { return m_states; }
@@ -42,16 +43,16 @@
     Index initial() const { return m_initial; }
     bool isFinal(Index state) const { return m_final[state]; }
 
-    /// The state after a signal: the same one where the signal is ignored, none where the file
-    /// doesn't list the pair.
+    /// Returns the state after a signal: the same state if the signal is ignored, none if the file
+    /// does not list the pair.
     std::optional<Index> next(Index state, Index signal) const
     {
         const Index to = m_table[std::size_t {state} * m_signals.size() + signal];
         return to == noTransition ? std::nullopt : std::optional(to);
     }
 
-    /// The same chart with its states and signals numbered in the order of the given names. Fails
-    /// unless the names are exactly those of the file.
+    /// Returns the chart with its states and signals numbered in the order of the given names.
+    /// Fails unless these are exactly the names in the file.
     Expected<StateChart> withOrder(std::span<const std::string_view> states,
                                    std::span<const std::string_view> signalNames) const;
 
@@ -63,17 +64,17 @@
     std::vector<std::string> m_states;
     std::vector<std::string> m_signals;
     std::vector<bool> m_final;
-    std::vector<Index> m_table; ///< Row per state, column per signal.
+    std::vector<Index> m_table; ///< Has one row per state and one column per signal.
     Index m_initial = 0;
 };
 
-/// A chart whose states and signals are the values of two enums, in the order of their names, so
-/// that no name is compared after the start.
+/// Maps the states and signals of a chart to the values of two enums by the order of their names,
+/// so that no names are compared after loading.
 template <typename State, typename Signal>
 class StateMachine
 {
 public:
-    /// Fails when the file is wrong, or when its names are not exactly the given ones.
+    /// Fails if the file is invalid or if its names are not exactly the given ones.
     static Expected<StateMachine> load(const std::string &path,
                                        std::span<const std::string_view> states,
                                        std::span<const std::string_view> signalNames)
@@ -93,8 +94,8 @@
         return m_chart.isFinal(static_cast<StateChart::Index>(state));
     }
 
-    /// The state after a signal; none where the file doesn't list the pair, which the caller should
-    /// treat as a fault of whoever sent the signal and keep the state.
+    /// Returns the state after a signal, or none if the file does not list the pair. The caller
+    /// should then keep the state and treat the signal as an error of its sender.
     std::optional<State> next(State state, Signal input) const
     {
         const auto to = m_chart.next(static_cast<StateChart::Index>(state),
@@ -104,7 +105,8 @@
         return static_cast<State>(*to);
     }
 
-    /// Moves the state on and tells whether it changed. An noTransition signal changes nothing.
+    /// Applies a signal to the state and returns whether the state changed. A signal that the file
+    /// does not list for the state changes nothing.
     bool step(State &state, Signal input) const
     {
         const State to = next(state, input).value_or(state);
@@ -113,7 +115,7 @@
         return isChanged;
     }
 
-    /// The state's name in the file.
+    /// Returns the state's name in the file.
     const std::string &name(State state) const
     {
         return m_chart.states()[static_cast<std::size_t>(state)];
--- a/include/berylridge/Chart/TargetStateMachine.h
+++ b/include/berylridge/Chart/TargetStateMachine.h
@@ -1,4 +1,4 @@
-// The life of a target as one node sees it (charts/target-life.json).
+// Declares the state machine of a target as one node sees it (charts/target-life.json).
 #pragma once
 
 #include "berylridge/Chart/StateChart.h"
@@ -6,32 +6,32 @@
 namespace berylridge {
 
 enum class TargetState : std::uint8_t {
-    Unknown, ///< Listed, but nothing was heard of it yet.
-    Cold,    ///< Just started, as far as is known: bears coldSlots.
-    Warming, ///< Has completed an answer since its boot; slots grow.
-    Warm,    ///< Bears all its slots.
-    Suspect, ///< Silent or timing out; gets no new work until it is heard.
-    Leaving, ///< Taken out by operators; runs what it has.
+    Unknown, ///< Listed, but nothing is known about it yet.
+    Cold,    ///< Presumably just started: has capacity for coldSlots requests.
+    Warming, ///< Completed a response since its boot; its slots increase.
+    Warm,    ///< Has capacity for all its slots.
+    Suspect, ///< Silent or timing out; gets no new work until it responds.
+    Leaving, ///< Withdrawn by operators; finishes its running requests.
     Gone,    ///< No longer listed.
 };
 
 enum class TargetSignal : std::uint8_t {
-    NewBoot,           ///< Another boot id than before, or the first one.
-    RefusedConnection, ///< Its port was closed: that boot has ended.
-    Crash,         ///< It broke a connection while it ran a request, or is known to have crashed.
-    FirstAnswer,   ///< It completed an answer in this boot.
-    RampDone,      ///< It completed warmAfter answers in this boot.
-    Silence,       ///< Its load report did not come.
-    Timeout,       ///< An attempt there timed out.
-    Heard,         ///< It answered in the boot that is already known.
-    LeaveOrdered,  ///< Its document says that it leaves, or its zone is out.
-    ReturnOrdered, ///< That word was taken back.
-    Removed,       ///< Its document no longer lists it.
+    NewBoot,           ///< Reported a different boot id, or its first one.
+    RefusedConnection, ///< The port was closed: that boot has ended.
+    Crash,             ///< Broke a connection while it ran a request, or is known to have crashed.
+    FirstAnswer,       ///< Completed a response in this boot.
+    RampDone,          ///< Completed warmAfter responses in this boot.
+    Silence,           ///< The load report did not arrive.
+    Timeout,           ///< An attempt at the target timed out.
+    Heard,             ///< Responded with the known boot id.
+    LeaveOrdered,      ///< Its document marks it as leaving, or its zone is out of service.
+    ReturnOrdered,     ///< The LeaveOrdered condition no longer holds.
+    Removed,           ///< The document no longer lists it.
 };
 
 using TargetStateMachine = StateMachine<TargetState, TargetSignal>;
 
-/// Loads target-life.json from the directory of charts.
+/// Loads target-life.json from the chart directory.
 Expected<TargetStateMachine> loadTargetStateMachine(const std::string &chartDirectory);
 
 } // namespace berylridge
--- a/include/berylridge/Router/Actions.h
+++ b/include/berylridge/Router/Actions.h
@@ -1,4 +1,5 @@
-// What the decision core wants done: the shell carries each out and reports back by events.
+// Defines the actions that a decision core returns. The shell executes them and reports their
+// results as events (Events.h).
 #pragma once
 
 #include "berylridge/Router/Events.h"
@@ -14,53 +15,54 @@
 
 namespace berylridge {
 
-/// Whether a request whose outcome is unknown may be sent again.
+/// States whether a request whose outcome is unknown may be sent again.
 enum class ResendPolicy : std::uint8_t { Forbidden, Allowed };
 
-/// Send the request to the target and stream the answer to the caller. Answered by AttemptHead and
-/// AttemptDone, or by AttemptFailed.
+/// Sends the request to the target and streams the response to the caller. The shell reports
+/// AttemptHead and AttemptDone, or AttemptFailed.
 struct Dispatch
 {
     RequestHandle handle = 0;
     AttemptNumber attempt = 0;
     TargetId target;
     Endpoint endpoint;
-    TimePoint notAfter {}; ///< When no byte has left by then, end the attempt as not sent.
+    TimePoint notAfter {}; ///< The attempt fails as not sent if no byte has left by then.
     Duration attemptTimeout {0};
     Duration connectTimeout = std::chrono::seconds(2);
-    Duration firstByteTimeout {0}; ///< Until the answer's head; idleTimeout where it is zero.
-    Duration idleTimeout {0};      ///< Between pieces of the answer.
-    bool isResumed = false;        ///< Continue the stream after what the caller already has.
+    Duration firstByteTimeout {0}; ///< Limit for the response head; zero means idleTimeout.
+    Duration idleTimeout {0};      ///< Limit between two pieces of the response.
+    bool isResumed = false;        ///< Continues a stream after the part that the caller has.
     bool storesResponse
-        = false;           ///< Hand the answer back in AttemptDone, for resendPolicy of its key.
-    WorkspaceId workspace; ///< Whose request it is; the target is told.
+        = false;           ///< AttemptDone returns the response, to replay it for the same key.
+    WorkspaceId workspace; ///< Owner of the request; sent to the target.
     ResendPolicy resendPolicy = ResendPolicy::Forbidden;
-    /// Idle connections that this node may keep to the target.
+    /// Maximum number of idle connections that this node keeps open to the target.
     std::uint32_t keptConnections = 64;
-    /// What is left of the caller's time; the target is told. Zero where the caller named none.
+    /// Time until the caller's deadline, sent to the target. Zero if the caller set no deadline.
     Duration timeLeft {0};
 };
 
-/// Stop an attempt; nothing more of it reaches the caller.
+/// Cancels an attempt. Nothing more of its response reaches the caller.
 struct AbortAttempt
 {
     RequestHandle handle = 0;
     AttemptNumber attempt = 0;
 };
 
-/// Answer the caller now with problem details (RFC 9457). Where part of an answer was already sent,
-/// the connection is cut instead, so that the caller can't take it for whole.
+/// Answers the caller immediately with problem details (RFC 9457). If part of a response was
+/// already sent, the connection is closed instead, so that the caller can't mistake it for a
+/// complete one.
 struct Refuse
 {
     RequestHandle handle = 0;
     unsigned status = 503;
     Verdict verdict = Verdict::NotRun;
-    std::string title; ///< For people; says what happened.
-    std::string type;  ///< Last part of the problem type URI, as in "queue-full".
+    std::string title; ///< Human-readable summary of the cause.
+    std::string type;  ///< Last segment of the problem type URI, such as "queue-full".
     std::optional<Duration> retryAfter;
 };
 
-/// Answer the caller with the kept answer of an earlier request with the same key.
+/// Answers the caller with the stored response of an earlier request with the same idempotency key.
 struct SendStoredResponse
 {
     RequestHandle handle = 0;
@@ -69,7 +71,7 @@
     std::string body;
 };
 
-/// Answer the caller with the failure that the target itself gave and that the shell holds
+/// Relays the target's own error response, which the shell holds, to the caller
 /// (AttemptFailed::hasHeldResponse).
 struct RelayHeldResponse
 {
@@ -77,7 +79,7 @@
     AttemptNumber attempt = 0;
 };
 
-/// By datagram where it fits into one, else by call.
+/// Sends a message to another node: as a datagram if it fits into one, else as an RPC call.
 struct SendToNode
 {
     NodeId to;
@@ -85,7 +87,7 @@
     std::variant<FleetMessage, KeyMessage, BalancerMessage> message;
 };
 
-/// Try to connect to a silent node. Answered by ProbeEnded.
+/// Probes a silent node by connecting to it. The shell reports ProbeEnded.
 struct ProbeNode
 {
     NodeId node;
@@ -93,28 +95,28 @@
     Incarnation incarnation = 0;
 };
 
-/// Ask a target for its load. Answered by TargetLoadReport or TargetPollFailed.
+/// Polls a target for its load. The shell reports TargetLoadReport or TargetPollFailed.
 struct PollTarget
 {
     TargetId target;
     Endpoint endpoint;
     std::uint64_t poll
-        = 0; ///< Given back with the answer, to tell it from that of an earlier poll.
+        = 0; ///< Returned with the result, to distinguish it from that of an earlier poll.
 };
 
-/// Begin or cease to watch the platform's documents and VM list.
+/// Starts or stops watching the platform's documents and VM list.
 struct WatchPlatform
 {
     bool isOn = false;
 };
 
-/// Whether the balancer should send callers here.
+/// Sets whether the load balancer in front should send callers to this node.
 struct Readiness
 {
     bool isReady = false;
 };
 
-/// A planned stop is over: nothing runs, the process may end.
+/// Reports the end of a planned stop; the process may exit.
 struct Stopped
 {
 };
@@ -133,7 +135,7 @@
                             SendToNode, ProbeNode, PollTarget, WatchPlatform, Readiness, Stopped,
                             Log, Audit>;
 
-/// Actions in the order in which they are to be carried out.
+/// Lists actions in the order in which the shell must execute them.
 using Actions = std::vector<Action>;
 
 } // namespace berylridge
--- a/include/berylridge/Router/Prompt.h
+++ b/include/berylridge/Router/Prompt.h
@@ -1,5 +1,5 @@
-// What a request tells of its prompt: model engines keep parts of prompts in memory, and a part
-// that is kept need not be read again.
+// Describes a request's prompt. Model engines cache parts of prompts in memory and need not process
+// a cached part again.
 #pragma once
 
 #include <cstdint>
@@ -8,7 +8,8 @@
 
 namespace berylridge {
 
-/// One part of a prompt. Requests share parts; the last one is usually the request's own.
+/// Describes one part of a prompt. Requests share parts; the last part is usually unique to its
+/// request.
 struct PromptPart
 {
     std::uint64_t id = 0;
@@ -18,9 +19,9 @@
 struct Prompt
 {
     std::string model;
-    std::vector<PromptPart> parts;  ///< In their order in the prompt.
-    std::uint32_t inputTokens = 0;  ///< The whole prompt.
-    std::uint32_t outputTokens = 0; ///< The most that may be generated.
+    std::vector<PromptPart> parts;  ///< In prompt order.
+    std::uint32_t inputTokens = 0;  ///< Tokens of the whole prompt.
+    std::uint32_t outputTokens = 0; ///< Maximum number of tokens to generate.
 };
 
 } // namespace berylridge
--- a/include/berylridge/Router/RouterCore.h
+++ b/include/berylridge/Router/RouterCore.h
@@ -1,5 +1,6 @@
-// The decision core: events in, actions out. It opens no socket, starts no thread, reads no clock
-// and writes no log; a foreign driver needs this header alone (docs/design/core.md).
+// Declares the decision core that shares capacity by leases. It turns events into actions and does
+// no I/O: it opens no socket, starts no thread, reads no clock and writes no log. A driver of its
+// own needs only this header (docs/design/core.md).
 #pragma once
 
 #include "berylridge/Router/Actions.h"
@@ -16,22 +17,22 @@
 
 namespace berylridge {
 
-/// Which rule shares capacity. All but Fleet are baselines for measurements.
+/// Selects the rule that shares capacity. All rules but Fleet are baselines for measurements.
 enum class SharingPolicy : std::uint8_t {
-    Fleet,      ///< Virtual time over the whole fleet.
-    PerNode,    ///< Virtual time inside each node alone.
-    RoundRobin, ///< Workspaces in turn, whatever they cost.
-    Fifo,       ///< In order of arrival.
+    Fleet,      ///< Orders workspaces by virtual time over the whole fleet.
+    PerNode,    ///< Orders workspaces by virtual time within each node.
+    RoundRobin, ///< Serves workspaces in turn, regardless of their cost.
+    Fifo,       ///< Serves requests in order of arrival.
 };
 
-/// What a core is built with. Times that matter to safety are explained where they are used.
+/// Configures a core. Durations that matter to safety are explained where they are used.
 struct CoreOptions
 {
     NodeId node;
     ZoneId zone;
-    Endpoint endpoint;           ///< Where other nodes reach this one.
+    Endpoint endpoint;           ///< Address at which other nodes reach this one.
     Incarnation incarnation = 0; ///< Must be higher than in any earlier run of this node.
-    std::vector<VmEntry> seeds;  ///< Other nodes to greet before a VM list is there.
+    std::vector<VmEntry> seeds;  ///< Nodes to contact before a VM list is known.
     std::string chartDirectory;
     std::uint64_t seed = 1;
     SharingPolicy policy = SharingPolicy::Fleet;
@@ -39,35 +40,36 @@
     Duration suspectAfter = std::chrono::milliseconds(1200);
     Duration leaseTerm = std::chrono::milliseconds(2000);
     Duration readinessWait
-        = std::chrono::seconds(3); ///< Longest wait for peers' documents at start.
+        = std::chrono::seconds(3); ///< Maximum wait for peers' documents at start.
     Duration stopLimit
-        = std::chrono::seconds(120); ///< Longest wait for running requests at a stop.
+        = std::chrono::seconds(120); ///< Maximum wait for running requests at a planned stop.
 };
 
-/// One node's decisions. Not safe for use by two threads at once: the control thread owns it.
+/// Makes the decisions of one node. It is not thread-safe: the control thread owns it.
 class RouterCore
 {
 public:
-    /// Fails when a chart file is missing or wrong.
+    /// Fails if a chart file is missing or invalid.
     static Expected<std::unique_ptr<RouterCore>> create(CoreOptions options, TimePoint now,
                                                         WallTime wall);
     ~RouterCore();
     RouterCore(const RouterCore &) = delete;
     RouterCore &operator=(const RouterCore &) = delete;
 
-    /// Takes in one event and appends what is to be done. Times must not step back.
+    /// Handles one event and appends the resulting actions. The times must not go backwards.
     void handle(const Event &event, TimePoint now, WallTime wall, Actions &actions);
 
-    /// When to send TimerDue next.
+    /// Returns when the next TimerDue event is due.
     TimePoint nextTimer() const;
 
-    /// A view of the node for operators; costs a copy.
+    /// Returns the node's status for operators, as a copy.
     NodeStatus status() const;
 
-    /// Why the request with this id went where it did, waited or was refused: one line a step.
+    /// Explains why the request with this id was routed, queued or refused as it was. Returns one
+    /// line per step.
     std::vector<std::string> explain(const std::string &requestId) const;
 
-    /// The documents in force; costs a copy.
+    /// Returns a copy of the active documents.
     std::vector<DocumentText> documents() const;
 
 private:
--- a/include/berylridge/Router/Status.h
+++ b/include/berylridge/Router/Status.h
@@ -1,4 +1,4 @@
-// What one node knows, for operators and tests.
+// Defines the status of a node, as reported to operators and tests.
 #pragma once
 
 #include "berylridge/Config/Documents.h"
@@ -25,13 +25,13 @@
     ServiceId service;
     TargetId target;
     ZoneId zone;
-    std::string state; ///< Of the target's life chart, as this node sees it.
+    std::string state; ///< State in charts/target-life.json, as this node sees it.
     NodeId owner;
     std::uint32_t limit
-        = 0; ///< Slots that the owner gives out now; 0 where this node is not the owner.
+        = 0; ///< Slots that the owner currently grants; 0 if this node is not the owner.
     std::uint32_t granted = 0;
-    std::uint32_t held = 0;    ///< Leases that this node holds.
-    std::uint32_t running = 0; ///< This node's requests there.
+    std::uint32_t held = 0;    ///< Leases held by this node.
+    std::uint32_t running = 0; ///< Requests of this node that run at the target.
 };
 
 struct WorkspaceStatus
@@ -39,7 +39,7 @@
     ServiceId service;
     WorkspaceId workspace;
     double weight = 1;
-    double virtualTime = 0; ///< Fleet-wide, as this node knows it.
+    double virtualTime = 0; ///< Fleet-wide virtual time as known to this node.
     double charged = 0;     ///< Slot seconds charged by this node.
     std::uint32_t waiting = 0;
     std::uint32_t running = 0;
@@ -51,7 +51,7 @@
     ZoneId zone;
     std::string state;
     Incarnation incarnation = 0;
-    bool isReader = false; ///< Watches the platform for its zone.
+    bool isReader = false; ///< The node watches the platform for its zone.
     std::uint64_t vmListRevision = 0;
     std::vector<DocumentVersionEntry> documents;
     std::vector<MemberStatus> members;
--- a/lib/Balancer/RequestProcessor.cpp
+++ b/lib/Balancer/RequestProcessor.cpp
@@ -371,7 +371,7 @@
     if (m_crashes.blockedFor(request.fingerprint, m_context.now))
         return false;
     if (!event.sentAny)
-        return true; // Nothing reached a target, so a retry resendPolicy nothing.
+        return true; // Nothing reached a target, so a retry repeats nothing.
     return m_retries[request.service->name].tryTake(
         m_context.options.retries, m_context.peers.limitShareCount(m_context.now), m_context.now);
 }
--- a/lib/Chart/MemberStateMachine.cpp
+++ b/lib/Chart/MemberStateMachine.cpp
@@ -1,4 +1,4 @@
-// Binds charts/member-life.json to its enums.
+// Maps the names in charts/member-life.json to the enums, by order.
 #include "berylridge/Chart/MemberStateMachine.h"
 
 #include <array>
--- a/lib/Chart/NodeStateMachine.cpp
+++ b/lib/Chart/NodeStateMachine.cpp
@@ -1,4 +1,4 @@
-// Binds charts/node-life.json to its enums.
+// Maps the names in charts/node-life.json to the enums, by order.
 #include "berylridge/Chart/NodeStateMachine.h"
 
 #include <array>
--- a/lib/Chart/RequestStateMachine.cpp
+++ b/lib/Chart/RequestStateMachine.cpp
@@ -1,4 +1,4 @@
-// Binds charts/request-life.json to its enums.
+// Maps the names in charts/request-life.json to the enums, by order.
 #include "berylridge/Chart/RequestStateMachine.h"
 
 #include <array>
--- a/lib/Chart/StateChart.cpp
+++ b/lib/Chart/StateChart.cpp
@@ -13,8 +13,8 @@
 using Names = std::span<const std::string>;
 using ExpectedNames = std::span<const std::string_view>;
 
-/// Where each of the expected names stands among those of the file. Appends to the errors what is
-/// missing on either side.
+/// Returns the index of each expected name among the names in the file. Appends an error for each
+/// name that is missing on either side.
 std::vector<StateChart::Index> findIndices(const std::string &file, const char *kind,
                                            Names chartNames, ExpectedNames expected,
                                            std::string &errors)
@@ -33,7 +33,7 @@
     }
     for (const auto &name : chartNames) {
         if (std::find(expected.begin(), expected.end(), name) == expected.end())
-            add(name, "is not one that the program knows");
+            add(name, "is not known to the program");
     }
     return found;
 }
@@ -44,7 +44,7 @@
 {
     std::ifstream in(path, std::ios::binary);
     if (!in)
-        return Reason {path + ":1: the file can't be read"};
+        return Reason {path + ":1: cannot read the file"};
     std::ostringstream text;
     text << in.rdbuf();
     return read(path, text.str());
--- a/lib/Chart/StateChartParser.cpp
+++ b/lib/Chart/StateChartParser.cpp
@@ -14,7 +14,8 @@
 constexpr auto knownMembers = std::to_array<std::string_view>(
     {"initial", "states", "final", "signals", "transitions", "ignored"});
 
-/// jsoncpp's first message is "* Line 3, Column 7\n  what is wrong\n...".
+/// Extracts the first message from jsoncpp's error text, which has the form
+/// "* Line 3, Column 7\n  message\n...".
 std::string firstParseError(const std::string &errors)
 {
     const auto begin = errors.find("\n  ");
@@ -66,12 +67,12 @@
     std::string errors;
     if (!reader->parse(m_text.data(), m_text.data() + m_text.size(), &root, &errors)) {
         int line = 1;
-        std::sscanf(errors.c_str(), "* Line %d", &line); // NOLINT: no number leaves line at 1
+        std::sscanf(errors.c_str(), "* Line %d", &line); // NOLINT: line 1 without a number
         m_errors += m_file + ":" + std::to_string(line) + ": " + firstParseError(errors) + "\n";
         return false;
     }
     if (!root.isObject()) {
-        addError(root, "a chart is a JSON object");
+        addError(root, "a chart must be a JSON object");
         return false;
     }
     return true;
@@ -99,9 +100,9 @@
     std::vector<std::string> names;
     for (const auto &item : list) {
         if (!item.isString() || item.asString().empty())
-            addError(item, "'" + std::string(name) + "' must hold names only");
+            addError(item, "'" + std::string(name) + "' must contain only non-empty names");
         else if (std::find(names.begin(), names.end(), item.asString()) != names.end())
-            addError(item, "'" + item.asString() + "' stands twice in '" + name + "'");
+            addError(item, "'" + item.asString() + "' is listed twice in '" + name + "'");
         else
             names.push_back(item.asString());
     }
@@ -142,7 +143,7 @@
         if (entry.isObject())
             readTransition(entry, hasTarget);
         else
-            addError(entry, "'" + std::string(list) + "' must hold objects only");
+            addError(entry, "'" + std::string(list) + "' must contain only objects");
     }
 }
 
@@ -184,7 +185,7 @@
     const Json::Value &value, const std::vector<std::string> &names, const char *kind)
 {
     if (!value.isString() && !value.isArray()) {
-        addError(value, std::string("a ") + kind + " or a list of them must stand here");
+        addError(value, std::string("a ") + kind + " or a list of them is expected here");
         return {};
     }
     std::vector<Index> found;
@@ -237,7 +238,9 @@
         if (m_chart.m_final[i] && hasOutgoingTransition(i))
             addError(at, "final state '" + m_chart.m_states[i] + "' has a transition out of it");
         if (!m_chart.m_final[i] && !hasOutgoingTransition(i))
-            addError(at, "state '" + m_chart.m_states[i] + "' has no way out and is not final");
+            addError(at,
+                     "state '" + m_chart.m_states[i]
+                         + "' has no transition out of it and is not final");
     }
 }
 
--- a/lib/Chart/StateChartParser.h
+++ b/lib/Chart/StateChartParser.h
@@ -1,4 +1,4 @@
-// Reads the text of one chart file and collects every error with its line.
+// Parses and validates the text of one chart file and collects every error with its line.
 #pragma once
 
 #include "berylridge/Chart/StateChart.h"
--- a/lib/Chart/TargetStateMachine.cpp
+++ b/lib/Chart/TargetStateMachine.cpp
@@ -1,4 +1,4 @@
-// Binds charts/target-life.json to its enums.
+// Maps the names in charts/target-life.json to the enums, by order.
 #include "berylridge/Chart/TargetStateMachine.h"
 
 #include <array>
--- a/lib/Router/CoreContext.h
+++ b/lib/Router/CoreContext.h
@@ -1,5 +1,5 @@
-// What the parts of the core share: options, the present moment, the fleet's view, documents in
-// force, and where actions go.
+// Declares the state that the parts of the core share: options, current time, fleet membership,
+// active documents and the output list of actions.
 #pragma once
 
 #include "berylridge/Chart/MemberStateMachine.h"
@@ -20,7 +20,7 @@
 
 using AnyMessage = std::variant<FleetMessage, KeyMessage, BalancerMessage>;
 
-/// All state charts, loaded once.
+/// Holds all state machines, loaded once at the start.
 struct Charts
 {
     MemberStateMachine member;
@@ -40,7 +40,8 @@
     void log(LogEventId id, std::string detail);
     void audit(AuditKind kind, std::string who, std::string what, std::string from, std::string to);
 
-    /// To another node, or to this one: then it is taken in before the present event is done with.
+    /// Sends a message to a node. A message to this node itself is handled before the current event
+    /// is completed.
     void send(const NodeId &to, AnyMessage message);
     bool isSelf(const NodeId &node) const { return node == options.node; }
 
@@ -54,7 +55,7 @@
     std::deque<AnyMessage> selfMessages;
 };
 
-/// Whether operators have taken the zone out of service.
+/// Returns whether operators have taken the zone out of service.
 bool isZoneOut(const FleetDocument &fleet, const ZoneId &zone);
 
 } // namespace berylridge
--- a/lib/Router/FleetSync.cpp
+++ b/lib/Router/FleetSync.cpp
@@ -10,14 +10,15 @@
 
 namespace {
 
-/// Watches of the platform per zone: one may be lost without a gap.
+/// Nodes per zone that watch the platform. With two, one may fail without a gap.
 constexpr std::size_t readersPerZone = 2;
 constexpr Duration minDocumentsRequestInterval = std::chrono::milliseconds(200);
-/// Bytes of document text in one reply; the rest is asked for again.
+/// Maximum document text in one reply, in bytes. The receiver requests the rest again.
 constexpr std::size_t maxReplyBytes = 512 << 10;
-/// After a planned stop began, the balancer needs this long to see that this node is not ready.
+/// Time that the load balancer needs after the begin of a planned stop to see that this node is not
+/// ready.
 constexpr Duration balancerNoticeDelay = std::chrono::seconds(2);
-/// With no request coming in for this long, the balancer has stopped sending.
+/// Time without a new request after which the load balancer is assumed to have stopped sending.
 constexpr Duration quietPeriod = std::chrono::seconds(1);
 
 } // namespace
@@ -89,7 +90,7 @@
             break;
         reply.documents.push_back({document.name, document.version, document.text});
     }
-    // Also an empty one: it tells a node that starts that it lacks nothing.
+    // An empty reply is sent too: it tells a starting node that its documents are complete.
     m_context.send(from, FleetMessage(std::move(reply)));
 
     const VmList &list = m_context.membership.vmList();
@@ -215,8 +216,8 @@
     if (m_state != NodeState::Leaving)
         return;
     const TimePoint now = m_context.now;
-    // Requests that came during a pause are still unread in the sockets when the process wakes:
-    // were the quiet counted from before the pause, it would end with them and cut them off.
+    // Requests that arrived during a pause of the process are still unread in the sockets when it
+    // resumes. If the quiet period included the pause, the process would exit and drop them.
     const TimePoint quietSince = std::max(lastArrival, m_resumedAt);
     const bool isQuiet
         = now - quietSince >= quietPeriod && now - m_leavingSince >= balancerNoticeDelay;
@@ -263,7 +264,7 @@
     m_context.membership.setSelfState(memberState());
 }
 
-/// What other nodes are told of this one.
+/// Returns this node's state as reported to other nodes.
 MemberState FleetSync::memberState() const
 {
     if (m_state == NodeState::Ready)
@@ -271,9 +272,10 @@
     return m_state == NodeState::Joining ? MemberState::Joining : MemberState::Leaving;
 }
 
-/// A node that starts with no memory takes callers only after a ready node has told it which
-/// documents are in force: the platform may be stale, and would take it back behind the rest of the
-/// fleet. When no such node answers, the platform's word is the best there is.
+/// Makes the node ready once it may rely on its documents. A starting node has no state,
+/// and the platform may be stale, so documents from the platform alone could be older than those of
+/// the rest of the fleet. The node therefore waits until its documents were compared with those of
+/// a ready node. If no ready node responds within readinessWait, it uses the platform's documents.
 void FleetSync::checkReady()
 {
     if (m_state != NodeState::Joining || m_context.documents.digest() == 0)
@@ -281,8 +283,9 @@
     const Duration waited = m_context.now - m_startedAt;
     if (!m_isSynchronised && waited < m_context.options.readinessWait)
         return;
-    // Purchases that came before the nodes agreed on witnesses would be refused as perhaps run. In
-    // a fleet that can't agree, as in a zone that is cut off, the rest is served without them.
+    // Requests with idempotency keys that arrive before the nodes agree on witnesses would be
+    // refused as "may have run". A fleet that cannot agree, such as a partitioned zone, still
+    // serves all other requests after three times readinessWait.
     if (!m_acceptsNewKeys && waited < 3 * m_context.options.readinessWait)
         return;
     step(NodeSignal::DocumentsKnown);
@@ -291,8 +294,9 @@
     announce();
 }
 
-/// The highest by rendezvous hash among the zone's nodes that are heard watch the platform, so that
-/// calls grow with zones and not with nodes.
+/// Selects the readers of this zone: the nodes with the highest rendezvous hash among those that
+/// send heartbeats watch the platform. The platform's load thus grows with the number of zones, not
+/// of nodes.
 void FleetSync::chooseReaders()
 {
     std::vector<NodeId> candidates;
@@ -344,7 +348,7 @@
     }
 }
 
-/// Other zones learn at once when a node of this one comes or goes.
+/// Sends this zone's view to other zones as soon as a node of this zone joins or leaves.
 void FleetSync::pushZoneView()
 {
     const Membership &membership = m_context.membership;
--- a/lib/Router/FleetSync.h
+++ b/lib/Router/FleetSync.h
@@ -1,5 +1,5 @@
-// This node's part in the fleet: heartbeats, the spread of documents and of the VM list, the role
-// of reader at the platform, and the node's own life from joining to a planned stop.
+// Declares the fleet duties of this node: heartbeats, distribution of documents and of the VM list,
+// the reader role at the platform, and the node's own state from joining to a planned stop.
 #pragma once
 
 #include "CoreContext.h"
@@ -16,7 +16,7 @@
 public:
     explicit FleetSync(CoreContext &context);
 
-    /// What changed since the last call, for the other parts to take in.
+    /// Lists what changed since the last call of takeChanges(). Other parts apply these changes.
     struct Changes
     {
         bool documents = false;
@@ -40,12 +40,14 @@
     void onReturn(const std::string &who);
     void onProcessResumed();
 
-    /// acceptsNewKeys: whether callers' idempotency keys find witnesses.
+    /// Runs the periodic work. `acceptsNewKeys` states whether callers' idempotency keys find
+    /// witnesses.
     void tick(bool acceptsNewKeys);
-    /// Ends a planned stop once nothing is left, or its time limit has passed.
+    /// Completes a planned stop once no request is left or stopLimit has passed.
     void checkStop(std::size_t requests, TimePoint lastArrival);
 
-    /// Heartbeats now to all partners: something changed that they should know, such as a document.
+    /// Sends heartbeats to all partners immediately, after a change that they should learn of, such
+    /// as a new document.
     void announce();
 
     NodeState state() const { return m_state; }
@@ -75,8 +77,8 @@
     bool m_isReader = false;
     bool m_isPlatformReachable = true;
     bool m_acceptsNewKeys = false;
-    bool m_isSynchronised = false; ///< A ready node's documents have been compared with ours.
-    std::map<NodeId, TimePoint> m_requestedAt; ///< Last DocumentsRequest to each.
+    bool m_isSynchronised = false; ///< Documents were compared with those of a ready node.
+    std::map<NodeId, TimePoint> m_requestedAt; ///< Time of the last DocumentsRequest per node.
 };
 
 } // namespace berylridge
--- a/lib/Router/PoolManager.cpp
+++ b/lib/Router/PoolManager.cpp
@@ -8,9 +8,10 @@
 
 namespace {
 
-/// A request that its poolOwner zone has not served by then is offered to other zones' pools too.
+/// Wait after which a request that its own zone has not served is offered to other zones' pools
+/// too.
 constexpr Duration spillDelay = std::chrono::milliseconds(20);
-/// After a spill other zones are asked at once for this long: the poolOwner zone is full.
+/// Time after a spill during which other zones are asked immediately, since the own zone is full.
 constexpr Duration spillDuration = std::chrono::seconds(2);
 constexpr Duration usageReportPeriod = std::chrono::milliseconds(500);
 
@@ -99,7 +100,7 @@
             becomeOwner(entry);
             applyEarlyHandover(entry);
         }
-        // The new owner must learn at once what is held, so that it counts it.
+        // The new owner must learn immediately which leases are held, so that it counts them.
         entry.holder.listedAt = TimePoint {};
         sendPeriodicDemand(entry);
     }
@@ -147,7 +148,8 @@
         hasUnusedLease = true;
         giveBack(entry, lease, {}, isUnfit(entry, lease));
     }
-    // The owner has a wrong picture of what waits here: other pools served it, or it was given up.
+    // The owner's view of the demand here is outdated: other pools served the requests, or they
+    // were cancelled or timed out.
     if (!hasUnusedLease)
         return;
     if (const ServiceQueue *queue = m_leaseConsumer.queue(entry.pool.service))
@@ -356,7 +358,8 @@
     entry.needsGrant = true;
 }
 
-/// Ownership moves while this node lives: the successor need not wait for what it can be told.
+/// Transfers the pool's state to the new owner. This node is still running, so the successor need
+/// not wait to learn that state by itself.
 void PoolManager::handOver(ManagedPool &entry, const NodeId &successor)
 {
     if (!successor.isEmpty())
@@ -368,7 +371,8 @@
     const auto found = m_earlyHandovers.find(entry.pool.id);
     if (found == m_earlyHandovers.end())
         return;
-    // An older one tells of a reign that others may have followed.
+    // A handover older than leaseTerm may describe an ownership that other owners have followed
+    // since.
     if (m_context.now - found->second.first <= m_context.options.leaseTerm)
         entry.poolOwner->takeOver(found->second.second, m_context.now);
     m_earlyHandovers.erase(found);
@@ -416,7 +420,7 @@
     return found == entry.pool.targets.end() ? nullptr : &*found;
 }
 
-/// Begins a request on a lease that is held, if the target still takes new work and a request fits.
+/// Starts a request on a held lease if the target still accepts new work and a request is suitable.
 bool PoolManager::tryUseLease(ManagedPool &entry, LeaseId lease)
 {
     const LeaseHolder::Held *held = entry.holder.find(lease);
@@ -432,7 +436,7 @@
     return true;
 }
 
-/// Whether a lease can't be used although it is valid and its flow waits.
+/// Returns whether a lease can't be used although it is valid and its flow has waiting requests.
 bool PoolManager::isUnfit(const ManagedPool &entry, LeaseId lease) const
 {
     const LeaseHolder::Held *held = entry.holder.find(lease);
--- a/lib/Router/PoolManager.h
+++ b/lib/Router/PoolManager.h
@@ -1,4 +1,5 @@
-// The pools that this node owns and the leases that it holds: demand goes out, grants come in.
+// Manages the pools that this node owns and the leases that it holds. Nodes send their demand to
+// the pool owners and receive grants of leases.
 #pragma once
 
 #include "CoreContext.h"
@@ -15,19 +16,20 @@
 
 namespace berylridge {
 
-/// A lease of a pool, as requests refer to it.
+/// Identifies a lease of a pool.
 struct LeaseRef
 {
     PoolId pool = 0;
     LeaseId lease = 0;
 };
 
-/// What the pools ask of the requests: to run one on a lease.
+/// Interface through which the pools start requests on leases.
 class LeaseConsumer
 {
 public:
     virtual ~LeaseConsumer() = default;
-    /// Begins a request of the flow on the target if one fits; false when none does.
+    /// Dispatches a waiting request of the flow to the target. Returns false if no request is
+    /// suitable.
     virtual bool tryDispatch(const LeaseRef &ref, FlowId flow, const TargetSpec &target,
                              const ServiceDocument &document, TimePoint notAfter)
         = 0;
@@ -39,12 +41,13 @@
 public:
     PoolManager(CoreContext &context, LeaseConsumer &user);
 
-    /// Documents in force, or the VM list, have changed.
+    /// Applies a change of the active documents or of the VM list.
     void onDocuments();
-    /// Members or their states have changed: owners may be others now.
+    /// Recomputes the owners after a change of members or of their states.
     void onMembers();
     void onEndedRuns(const std::vector<EndedIncarnation> &runs);
-    /// After a pause: others may poolOwner what this node owned, and leases have run out.
+    /// Drops outdated state after a pause of the process: leases have expired, and other nodes may
+    /// own the pools that this node owned.
     void onProcessResumed();
 
     void onDemand(const NodeId &from, Incarnation incarnation, const PoolDemand &message);
@@ -56,18 +59,18 @@
     void onReport(const TargetLoadReport &report);
     void onPollFailed(const TargetPollFailed &failure);
 
-    /// A request of the service waits, or waits no longer.
+    /// Marks the service's queue as changed.
     void onQueueChanged(const ServiceId &service) { m_changedServices.insert(service); }
-    /// The request on the lease ended: the lease is used again or goes back.
+    /// Reuses or returns the lease after the request on it ended.
     void endLease(const LeaseRef &ref, Duration used, bool isCompleted, const std::string &bootId);
-    /// Tells the target's owner what was met there.
+    /// Reports a signal about a target to the owner of its pool.
     void reportTargetSignal(PoolId pool, TargetHash target, TargetSignal signal,
                             const std::string &bootId);
 
-    /// Sends demand that can't wait, and gives out free slots. Called after each event.
+    /// Sends urgent demand and grants free slots. Called after each event.
     void flush();
     void tick();
-    /// Whether anything waits or is held, so that ticks must be frequent.
+    /// Returns whether demand is outstanding or leases are held, so that frequent ticks are needed.
     bool isBusy() const;
 
     std::size_t openTargetCount(const ServiceId &service) const;
@@ -86,11 +89,12 @@
         Pool pool;
         std::shared_ptr<const ServiceDocument> document;
         NodeId owner;
-        std::optional<PoolOwner> poolOwner; ///< Where this node is the owner.
+        std::optional<PoolOwner> poolOwner; ///< Set if this node is the owner.
         LeaseHolder holder;
-        std::size_t openTargetCount = 0; ///< That take new work, by the documents and the VM list.
-        std::size_t nextReceiverIndex = 0; ///< Turn in the exchange of service.
-        bool needsGrant = false;           ///< Slots may be free or wanted since the last grant.
+        /// Counts the targets that accept new work according to the documents and the VM list.
+        std::size_t openTargetCount = 0;
+        std::size_t nextReceiverIndex = 0; ///< Round-robin position for usage reports.
+        bool needsGrant = false;           ///< Free slots or demand may exist since the last grant.
     };
 
     void becomeOwner(ManagedPool &entry);
@@ -118,14 +122,16 @@
     CoreContext &m_context;
     LeaseConsumer &m_leaseConsumer;
     std::map<PoolId, ManagedPool> m_pools;
-    std::map<ServiceId, std::vector<PoolId>> m_byService; ///< In this node's order of asking.
+    std::map<ServiceId, std::vector<PoolId>>
+        m_byService; ///< Pools in the order in which this node asks them.
     std::map<TargetId, std::pair<PoolId, ServiceId>> m_targetPool;
     std::map<ServiceId, TimePoint>
-        m_spillUntil; ///< Until then other zones' pools are asked at once.
+        m_spillUntil; ///< Time until which other zones' pools are asked immediately.
     std::map<ServiceId, std::size_t> m_openTargetCounts;
     std::set<ServiceId> m_changedServices;
     TimePoint m_nextUsageReportAt {};
-    /// Handovers that came before this node knew that it is the owner, and when they came.
+    /// Holds handovers that arrived before this node knew that it is the owner, with their arrival
+    /// time.
     std::map<PoolId, std::pair<TimePoint, PoolHandover>> m_earlyHandovers;
 };
 
--- a/lib/Router/PoolMessages.cpp
+++ b/lib/Router/PoolMessages.cpp
@@ -1,29 +1,34 @@
-// What a node tells the owners of pools: its demand, what it holds, and what its poolOwner pools
-// gave.
+// Sends this node's demand and held leases to pool owners, and the usage of its own pools to other
+// owners.
 #include "PoolManager.h"
 
 namespace berylridge {
 
 namespace {
 
-/// Demand goes out this often while there is any. Two may be lost before wants are void.
+/// Period of demand messages while demand exists. Two messages may be lost before the owner
+/// discards the demand.
 constexpr Duration demandPeriod = std::chrono::milliseconds(500);
-/// All that is held goes out this often: it is most of the bytes, and only heals what was lost.
+/// Period of demand messages with the full list of held leases. The list makes up most of the bytes
+/// and only repairs the effect of lost messages.
 constexpr Duration fullDemandPeriod = std::chrono::milliseconds(1600);
-/// Owners told per period: all of today's, where a service has a pool in each of three zones.
+/// Owners that receive a usage report per period. With one pool in each of three zones this covers
+/// all other owners.
 constexpr std::size_t ownersPerUsageReport = 2;
-/// Pools that one node asks for a service's slots. Which ones differs from node to node, so that
-/// each pool is asked by as many; with today's few pools it is all of them.
+/// Maximum number of pools that one node asks for a service's slots. The selection differs per
+/// node, so that each pool is asked by equally many nodes. With fewer pools than the limits, all
+/// are asked.
 constexpr std::size_t nearPoolLimit = 4;
 constexpr std::size_t farPoolLimit = 6;
-/// Flows in one demand message, so that it fits into a datagram. The longest waits come first, so
-/// none is left out for ever.
+/// Maximum number of flows in one demand message, so that it fits into a datagram. The flows with
+/// the longest waits come first, so that none is omitted permanently.
 constexpr std::size_t maxFlowsPerDemand = 32;
 
 } // namespace
 
-/// The pools that are to know of the service's waiting requests: one of this zone's at first; more
-/// of them, and some of other zones', when that did not serve them for a while or none is open.
+/// Returns the pools that receive demand for the service's waiting requests. At first this is one
+/// pool of this zone. While requests spill, or if this zone has no pool with targets that accept
+/// work, pools of other zones are added, and while requests spill, more pools of this zone.
 std::vector<PoolManager::ManagedPool *> PoolManager::poolsToAsk(const ServiceId &service)
 {
     const auto spill = m_spillUntil.find(service);
@@ -53,8 +58,8 @@
     m_context.send(entry.owner, FleetMessage(std::move(message)));
 }
 
-/// Demand that can't wait for the period. What is held is left out: it is most of the message, and
-/// the period tells it.
+/// Sends demand immediately instead of at the next period. The list of held leases is omitted: it
+/// makes up most of the message, and the periodic message contains it.
 void PoolManager::sendUrgentDemand(ManagedPool &entry, const ServiceQueue &queue)
 {
     if (entry.owner.isEmpty())
@@ -76,9 +81,9 @@
         sendUrgentDemand(entry, *queue);
 }
 
-/// Owners to tell next what the pool gave. All are told in turn, a bounded number at a time, so
-/// that the messages don't grow with the pools; since the counts are cumulative, waiting one's turn
-/// loses nothing but freshness.
+/// Returns the owners that receive the pool's next usage report. They take turns, a bounded number
+/// at a time, so that the number of messages does not grow with the number of pools. The counts are
+/// cumulative, so a skipped turn only delays the information.
 std::set<NodeId> PoolManager::nextReportReceivers(ManagedPool &entry)
 {
     const std::vector<PoolId> &pools = m_byService[entry.pool.service];
--- a/lib/Router/Request.h
+++ b/lib/Router/Request.h
@@ -1,4 +1,4 @@
-// One caller's request, from its arrival to its one final answer.
+// Defines the state of one caller's request, from its arrival to its single final response.
 #pragma once
 
 #include "PoolManager.h"
@@ -14,11 +14,11 @@
 
 namespace berylridge {
 
-/// What happened to a request, for RouterCore::explain().
+/// Records one step of a request's processing, for RouterCore::explain().
 struct TraceStep
 {
     TimePoint at;
-    const char *what = ""; ///< A literal.
+    const char *what = ""; ///< Points to a string literal.
     std::string detail;
 };
 
@@ -29,26 +29,26 @@
     ServiceId service;
     WorkspaceId workspace;
     FlowId flow = 0;
-    std::string key; ///< Scoped idempotency key; empty when its key needs no admission.
+    std::string key; ///< Scoped idempotency key; empty if no admission is needed.
     bool isIdempotent = false;
     std::uint64_t fingerprint = 0;
     TimePoint arrivedAt;
-    TimePoint queueDeadline; ///< While it waits.
+    TimePoint queueDeadline; ///< Applies while the request waits in the queue.
     RequestState state = RequestState::Arrived;
     Verdict verdict = Verdict::NotRun;
 
     AttemptNumber attempts = 0;
-    std::set<TargetHash> failedTargets; ///< Targets at which it failed.
-    bool isResumed = false;             ///< The caller has part of the answer.
+    std::set<TargetHash> failedTargets; ///< Targets at which an attempt failed.
+    bool isResumed = false;             ///< The caller received part of the response.
     bool isCallerGone = false;
 
-    // Of the attempt that runs.
+    // These fields describe the running attempt.
     TargetId target;
     Endpoint endpoint;
     LeaseRef lease;
     TimePoint dispatchedAt;
     Verdict verdictBefore = Verdict::NotRun;
-    std::string bootId; ///< Of the target's boot, as far as is known.
+    std::string bootId; ///< Last known boot id of the target.
 
     std::vector<TraceStep> trace;
 };
--- a/lib/Router/RequestAttempts.cpp
+++ b/lib/Router/RequestAttempts.cpp
@@ -1,4 +1,4 @@
-// Attempts of requests at targets: their begin, their ends and retries.
+// Implements attempts of requests at targets: dispatch, completion, failure and retries.
 #include "RequestManager.h"
 
 namespace berylridge {
@@ -40,8 +40,8 @@
     ++request.attempts;
     if (request.attempts == 1)
         service.budget.onFirstAttempt();
-    // From here on a byte may leave at any moment; only the shell's word that none did takes it
-    // back.
+    // From here on a byte may be sent at any time. The verdict is reset only if the shell reports
+    // that none was sent.
     request.verdictBefore = request.verdict;
     request.verdict = Verdict::MayHaveRun;
     if (!request.key.empty())
@@ -72,7 +72,7 @@
     if (!request)
         return;
     step(*request, RequestSignal::HeadCame);
-    addTrace(*request, "answer begins", std::to_string(event.status));
+    addTrace(*request, "response begins", std::to_string(event.status));
     recordBoot(*request, event.bootId);
 }
 
@@ -97,9 +97,9 @@
     Request *request = find(event.handle, event.attempt);
     if (!request)
         return;
-    static constexpr const char *names[]
-        = {"refused connection", "connect timeout", "reset",        "timeout",     "bad answer",
-           "cut short",          "not run",         "other target", "target error"};
+    static constexpr const char *names[] = {
+        "refused connection", "connect timeout", "reset",        "timeout",     "invalid response",
+        "truncated response", "not run",         "other target", "target error"};
     const char *name = names[static_cast<std::size_t>(event.failure)];
     addTrace(*request, "attempt failed:", name);
     m_context.log(LogEventId::AttemptFailed,
@@ -122,7 +122,7 @@
         m_pools->reportTargetSignal(request->lease.pool, hash, TargetSignal::Timeout,
                                     request->bootId);
         break;
-    // Failures that only protocols of the balancer tell apart.
+    // Only protocols of the balancer distinguish these failures.
     case AttemptFailure::NotRun:
     case AttemptFailure::OtherTarget:
     case AttemptFailure::TargetError:
@@ -178,14 +178,14 @@
 {
     if (request.attempts >= maxAttempts)
         return false;
-    // Once the target may have acted on it, only what is idempotent may be sent again; whatever the
-    // caller would like, a doubled purchase is worse than a refusal.
+    // Once the target may have processed the request, only an idempotent one may be sent again:
+    // running a purchase twice is worse than refusing it.
     if (event.sentAny && !request.isIdempotent)
         return false;
     const auto service = m_services.find(request.service);
     if (service == m_services.end())
         return false;
-    // The caller has part of the answer: only an engine can go on from there.
+    // The caller has part of the response. Only a model engine can resume the stream from there.
     const bool canResume = service->second.document->kind == ServiceKind::ModelEngine;
     if (request.isResumed && !canResume)
         return false;
@@ -194,7 +194,7 @@
     return service->second.budget.tryTake();
 }
 
-/// Puts a request that is to be tried again before those that wait.
+/// Puts a request that is to be retried at the front of its queue.
 void RequestManager::retry(Request &request)
 {
     Service &service = m_services.at(request.service);
@@ -212,7 +212,7 @@
     return runs ? &found->second : nullptr;
 }
 
-/// The attempt's lease is used again or goes back, and the flow's cost is learnt.
+/// Releases the attempt's lease for reuse or return and records the cost for the flow.
 void RequestManager::endAttempt(Request &request, bool isCompleted)
 {
     const Duration used = m_context.now - request.dispatchedAt;
@@ -225,7 +225,7 @@
     m_pools->endLease(request.lease, used, isCompleted, request.bootId);
 }
 
-/// Keeps the boot in mind that answered; tells the owner where it is another than before.
+/// Records the boot id that responded and reports a changed one to the pool owner.
 void RequestManager::recordBoot(Request &request, const std::string &bootId)
 {
     if (bootId.empty())
--- a/lib/Router/RequestCrashes.cpp
+++ b/lib/Router/RequestCrashes.cpp
@@ -1,5 +1,5 @@
-// Requests that crash targets: whether a broken attempt was a crash, who must hear of it, and which
-// requests are held back for it (docs/design/targets.md).
+// Handles requests that crash targets: detects whether a broken attempt was a crash, reports
+// crashes to the fleet and refuses requests that crash targets repeatedly (docs/design/targets.md).
 #include "RequestManager.h"
 
 #include "berylridge/Support/Hash.h"
@@ -8,10 +8,10 @@
 
 namespace {
 
-/// Time for a broken target's port to answer a poll, and for word of a crash to reach every node,
-/// before the request that may have caused it goes to a second target.
+/// Time for the target to answer a poll after a broken connection, and for a crash report to reach
+/// every node, before the request that may have caused the crash is sent to a second target.
 constexpr Duration crashCheckTimeout = std::chrono::milliseconds(400);
-/// With a tenth of the datagrams lost, all four are lost once in ten thousand times.
+/// Copies of each crash report. At a datagram loss of 10 %, all four are lost once in 10000 cases.
 constexpr int crashReportCopies = 4;
 constexpr Duration crashReportPeriod = std::chrono::milliseconds(200);
 
@@ -22,8 +22,8 @@
 
 } // namespace
 
-/// Asks the target whether its boot has ended. Until it is known the request is not tried again: if
-/// it crashes whatever runs it, each target that it reached meanwhile would be lost.
+/// Polls the target to find out whether its boot has ended. The request is not retried until then:
+/// if it crashes every target that runs it, each further attempt would lose another target.
 void RequestManager::startCrashCheck(Request &request, bool isRetried)
 {
     CrashCheck check;
@@ -45,12 +45,13 @@
 
 void RequestManager::onPollFailed(const TargetPollFailed &failure)
 {
-    // Silence proves nothing yet: the check's own time limit decides.
+    // A missing response proves nothing yet; the crash check's timeout decides.
     if (failure.failure == AttemptFailure::ConnectRefused)
         resolveCrashChecks(failure.target, failure.poll, {});
 }
 
-/// Word of the target: the boot that answers, or none when its port is closed.
+/// Applies the result of a poll to the target's pending crash checks. `bootId` is the boot that
+/// responded, or empty if the port is closed.
 void RequestManager::resolveCrashChecks(const TargetId &target, std::uint64_t poll,
                                         const std::string &bootId)
 {
@@ -63,13 +64,14 @@
             ++check;
             continue;
         }
-        // An answer to an earlier poll may be older than the crash: taken for a signal of life, the
-        // request that caused the crash went to a third target at once.
+        // The response to an earlier poll may predate the crash. If it were taken as proof that the
+        // target is alive, the request that caused the crash would be sent to a third target
+        // immediately.
         if (poll < pending.poll) {
             ++check;
             continue;
         }
-        // The boot lives: the connection alone broke.
+        // The boot is still running: only the connection broke.
         const CrashCheck alive = pending;
         check = m_crashChecks.erase(check);
         finishCrashCheck(alive);
@@ -87,8 +89,8 @@
     refuseCrashingRequests(check.fingerprint);
 }
 
-/// Sends word of crashes to all nodes, each several times: a datagram may be lost, and the node
-/// that misses it lets the request crash two more targets.
+/// Sends pending crash reports to all nodes, each report several times: a datagram may be lost, and
+/// a node without the report would let the request crash two more targets.
 void RequestManager::resendCrashReports()
 {
     for (CrashBroadcast &broadcast : m_crashBroadcasts) {
@@ -105,7 +107,7 @@
         m_crashBroadcasts.pop_front();
 }
 
-/// The time for word of a crash is over: the request goes on, or is given up.
+/// Finishes a crash check: retries the request, or refuses it if it crashed too many targets.
 void RequestManager::finishCrashCheck(const CrashCheck &check)
 {
     const auto found = m_requests.find(check.handle);
@@ -128,7 +130,7 @@
     refuseCrashingRequests(news.fingerprint);
 }
 
-/// Requests that wait with a blocked fingerprint would be the next to crash a target.
+/// Refuses waiting requests with a blocked fingerprint, which would crash the next target.
 void RequestManager::refuseCrashingRequests(std::uint64_t fingerprint)
 {
     if (!m_crashes.blockedFor(fingerprint, m_context.now))
@@ -149,8 +151,8 @@
             m_crashes.blockedFor(fingerprint, m_context.now)};
 }
 
-/// A node that starts anew knows nothing: without word of it, a request that crashed two targets
-/// would crash two more through that node.
+/// Sends the known crashes to nodes with a new incarnation. A restarted node has no crash records,
+/// and a request that crashed two targets would crash two more through that node.
 void RequestManager::sendKnownCrashes()
 {
     for (const auto &[node, member] : m_context.membership.members()) {
--- a/lib/Router/RequestManager.cpp
+++ b/lib/Router/RequestManager.cpp
@@ -1,4 +1,4 @@
-// Admission, waiting and the ends of requests. Attempts and their failures are in
+// Implements admission, queueing and completion of requests. Attempts and their failures are in
 // RequestAttempts.cpp.
 #include "RequestManager.h"
 
@@ -11,12 +11,12 @@
 
 namespace {
 
-/// Ended requests whose way can still be explained.
+/// Number of ended requests whose traces are kept for explain().
 constexpr std::size_t maxExplainedRequests = 1000;
 constexpr Duration minRetryAfter = std::chrono::seconds(1);
 constexpr Duration maxRetryAfter = std::chrono::seconds(60);
 
-/// RFC 9110, section 9.2.2.
+/// Returns whether the HTTP method is idempotent (RFC 9110, section 9.2.2).
 bool isIdempotentMethod(const std::string &method)
 {
     return method == "GET" || method == "HEAD" || method == "PUT" || method == "DELETE"
@@ -106,13 +106,14 @@
         admit(kept, service);
         return;
     }
-    // A key is asked for before anything else can refuse the request: only then is it known whether
-    // the operation that it names may have run through another node.
+    // The key is claimed before any other check can refuse the request. Only the claim shows
+    // whether the operation may already have run through another node.
     step(kept, RequestSignal::ClaimBegun);
-    addTrace(kept, "asks for its key");
+    addTrace(kept, "claims its idempotency key");
     KeyOutput output;
     const std::string key = kept.key;
-    // The fingerprint holds the method and the path as well: a key names one request, not one body.
+    // The fingerprint also covers the method and the path: a key identifies one request, not one
+    // body.
     m_keys.begin(kept.handle, key, kept.fingerprint, m_context.now, m_context.wall, output);
     applyKeyOutput(std::move(output));
 }
@@ -150,7 +151,7 @@
                 retryAfterFor(service, request.flow)});
         return;
     }
-    // A request that would wait in vain is refused now, not after the wait.
+    // A request that would exceed its queue deadline is refused immediately, not after the wait.
     const auto wait = service.queue.expectedWait(request.flow, m_context.now);
     if (wait && m_context.now + *wait > request.queueDeadline) {
         refuse(request,
@@ -184,7 +185,8 @@
     const bool isRunning
         = request.state == RequestState::Sent || request.state == RequestState::Answering;
     if (isRunning && !request.isIdempotent) {
-        // It may have run: to its end it goes, so that a repeat of its key finds the answer.
+        // The request may have run. The attempt continues, so that a retry with the same key finds
+        // the stored response.
         request.isCallerGone = true;
         return;
     }
@@ -219,7 +221,7 @@
         kept.emplace(document->service, std::move(service));
     }
     m_services.swap(kept);
-    // What waited for a service that is gone is answered now; what runs there ends.
+    // Requests that wait for a withdrawn service are refused now; running ones complete.
     std::vector<RequestHandle> orphaned;
     for (const auto &[handle, request] : m_requests) {
         const bool waits
@@ -249,8 +251,9 @@
         entry.incarnation = member.incarnation;
         entry.isAlive = member.state == MemberState::Live || member.state == MemberState::Joining;
         entry.isLeaving = member.state == MemberState::Leaving;
-        // Not by the state: a node that a late VM list leaves out counts as gone there, but it may
-        // live and vote for keys. A closed port is a proof.
+        // The member state is not sufficient: a node that an outdated VM list omits is in state
+        // Gone, but it may be running and vote for keys. Only a closed port proves that the
+        // incarnation ended.
         entry.isTerminated
             = member.incarnation != 0 && member.refusedIncarnation == member.incarnation;
         members.push_back(std::move(entry));
@@ -280,19 +283,19 @@
             continue;
         Request &request = found->second;
         if (std::holds_alternative<KeyAdmitted>(decision)) {
-            addTrace(request, "key admitted");
+            addTrace(request, "idempotency key admitted");
             admit(request, m_services.at(request.service));
         } else if (auto *refused = std::get_if<KeyRefused>(&decision)) {
             m_context.log(LogEventId::KeyConflict, request.id + ' ' + refused->type);
             request.verdict = worse(request.verdict, refused->verdict);
-            request.key.clear(); // It is not this request that holds it.
+            request.key.clear(); // Another request holds the key.
             m_context.emit(Refuse {handle, refused->status, request.verdict, refused->title,
                                    refused->type, refused->retryAfter});
             addTrace(request, "refused", refused->type);
             step(request, RequestSignal::GivenUp);
             finish(handle);
         } else if (auto *answered = std::get_if<KeyReplayed>(&decision)) {
-            addTrace(request, "answered from a kept answer");
+            addTrace(request, "answered from the response kept for its key");
             m_context.emit(SendStoredResponse {
                 handle, answered->status, std::move(answered->headers), std::move(answered->body)});
             step(request, RequestSignal::KeptAnswerFound);
@@ -347,7 +350,7 @@
     return found == m_services.end() ? nullptr : &found->second.queue;
 }
 
-/// Gives a request up: it is answered now, and everything it held is let go.
+/// Refuses a request: answers it immediately and releases everything that it held.
 void RequestManager::refuse(Request &request, Refusal refusal)
 {
     removeFromQueue(request);
@@ -382,7 +385,7 @@
 void RequestManager::finish(RequestHandle handle)
 {
     const auto found = m_requests.find(handle);
-    // Whoever ends a request, no deadline may speak of it afterwards.
+    // No deadline may refer to the request after it ended, whichever way it ended.
     m_queueDeadlines.erase({found->second.queueDeadline, handle});
     m_endedTraces.emplace_back(found->second.id, std::move(found->second.trace));
     if (m_endedTraces.size() > maxExplainedRequests)
@@ -390,7 +393,7 @@
     m_requests.erase(found);
 }
 
-/// Takes a request out of the queue and off the list of deadlines.
+/// Removes a request from the queue and from the list of deadlines.
 void RequestManager::removeFromQueue(Request &request)
 {
     m_queueDeadlines.erase({request.queueDeadline, request.handle});
@@ -409,7 +412,7 @@
     request.trace.push_back({m_context.now, what, std::move(detail)});
 }
 
-/// When to come back: after as long as the flow's waiting requests take to drain.
+/// Returns the Retry-After delay: the time until the flow's waiting requests are expected to drain.
 Duration RequestManager::retryAfterFor(const Service &service, FlowId flow) const
 {
     const auto wait = service.queue.expectedWait(flow, m_context.now);
--- a/lib/Router/RequestManager.h
+++ b/lib/Router/RequestManager.h
@@ -1,5 +1,5 @@
-// The life of callers' requests on this node: admission, waiting, attempts, retries and the one
-// final answer.
+// Manages callers' requests on this node: admission, queueing, attempts, retries and the single
+// final response.
 #pragma once
 
 #include "CoreContext.h"
@@ -24,7 +24,8 @@
 {
 public:
     explicit RequestManager(CoreContext &context);
-    /// The two need each other; called once, before the first event.
+    /// Sets the pool manager, which itself depends on this object. Called once before the first
+    /// event.
     void setPoolManager(PoolManager &pools) { m_pools = &pools; }
 
     void onArrived(const RequestArrived &event, bool isJoining);
@@ -42,10 +43,10 @@
     void onMembers();
     void onVmList(const VmList &list);
 
-    /// Whether a key that a caller makes now could be admitted.
+    /// Returns whether a key that a caller generates now could be admitted.
     bool acceptsNewKeys() const { return m_keys.acceptsNewKeys(m_context.wall); }
 
-    /// Refuses what has waited too long and tries again what was put off.
+    /// Refuses requests whose queue timeout has passed and completes crash checks that are due.
     void tick();
     TimePoint nextTimer() const;
 
@@ -60,7 +61,7 @@
     void fillStatus(NodeStatus &status) const;
 
 private:
-    /// What this node keeps of a service beside its document.
+    /// Holds this node's state of a service beside its document.
     struct Service
     {
         std::shared_ptr<const ServiceDocument> document;
@@ -73,15 +74,16 @@
         Duration charged {0};
         std::uint32_t running = 0;
     };
-    /// An attempt that broke while it ran: a poll of the target tells whether its boot has ended.
+    /// Tracks an attempt whose connection broke. A poll of the target shows whether its boot has
+    /// ended.
     struct CrashCheck
     {
         std::uint64_t fingerprint = 0;
         std::string bootId;
-        RequestHandle handle = 0; ///< The request to go on with; 0 when it was refused.
+        RequestHandle handle = 0; ///< Request to retry afterwards; 0 if it was refused.
         AttemptNumber attempt = 0;
-        std::uint64_t poll = 0; ///< That asks the target.
-        TimePoint until;        ///< Without a word of the target by then, it counts as crashed.
+        std::uint64_t poll = 0; ///< Number of the poll that checks the target.
+        TimePoint until;        ///< Without a response by then, the target counts as crashed.
     };
     struct Refusal
     {
@@ -120,7 +122,7 @@
     PoolManager *m_pools = nullptr;
     KeyRegistry m_keys;
     CrashRecord m_crashes;
-    /// Word of a crash that is still to be repeated.
+    /// Holds a crash report that must be sent to all nodes again.
     struct CrashBroadcast
     {
         CrashReport news;
@@ -131,12 +133,14 @@
     std::map<NodeId, Incarnation> m_crashesSentTo;
     std::map<ServiceId, Service> m_services;
     std::unordered_map<RequestHandle, Request> m_requests;
-    std::set<std::pair<TimePoint, RequestHandle>> m_queueDeadlines; ///< Of requests that wait.
+    std::set<std::pair<TimePoint, RequestHandle>>
+        m_queueDeadlines; ///< Deadlines of waiting requests.
     std::multimap<TargetId, CrashCheck> m_crashChecks;
-    std::uint64_t m_lastPollNumber = 0; ///< Made for crash checks; each has the next number.
-    std::map<TargetId, std::string> m_knownBoots; ///< Last boot that this node saw of a target.
+    std::uint64_t m_lastPollNumber = 0;           ///< Number of the last poll for a crash check.
+    std::map<TargetId, std::string> m_knownBoots; ///< Last boot id seen per target.
     std::map<FlowId, Usage> m_usage;
-    std::deque<std::pair<std::string, std::vector<TraceStep>>> m_endedTraces; ///< For explain().
+    std::deque<std::pair<std::string, std::vector<TraceStep>>>
+        m_endedTraces; ///< Traces of ended requests for explain().
     TimePoint m_lastArrival {};
 };
 
--- a/lib/Router/RouterCore.cpp
+++ b/lib/Router/RouterCore.cpp
@@ -14,10 +14,11 @@
 
 namespace {
 
-/// Periodic work while requests wait or leases are held: spills, give-ups, free slots.
+/// Period of the timer work while requests wait or leases are held: spilling to other zones, queue
+/// timeouts, granting free slots.
 constexpr Duration busyTickPeriod = std::chrono::milliseconds(20);
-/// Events come at least every heartbeat period. A longer gap means that the process was paused, and
-/// what it knows of others is as old as the gap.
+/// Events arrive at least once per heartbeat period. A longer gap means that the process was paused
+/// and that its knowledge of other nodes is as old as the gap.
 constexpr Duration pauseThreshold = std::chrono::milliseconds(1000);
 
 } // namespace
@@ -114,7 +115,7 @@
             [&](const PlatformReachability &e) { m_fleet.onPlatformReachability(e.isReachable); },
             [&](const LeaveOrdered &e) { m_fleet.onLeave(e.who); },
             [&](const ReturnOrdered &e) { m_fleet.onReturn(e.who); },
-            // What the balancer alone takes in (lib/Balancer).
+            // Only the balancer handles these events (lib/Balancer).
             [](const CatalogArrived &) {},
             [](const DirectoryArrived &) {},
             [](const SeedsChanged &) {},
@@ -131,7 +132,8 @@
         m_requests.onKeyMessage(from, incarnation, *key);
         return;
     }
-    // Nodes that run the balancer speak of loads; this core shares by leases and needs none of it.
+    // Nodes that run the balancer send load messages. This core shares capacity by leases and
+    // ignores them.
     if (const auto *fleet = std::get_if<FleetMessage>(&message))
         onFleetMessage(from, incarnation, *fleet);
 }
@@ -171,7 +173,8 @@
     }
 }
 
-/// Carries the event's consequences through this node until nothing is left to take in.
+/// Processes the event's consequences within this node until no change and no message to itself is
+/// pending.
 void RouterCore::Impl::processPendingWork()
 {
     applyFleetChanges();
--- a/unittests/Chart/StateChartTest.cpp
+++ b/unittests/Chart/StateChartTest.cpp
@@ -1,4 +1,4 @@
-// StateChart files: what is read, and that every error is told with its line.
+// Tests parsing of chart files, and that every error is reported with its line.
 #include "berylridge/Chart/StateChart.h"
 
 #include <array>
@@ -69,9 +69,9 @@
               "door.json:5: 'fianl' is unknown; allowed are initial, states, final, signals, "
               "transitions and ignored");
     EXPECT_EQ(errorsOf(replaced(R"("final": ["broken"],)", "")),
-              "door.json:4: state 'broken' has no way out and is not final");
+              "door.json:4: state 'broken' has no transition out of it and is not final");
     EXPECT_EQ(errorsOf(replaced(R"("open", "broken"])", R"("open", "open", "broken"])")),
-              "door.json:4: 'open' stands twice in 'states'");
+              "door.json:4: 'open' is listed twice in 'states'");
     EXPECT_NE(errorsOf(replaced(R"("initial": "shut",)", "")).find("'initial' is missing"),
               std::string::npos);
     EXPECT_EQ(errorsOf(replaced(R"("push", "kick"],)", R"("push", "kick")")).substr(0, 12),
@@ -95,6 +95,6 @@
     const auto wrong = StateMachine<Door, DoorSignal>::load(path, others, doorSignals);
     EXPECT_EQ(wrong.failureReason(),
               path + ":1: state 'ajar' is missing\n" + path
-                  + ":1: state 'open' is not one that the program knows");
+                  + ":1: state 'open' is not known to the program");
     std::remove(path.c_str());
 }
--- a/unittests/Chart/StateMachinesTest.cpp
+++ b/unittests/Chart/StateMachinesTest.cpp
@@ -1,4 +1,5 @@
-// The charts that ship: they load, name the code's enums, and keep the promises that rest on them.
+// Tests the shipped charts: they load, match the enums in the code, and guarantee the transitions
+// that the code relies on.
 #include "berylridge/Chart/MemberStateMachine.h"
 #include "berylridge/Chart/NodeStateMachine.h"
 #include "berylridge/Chart/RequestStateMachine.h"
@@ -28,12 +29,13 @@
     };
     check("target-life.json", false);
     check("member-life.json", false);
-    check("node-life.json", true);    // limitReached outside a stop is a fault of the caller
-    check("request-life.json", true); // as is an answer before a dispatch
+    check("node-life.json", true);    // limitReached outside a planned stop is a caller error
+    check("request-life.json", true); // a response before a dispatch is a caller error too
 }
 
-// A target that crashes under load is sent full load at once and falls over again, if any state
-// forgets to turn it cold: its slots would stay at the warm count.
+// Guards against a state in which a crash doesn't make the target cold: its slots would stay at the
+// warm count, and a target that crashed under load would receive full load immediately and crash
+// again.
 TEST(StateMachines, TargetTurnsColdFromEveryStateThatTakesWork)
 {
     const auto life = loadTargetStateMachine(charts);
@@ -47,8 +49,8 @@
     EXPECT_EQ(life->next(TargetState::Leaving, TargetSignal::NewBoot), TargetState::Leaving);
 }
 
-// A node behind a partition falls silent while the VM list lags. Were silence enough to make it
-// gone, its leases would be given away while it still runs requests on them.
+// A partitioned node sends no heartbeats while the VM list is outdated. If silence alone made it
+// Gone, its leases would be granted to others while it still runs requests on them.
 TEST(StateMachines, SilenceAloneNeverMakesAMemberGone)
 {
     const auto life = loadMemberStateMachine(charts);
--- a/unittests/Router/RouterCoreTest.cpp
+++ b/unittests/Router/RouterCoreTest.cpp
@@ -18,7 +18,7 @@
         + credentialDigest("key") + "\"}]}";
 }
 
-/// One core that is alone in its fleet.
+/// Provides a core that is the only node of its fleet.
 class RouterCoreTest : public testing::Test
 {
 protected:
@@ -45,7 +45,7 @@
         }
         return found;
     }
-    /// Lets time advanceTime as an event loop sees it.
+    /// Advances the clock in steps of 10 ms and sends TimerDue at each, as an event loop would.
     template <typename T>
     std::vector<T> advanceTime(Duration time)
     {
@@ -103,9 +103,9 @@
     }));
 }
 
-// A planned stop is under way, nothing runs, and the process is paused. Callers' requests arrive in
-// its sockets meanwhile. On waking the quiet seems long enough; had the process ended at once, the
-// requests would have been cut off unread.
+// During a planned stop without running requests the process is paused, and callers' requests
+// arrive in its sockets. If the quiet period included the pause, the process would exit on resuming
+// and drop the unread requests.
 TEST_F(RouterCoreTest, PauseRestartsQuietPeriodOfPlannedStop)
 {
     startServing();
@@ -123,8 +123,8 @@
     EXPECT_EQ(advanceTime<Stopped>(15s).size(), 1U);
 }
 
-// The platform is stale and offers an older document than the one in force. Taking it would undo
-// what operators published; every node must keep the newer one.
+// A stale platform offers an older document than the active one. Accepting it would revert what
+// operators published, so every node must keep the newer one.
 TEST_F(RouterCoreTest, OlderDocumentIsIgnored)
 {
     startServing();
@@ -145,8 +145,9 @@
     EXPECT_EQ(m_core->status().documents.front().version, 7U);
 }
 
-// A purchase is sent again with its key, but with a workspace key that is not known here any more.
-// The first sending may have run elsewhere: "not run" would invite a doubled purchase.
+// A purchase is retried with its idempotency key, but with a workspace key that this node no longer
+// knows. The first attempt may have run through another node: reporting "not run" would lead the
+// caller to purchase twice.
 TEST_F(RouterCoreTest, EarlyRefusalOfKeyedRequestIsNotReportedAsNotRun)
 {
     startServing();
@@ -158,8 +159,8 @@
     EXPECT_EQ(actionsAfter<Refuse>(request).front().verdict, Verdict::MayHaveRun);
 }
 
-// A purchase without a key broke off after its first byte had left. It must not be tried again, and
-// the answer must say that it may have run.
+// The connection of a purchase without an idempotency key breaks after its first byte was sent. The
+// request must not be retried, and the refusal must report that it may have run.
 TEST_F(RouterCoreTest, NonIdempotentRequestIsNotRetriedAfterFirstByte)
 {
     startServing();
@@ -176,7 +177,7 @@
     EXPECT_TRUE(advanceTime<Dispatch>(5s).empty());
 }
 
-// A request waits longer than it may. It is answered then, not later, and told when to come back.
+// A request exceeds its queue timeout. It must be refused at that time, with a Retry-After delay.
 TEST_F(RouterCoreTest, QueueTimeoutIsReportedImmediately)
 {
     startServing();
@@ -192,10 +193,10 @@
     EXPECT_TRUE(refusals.front().retryAfter.has_value());
 }
 
-// A request breaks its target's connection: it may have crashed it. An answer to an earlier load
-// poll, made before the crash, comes just afterwards. Taken for a sign of life it would send the
-// request on to the next target at once, and a third one would fall (seen in
-// FleetProcess.QueryOfDeathStopsAtTwoEngines).
+// A request breaks its target's connection and may have crashed the target. The response to an
+// earlier load poll, sent before the crash, arrives just afterwards. If it counted as proof that
+// the target is alive, the request would go to the next target immediately, and a third one would
+// crash; FleetProcess.QueryOfDeathStopsAtTwoEngines covers this in a whole fleet.
 TEST_F(RouterCoreTest, StaleLoadReportDoesNotProveTargetAlive)
 {
     startServing();
