--- a/benchmarks/LoneNode.cpp
+++ b/benchmarks/LoneNode.cpp
@@ -71,7 +71,7 @@
     }
     for (unsigned service = 0; service < shape.services; ++service) {
         m_documents.push_back(documentOf(service));
-        for (Pool &pool : poolsOf(m_documents.back()))
+        for (Pool &pool : splitIntoPools(m_documents.back()))
             m_pools.emplace(pool.id, std::move(pool));
     }
     m_memoryBefore = memoryNow();
--- a/include/berylridge/Balancer/BalancerCore.h
+++ b/include/berylridge/Balancer/BalancerCore.h
@@ -4,7 +4,7 @@
 // and reads no clock.
 #pragma once
 
-#include "berylridge/Policy/FleetShare.h"
+#include "berylridge/Policy/FleetLimits.h"
 #include "berylridge/Router/Actions.h"
 #include "berylridge/Router/Events.h"
 #include "berylridge/Support/Endpoint.h"
@@ -30,7 +30,7 @@
     /// Interval between digests. Half the period served callers 1 % more for twice the messages;
     /// twice the period served them 5 % less (mean over 16 days under load at 7 and 9 nodes).
     Duration digestPeriod = std::chrono::milliseconds(100);
-    RetryShare::Limits retries;
+    FleetRetryBudget::Limits retries;
     /// Time from the start of a planned stop during which new requests are still served. The
     /// balancer in front polls this node's readiness once a second and keeps sending callers until
     /// it has polled twice. Later requests are rejected, because stopLimit would truncate their
--- a/include/berylridge/Fleet/BalancerMessages.h
+++ b/include/berylridge/Fleet/BalancerMessages.h
@@ -82,12 +82,12 @@
     /// Included in some digests only: some of the nodes that the sender received messages from
     /// lately.
     std::vector<PeerEntry> peers;
-    std::uint32_t servedPerSecond = 0;     ///< Tokens of requests that the sender admitted.
-    std::uint32_t turnedAwayPerSecond = 0; ///< Tokens of requests rejected for lack of capacity.
+    std::uint32_t servedPerSecond = 0;   ///< Tokens of requests that the sender admitted.
+    std::uint32_t rejectedPerSecond = 0; ///< Tokens of requests rejected for lack of capacity.
     /// Whether the sender reads the platform's state and the platform answers.
     bool isReadingPlatform = false;
     MSGPACK_DEFINE(zone, address, port, isLeaving, catalogVersion, directoryRevision, loads, flows,
-                   interruptedRequests, peers, servedPerSecond, turnedAwayPerSecond,
+                   interruptedRequests, peers, servedPerSecond, rejectedPerSecond,
                    isReadingPlatform)
 };
 
--- a/include/berylridge/Policy/Admission.h
+++ b/include/berylridge/Policy/Admission.h
@@ -6,18 +6,18 @@
 
 namespace berylridge {
 
-struct AdmissionNeed
+struct AdmissionInput
 {
     double latencyTargetMs = 0; ///< To the first event or the whole answer.
     double readMs = 0;          ///< Expected for reading the prompt.
     /// How far the workspace is beyond its share, in seconds of the share; 0 within it.
-    double secondsAhead = 0;
+    double secondsOverShare = 0;
 };
 
 /// Below any wait: nothing is accepted.
-inline constexpr double noWaitMs = -1;
+inline constexpr double refusedWaitMs = -1;
 
-/// Longest wait in ms that is accepted, or noWaitMs.
-double allowedWaitMs(const AdmissionNeed &need);
+/// Longest wait in ms that is accepted, or refusedWaitMs.
+double maxQueueWaitMs(const AdmissionInput &input);
 
 } // namespace berylridge
--- a/include/berylridge/Policy/CrashRecord.h
+++ b/include/berylridge/Policy/CrashRecord.h
@@ -15,7 +15,7 @@
 {
 public:
     /// A request with this fingerprint crashes no more targets than this.
-    static constexpr std::size_t crashLimit = 2;
+    static constexpr std::size_t maxCrashes = 2;
 
     /// A boot ended while it ran the request. Returns whether that is news.
     bool add(std::uint64_t fingerprint, std::uint64_t boot, TimePoint now);
@@ -28,7 +28,7 @@
 
     std::size_t crashes(std::uint64_t fingerprint) const;
     /// How long the request is still refused; none when it may run.
-    std::optional<Duration> blockedFor(std::uint64_t fingerprint, TimePoint now) const;
+    std::optional<Duration> remainingBlockTime(std::uint64_t fingerprint, TimePoint now) const;
 
     /// Calls visit(fingerprint, boot) for each crash that is remembered.
     template <typename Visit>
--- a/include/berylridge/Policy/FleetShare.h
+++ b/include/berylridge/Policy/FleetLimits.h
@@ -14,25 +14,25 @@
 ///
 /// Load it answers: 70 nodes keep as many connections as they once needed at the same moment. The
 /// target's limit is used up by idle ones, and it resets each new one.
-std::uint32_t keptConnections(std::uint32_t limit, std::size_t nodes);
+std::uint32_t idleConnectionLimit(std::uint32_t limit, std::size_t nodes);
 
 /// Requests a second to a cold target: a token bucket with one node's part of the rate.
 ///
 /// Load it answers: a zone's targets come back cold at once while the rest is overloaded, and every
 /// node sends them all it has. They fall over and come back cold again.
-class ColdShare
+class ColdTargetLimiter
 {
 public:
     /// Takes one request's place where there is one. The burst of one request a node stays below
     /// the platform's slack as long as there are fewer nodes than the rate and slack bear.
     bool tryTake(double ratePerSecond, std::size_t nodes, TimePoint now);
     /// Whether tryTake() would succeed.
-    bool hasPlace(double ratePerSecond, std::size_t nodes, TimePoint now) const;
+    bool hasToken(double ratePerSecond, std::size_t nodes, TimePoint now) const;
 
 private:
     static constexpr double burst = 1;
 
-    double refilled(double ratePerSecond, std::size_t nodes, TimePoint now) const;
+    double refilledTokens(double ratePerSecond, std::size_t nodes, TimePoint now) const;
 
     double m_tokens = burst;
     TimePoint m_filledAt {};
@@ -43,7 +43,7 @@
 ///
 /// Load it answers: a fault fails all attempts, and sending each again doubles the load just when
 /// the targets bear least.
-class RetryShare
+class FleetRetryBudget
 {
 public:
     struct Limits
@@ -60,12 +60,12 @@
 private:
     /// The bound is fleet-wide and is counted at the targets; this node's view of its part may be
     /// off by a few, so it uses less than all of it.
-    static constexpr double usedPart = 0.8;
+    static constexpr double usableFraction = 0.8;
 
     void expire(Duration window, TimePoint now);
 
-    std::deque<TimePoint> m_first;
-    std::deque<TimePoint> m_further;
+    std::deque<TimePoint> m_firstAttempts;
+    std::deque<TimePoint> m_retries;
 };
 
 } // namespace berylridge
--- a/include/berylridge/Policy/FlowShares.h
+++ b/include/berylridge/Policy/FlowAccounting.h
@@ -10,7 +10,7 @@
 
 namespace berylridge {
 
-class FlowShares
+class FlowAccounting
 {
 public:
     /// Weights come from the service's document; a flow without one counts as 1.
@@ -19,7 +19,7 @@
     /// The flow has demand or work in flight. A flow that had neither for a while starts level with
     /// the flow that was served last: otherwise it could save up its idle time and then hold all
     /// slots until it had caught up, and the others would see their service stop.
-    void touch(FlowId flow, TimePoint now);
+    void markActive(FlowId flow, TimePoint now);
 
     /// A lease was granted: the flow is charged the estimate at once, since the cost is known only
     /// at the end; without it one flow would take every slot that is free at this moment.
@@ -28,7 +28,7 @@
     void end(FlowId flow, Duration estimate, TimePoint begun, Duration used);
 
     /// Service that other pools of the same service gave to the flow.
-    void addRemote(FlowId flow, Duration served);
+    void addRemoteService(FlowId flow, Duration served);
 
     /// Weighted seconds. While work runs longer than estimated, it grows with the time that passes.
     double virtualTime(FlowId flow, TimePoint now) const;
@@ -36,8 +36,8 @@
     /// Sets a flow that this owner has not charged yet to where an earlier owner left it.
     void restore(FlowId flow, double virtualTime, TimePoint now);
 
-    /// Remembers the virtual time at which a flow was last chosen.
-    void chosen(double virtualTime);
+    /// Remembers the virtual time at which a flow was last onChosen.
+    void onChosen(double virtualTime);
 
     /// Slot time given by this pool, work in flight included; cumulative.
     Duration served(FlowId flow, TimePoint now) const;
@@ -58,10 +58,10 @@
 private:
     struct Flow
     {
-        Duration settled {0}; ///< Of this pool's ended leases.
-        Duration remote {0};
-        double lift = 0; ///< Virtual time given when the flow came back from idleness.
-        TimePoint touched {};
+        Duration settledService {0}; ///< Of this pool's ended leases.
+        Duration remoteService {0};
+        double virtualTimeOffset = 0; ///< Virtual time given when the flow came back from idleness.
+        TimePoint lastActiveAt {};
         std::multimap<TimePoint, Duration> inFlight; ///< Start and estimate of each lease.
     };
 
@@ -69,7 +69,7 @@
 
     std::unordered_map<FlowId, Flow> m_flows;
     std::unordered_map<FlowId, double> m_weights;
-    double m_floor = 0; ///< Virtual time of the flow chosen last; never falls.
+    double m_systemVirtualTime = 0; ///< Virtual time of the flow onChosen last; never falls.
 };
 
 } // namespace berylridge
--- a/include/berylridge/Policy/LeaseHolder.h
+++ b/include/berylridge/Policy/LeaseHolder.h
@@ -16,11 +16,11 @@
 class LeaseHolder
 {
 public:
-    struct Held
+    struct LeaseState
     {
         TargetHash target = 0;
         FlowId flow = 0;
-        TimePoint startsBy; ///< No request may begin on it later.
+        TimePoint startDeadline; ///< No request may begin on it later.
         TimePoint grantedAt;
         Duration quantum {0};
         Duration used {0}; ///< By requests that have ended.
@@ -44,41 +44,41 @@
     /// it.
     bool end(LeaseId lease, Duration used, bool isCompleted, TimePoint now);
     /// Takes the lease out of what is held; what to tell the owner.
-    ReturnedLease giveBack(LeaseId lease);
+    ReturnedLease returnLease(LeaseId lease);
     /// After a pause: idle leases are void, and busy ones can't be used again.
-    void dropIdle();
+    void dropIdleLeases();
 
-    const Held *find(LeaseId lease) const;
-    bool mayBegin(LeaseId lease, TimePoint now) const;
+    const LeaseState *find(LeaseId lease) const;
+    bool canStartRequest(LeaseId lease, TimePoint now) const;
     std::size_t size() const { return m_leases.size(); }
-    std::uint32_t heldAt(TargetHash target) const;
+    std::uint32_t leaseCountAt(TargetHash target) const;
 
     /// The whole state for the owner; remembers what was told.
     PoolDemand demandMessage(std::vector<FlowDemand> demand, TimePoint now);
     /// The demand alone, for an owner that must hear of it before the next period.
-    PoolDemand urgentMessage(std::vector<FlowDemand> demand, TimePoint now);
+    PoolDemand demandOnlyMessage(std::vector<FlowDemand> demand, TimePoint now);
 
     /// Number for the next PoolReturn.
     std::uint64_t nextSequence() { return ++m_sequence; }
     /// Whether the owner's picture is so far off that it should hear now instead of at the next
     /// period: it knows of no more waiting requests of a flow that has some, or of fewer than half.
-    bool isOwnerBehind(FlowId flow, std::size_t waiting) const;
+    bool isOwnerViewStale(FlowId flow, std::size_t waiting) const;
     /// Whether the owner was told of demand or of leases that are there no more.
-    bool hasToldDemand() const { return !m_told.empty(); }
+    bool hasReportedDemand() const { return !m_reportedWaiting.empty(); }
 
     /// When demand was last told, and when the whole state.
-    TimePoint toldAt {};
-    TimePoint listedAt {};
+    TimePoint demandReportedAt {};
+    TimePoint leasesReportedAt {};
 
 private:
     PoolId m_pool;
-    std::map<LeaseId, Held> m_leases;
+    std::map<LeaseId, LeaseState> m_leases;
     NodeId m_owner;
     Incarnation m_ownerIncarnation = 0;
     std::uint64_t m_lastGrant = 0;
     std::uint64_t m_sequence = 0;
     std::unordered_map<FlowId, std::int64_t>
-        m_told; ///< Waiting as told, less what was granted since.
+        m_reportedWaiting; ///< Waiting as told, less what was granted since.
 };
 
 } // namespace berylridge
--- a/include/berylridge/Policy/NodeLoad.h
+++ b/include/berylridge/Policy/LoadShedder.h
@@ -29,13 +29,13 @@
 };
 
 /// Not safe for use by two threads at once.
-class NodeLoad
+class LoadShedder
 {
 public:
     /// A tenth of the shortest latency target in use.
-    static constexpr Duration usualAcceptedLag = std::chrono::milliseconds(30);
+    static constexpr Duration defaultAcceptedLag = std::chrono::milliseconds(30);
 
-    explicit NodeLoad(Duration acceptedLag = usualAcceptedLag)
+    explicit LoadShedder(Duration acceptedLag = defaultAcceptedLag)
         : m_acceptedLag(acceptedLag)
     {
     }
@@ -55,8 +55,8 @@
     /// Requests a second that are kept; infinite while the thread keeps up.
     double limit() const { return m_limit; }
     /// What was turned away since the last call, by credential.
-    std::vector<ShedCount> takeShed();
-    std::size_t knownCredentials() const { return m_arrivals.size(); }
+    std::vector<ShedCount> takeShedCounts();
+    std::size_t credentialCount() const { return m_arrivals.size(); }
 
 private:
     static constexpr double unlimited = std::numeric_limits<double>::infinity();
@@ -64,28 +64,28 @@
     struct Arrivals
     {
         Rate rate;
-        double allowed = 1; ///< Requests that may be kept at once.
+        double tokens = 1; ///< Requests that may be kept at once.
         TimePoint filledAt {};
-        std::uint64_t shed = 0; ///< Since takeShed() was called.
+        std::uint64_t shed = 0; ///< Since takeShedCounts() was called.
     };
 
     bool tryTake(Arrivals &arrivals, TimePoint now);
-    void updateLevel(TimePoint now);
+    void updateFairRate(TimePoint now);
 
     const Duration m_acceptedLag;
     std::unordered_map<CredentialKey, Arrivals> m_arrivals;
-    Rate m_keptRate;
-    double m_timelyRate = 0; ///< Of what was kept, at the last report of a thread in time.
+    Rate m_acceptedRate;
+    double m_onTimeRate = 0; ///< Of what was kept, at the last report of a thread in time.
     // Requests a second. The borne rate is what the processor is taken to bear; the limit is below
     // it while the thread is late, and the level is what each credential may have of the limit.
-    double m_borneRate = unlimited;
+    double m_sustainableRate = unlimited;
     double m_limit = unlimited;
-    double m_level = unlimited;
+    double m_fairRate = unlimited;
     double m_arrivalRate = 0;
-    TimePoint m_levelAt {};
+    TimePoint m_fairRateUpdatedAt {};
     Duration m_lag {0};
     bool m_wasLate = false;
-    bool m_hasShed = false; ///< Since the last report.
+    bool m_hasShedSinceReport = false; ///< Since the last report.
 };
 
 } // namespace berylridge
--- a/include/berylridge/Policy/Placement.h
+++ b/include/berylridge/Policy/Placement.h
@@ -6,7 +6,7 @@
 // hot part spreads over more targets and shrinks back by itself.
 #pragma once
 
-#include "berylridge/Policy/PromptDirectory.h"
+#include "berylridge/Policy/PromptCacheDirectory.h"
 #include "berylridge/Policy/TargetLoads.h"
 
 #include <cstdint>
@@ -19,18 +19,18 @@
 /// A target that may be used, as placement sees it.
 struct PlacementCandidate
 {
-    TargetLoad load;              ///< Over the whole fleet.
-    std::uint32_t slots = 1;      ///< Requests that it runs at once.
-    std::uint32_t keptTokens = 0; ///< Of the request's prompt.
-    double tokensPerMs = 100;     ///< How fast it reads prompts.
-    double keptSeconds = 0;       ///< How long it keeps a part that isn't used again.
-    double failureShare = 0;      ///< Of recent attempts.
+    TargetLoad load;                 ///< Over the whole fleet.
+    std::uint32_t slots = 1;         ///< Requests that it runs at once.
+    std::uint32_t cachedTokens = 0;  ///< Of the request's prompt.
+    double tokensPerMs = 100;        ///< How fast it reads prompts.
+    double cacheLifetimeSeconds = 0; ///< How long it keeps a part that isn't used again.
+    double failureRatio = 0;         ///< Of recent attempts.
     bool isOtherZone = false;
     bool isZoneSilent = false;  ///< All nodes of its zone have fallen silent.
     std::uint64_t affinity = 0; ///< Rendezvous weight for the prompt's first part.
 };
 
-struct PlacementNeed
+struct PlacementRequest
 {
     std::uint32_t inputTokens = 0; ///< 0 for requests without a prompt.
     std::vector<SharedPart> parts; ///< Of the prompt, in its order, those that others use too.
@@ -47,6 +47,6 @@
 
 /// Nothing where there is no candidate.
 std::optional<PlacementChoice> choosePlacement(std::span<const PlacementCandidate> candidates,
-                                               const PlacementNeed &need);
+                                               const PlacementRequest &request);
 
 } // namespace berylridge
--- a/include/berylridge/Policy/Pool.h
+++ b/include/berylridge/Policy/Pool.h
@@ -13,7 +13,7 @@
 
 /// Targets of one pool at most. Above it a zone's targets of a service are split into more pools,
 /// so that the owner's work and its messages grow with the owners, not with one node.
-inline constexpr std::size_t poolTargetLimit = 16;
+inline constexpr std::size_t maxTargetsPerPool = 16;
 
 struct Pool
 {
@@ -28,7 +28,7 @@
 TargetHash targetHash(const TargetId &target);
 
 /// Splits a service's targets into pools. Equal on every node that has the same document in force.
-std::vector<Pool> poolsOf(const ServiceDocument &document);
+std::vector<Pool> splitIntoPools(const ServiceDocument &document);
 
 /// The node that owns a pool: the highest rendezvous weight over the candidates; empty without any.
 NodeId rendezvousWinner(std::string_view subject, std::span<const NodeId> candidates);
--- a/include/berylridge/Policy/PoolOwner.h
+++ b/include/berylridge/Policy/PoolOwner.h
@@ -2,10 +2,10 @@
 // free slots to the flow that has received least.
 #pragma once
 
-#include "berylridge/Policy/FlowShares.h"
-#include "berylridge/Policy/PickRule.h"
+#include "berylridge/Policy/FlowAccounting.h"
 #include "berylridge/Policy/Pool.h"
-#include "berylridge/Policy/TargetGauge.h"
+#include "berylridge/Policy/SchedulingPolicy.h"
+#include "berylridge/Policy/TargetCapacity.h"
 #include "berylridge/Support/Endpoint.h"
 
 #include <map>
@@ -28,7 +28,7 @@
 {
     Incarnation incarnation = 0; ///< Of the owning node.
     Duration leaseTerm {0};
-    PickRule rule;
+    SchedulingPolicy policy;
 };
 
 class PoolOwner
@@ -36,19 +36,19 @@
 public:
     /// Begins to own the pool. Grants wait for one lease term: an earlier owner may be paused or
     /// cut off, and what it granted runs out by then; meanwhile holders tell what they hold.
-    PoolOwner(const TargetStateMachine &chart, PoolOwnerOptions options, TimePoint now);
+    PoolOwner(const TargetStateMachine &stateMachine, PoolOwnerOptions options, TimePoint now);
 
     /// Takes in the document. Targets that left the pool are dropped with their leases; isLeaving
     /// of each target says whether it is closed for new work for any reason.
     void configure(const ServiceDocument &document, const Pool &pool, TimePoint now);
-    void setPart(OwnerPart part) { m_part = part; }
+    void setAgreement(OwnerAgreement agreement) { m_agreement = agreement; }
 
     void onDemand(const NodeId &from, Incarnation incarnation, const PoolDemand &message,
                   TimePoint now);
     void onReturn(const NodeId &from, const PoolReturn &message, TimePoint now);
-    void onNews(const TargetObservation &news, TimePoint now);
-    void onReport(TargetHash target, std::string_view bootId, std::uint32_t running,
-                  std::uint64_t completed, Duration age, TimePoint now);
+    void onTargetReport(const TargetObservation &targetReport, TimePoint now);
+    void onLoadReport(TargetHash target, std::string_view bootId, std::uint32_t running,
+                      std::uint64_t completed, Duration age, TimePoint now);
     void onPollFailed(TargetHash target, bool isRefused, TimePoint now);
     /// Everything given out, for the successor; this owner must grant nothing afterwards.
     PoolHandover handover(TimePoint now) const;
@@ -58,7 +58,7 @@
     /// The run of a node has ended: what it held is free, what it wanted is void.
     void onHolderGone(const NodeId &node, Incarnation incarnation, TimePoint now);
     /// What another pool of the service gave.
-    void onRemoteService(const PoolUsage &message);
+    void onRemoteUsage(const PoolUsage &message);
 
     /// Frees what has run out and forgets what is old.
     void tick(TimePoint now);
@@ -68,17 +68,20 @@
     /// Targets whose load report is due; marks them as asked.
     std::vector<TargetHash> duePolls(TimePoint now);
     /// What the pool's flows received, for owners of the service's other pools.
-    PoolUsage serviceReport(TimePoint now) const;
+    PoolUsage usageReport(TimePoint now) const;
 
-    /// For status: the gauge, the limit now and the leases given out, by target.
+    /// For status: the capacity, the limit now and the leases given out, by target.
     struct TargetView
     {
-        const TargetGauge *gauge;
+        const TargetCapacity *capacity;
         std::uint32_t limit;
         std::uint32_t granted;
     };
     std::optional<TargetView> target(TargetHash target, TimePoint now) const;
-    double virtualTime(FlowId flow, TimePoint now) const { return m_shares.virtualTime(flow, now); }
+    double virtualTime(FlowId flow, TimePoint now) const
+    {
+        return m_accounting.virtualTime(flow, now);
+    }
     std::size_t waiting() const;
 
 private:
@@ -90,11 +93,12 @@
         FlowId flow = 0;
         std::uint64_t number = 0; ///< Of the grant; 0 for a lease taken over from an earlier owner.
         TimePoint grantedAt;
-        TimePoint startsBy; ///< No request begins on it later, by the holder's clock even earlier.
-        TimePoint seenAt;   ///< When the holder last told that it holds it.
+        TimePoint
+            startDeadline; ///< No request begins on it later, by the holder's clock even earlier.
+        TimePoint confirmedAt; ///< When the holder last told that it holds it.
         Duration estimate {0};
-        bool isSeen = false;     ///< The holder told that it holds it.
-        bool isOnItsWay = false; ///< The holder may not have received it yet.
+        bool isConfirmed = false; ///< The holder told that it holds it.
+        bool isInFlight = false;  ///< The holder may not have received it yet.
     };
     struct Holder
     {
@@ -102,61 +106,62 @@
         std::uint64_t sequence = 0;
         std::int64_t sentAt = 0;
         TimePoint heardAt;
-        TimePoint listedAt;           ///< When it last told all that it holds.
-        std::uint64_t lastNumber = 0; ///< Of the grants sent to it.
-        std::uint64_t lastSeen = 0;   ///< The highest grant number that it has received.
-        std::map<FlowId, FlowDemand> wants;
+        TimePoint leasesReportedAt;              ///< When it last told all that it holds.
+        std::uint64_t lastGrantNumber = 0;       ///< Of the grants sent to it.
+        std::uint64_t lastAcknowledgedGrant = 0; ///< The highest grant number that it has received.
+        std::map<FlowId, FlowDemand> demands;
     };
     struct Target
     {
-        TargetGauge gauge;
+        TargetCapacity capacity;
         std::uint32_t occupied = 0;
     };
 
-    void noteGrantsReceived(const NodeId &from, Holder &holder, const PoolDemand &message);
-    void arrived(Lease &lease);
-    Lease *adopt(LeaseId id, Lease lease, TimePoint now);
-    bool isWaiting(TimePoint now) const;
+    void acknowledgeGrants(const NodeId &from, Holder &holder, const PoolDemand &message);
+    void markDelivered(Lease &lease);
+    Lease *adoptLease(LeaseId id, Lease lease, TimePoint now);
+    bool isTakeoverPending(TimePoint now) const;
 
     void reconcile(const NodeId &from, Holder &holder, const PoolDemand &message, TimePoint now);
     void free(std::map<LeaseId, Lease>::iterator lease, Duration used);
-    bool hasRunOut(const Lease &lease, TimePoint now) const;
+    bool isReclaimable(const Lease &lease, TimePoint now) const;
     std::uint32_t freeSlots(const Target &target, TimePoint now) const;
-    std::uint32_t unknownWork(const Target &target, TimePoint now) const;
+    std::uint32_t untrackedRequests(const Target &target, TimePoint now) const;
     /// Whose requests: a flow's at one node.
-    using Want = std::pair<NodeId, FlowId>;
-    std::optional<TargetHash> pickTarget(const Want &want, TimePoint now) const;
+    using FlowAtNode = std::pair<NodeId, FlowId>;
+    std::optional<TargetHash> selectTarget(const FlowAtNode &want, TimePoint now) const;
     bool hasFreeSlot(TimePoint now) const;
-    bool isUnfit(const Want &want, TargetHash target, TimePoint now) const;
-    struct Choice
+    bool isRejectedBy(const FlowAtNode &want, TargetHash target, TimePoint now) const;
+    struct FlowChoice
     {
         NodeId node;
         FlowId flow = 0;
         double virtualTime = 0;
     };
-    std::optional<Choice> pickFlow(const std::set<Want> &passedOver, TimePoint now) const;
-    std::uint32_t ungranted(const NodeId &node, const FlowDemand &want) const;
+    std::optional<FlowChoice> selectFlow(const std::set<FlowAtNode> &skipped, TimePoint now) const;
+    std::uint32_t ungrantedRequests(const NodeId &node, const FlowDemand &want) const;
 
-    const TargetStateMachine *m_chart;
+    const TargetStateMachine *m_stateMachine;
     PoolOwnerOptions m_options;
-    OwnerPart m_part;
+    OwnerAgreement m_agreement;
     PoolId m_pool = 0;
     ServiceId m_service;
-    TimePoint m_began;
-    bool m_isHandedOver = false; ///< The earlier owner told what it had given out.
+    TimePoint m_startedAt;
+    bool m_hasHandover = false; ///< The earlier owner told what it had given out.
 
     std::uint64_t m_nextLease;
     std::map<TargetHash, Target> m_targets;
     std::map<LeaseId, Lease> m_leases;
     std::map<NodeId, Holder> m_holders;
     /// Leases that their holder may not have received yet, by holder and flow.
-    std::map<Want, std::uint32_t> m_onTheirWay;
+    std::map<FlowAtNode, std::uint32_t> m_inFlightGrants;
     /// Until when a target is not offered to a flow at a node, which has said that nothing fits.
-    std::map<std::pair<Want, TargetHash>, TimePoint> m_unfit;
-    FlowShares m_shares;
-    PickMemory m_memory;
+    std::map<std::pair<FlowAtNode, TargetHash>, TimePoint> m_rejectedTargets;
+    FlowAccounting m_accounting;
+    SchedulingHistory m_history;
     Duration m_attemptTimeout {0};
-    std::map<PoolId, std::pair<std::uint64_t, std::unordered_map<FlowId, std::uint64_t>>> m_remote;
+    std::map<PoolId, std::pair<std::uint64_t, std::unordered_map<FlowId, std::uint64_t>>>
+        m_remoteUsage;
 };
 
 } // namespace berylridge
--- a/include/berylridge/Policy/Rate.h
+++ b/include/berylridge/Policy/Rate.h
@@ -11,9 +11,9 @@
 public:
     /// Long enough for a few requests of a small workspace, short beside the seconds over which
     /// shares are judged.
-    static constexpr double usualSmoothingSeconds = 1.5;
+    static constexpr double defaultSmoothingSeconds = 1.5;
 
-    explicit Rate(double smoothingSeconds = usualSmoothingSeconds)
+    explicit Rate(double smoothingSeconds = defaultSmoothingSeconds)
         : m_smoothingSeconds(smoothingSeconds)
     {
     }
--- a/include/berylridge/Policy/ServiceQueue.h
+++ b/include/berylridge/Policy/ServiceQueue.h
@@ -15,18 +15,19 @@
 namespace berylridge {
 
 /// How fast a flow's requests leave the queue, from the times at which they left.
-class DrainMeter
+class DrainRateEstimator
 {
 public:
     /// A first request waits: from now on the flow could drain.
-    void onBusy(TimePoint now) { m_last = now; }
-    void onLeft(TimePoint now);
+    void onFirstWaiting(TimePoint now) { m_lastDequeuedAt = now; }
+    void onDequeued(TimePoint now);
     /// Requests a second; 0 when nothing has left yet.
     double rate(TimePoint now) const;
 
 private:
-    double m_interval = 0;           ///< Smoothed seconds between two; 0 before the second.
-    std::optional<TimePoint> m_last; ///< When one left last, or when the first began to wait.
+    double m_interval = 0; ///< Smoothed seconds between two; 0 before the second.
+    std::optional<TimePoint>
+        m_lastDequeuedAt; ///< When one left last, or when the first began to wait.
 };
 
 class ServiceQueue
@@ -34,7 +35,7 @@
 public:
     using Handle = std::uint64_t;
 
-    struct Waiting
+    struct WaitingRequest
     {
         Handle handle = 0;
         TimePoint since;
@@ -56,19 +57,19 @@
                 continue;
             const Handle handle = waiting->handle;
             erase(found, waiting);
-            m_flows[flow].drain.onLeft(now);
+            m_flows[flow].drain.onDequeued(now);
             return handle;
         }
         return std::nullopt;
     }
     bool remove(FlowId flow, Handle handle);
 
-    /// Whether isSuch(flow, waiting) holds for any flow that waits.
+    /// Whether matches(flow, waiting) holds for any flow that waits.
     template <typename IsSuch>
-    bool anyFlow(IsSuch isSuch) const
+    bool anyFlow(IsSuch matches) const
     {
         return std::any_of(m_waiting.begin(), m_waiting.end(), [&](const auto &entry) {
-            return isSuch(entry.first, entry.second.size());
+            return matches(entry.first, entry.second.size());
         });
     }
 
@@ -78,24 +79,24 @@
     /// that is not known yet.
     std::optional<Duration> expectedWait(FlowId flow, TimePoint now) const;
 
-    void noteCost(FlowId flow, Duration used);
+    void recordCost(FlowId flow, Duration used);
     Duration expectedCost(FlowId flow) const;
 
     /// Flows that wait, longest wait first, at most limit of them.
     std::vector<FlowDemand> demand(TimePoint now, std::size_t limit) const;
-    /// When the oldest waiting request came.
-    std::optional<TimePoint> oldest() const;
+    /// When the oldestArrival waiting request came.
+    std::optional<TimePoint> oldestArrival() const;
 
 private:
-    using Queue = std::deque<Waiting>;
+    using Queue = std::deque<WaitingRequest>;
     /// What is kept of a flow while nothing of it waits.
     struct Flow
     {
-        DrainMeter drain;
+        DrainRateEstimator drain;
         double cost = 0; ///< Smoothed slot seconds of a request; 0 before the first.
     };
 
-    Queue &touch(FlowId flow, TimePoint now);
+    Queue &activeQueue(FlowId flow, TimePoint now);
     void erase(std::map<FlowId, Queue>::iterator entry, const Queue::const_iterator &waiting);
 
     std::map<FlowId, Flow> m_flows;
--- a/include/berylridge/Policy/TargetLoads.h
+++ b/include/berylridge/Policy/TargetLoads.h
@@ -2,7 +2,7 @@
 // the other nodes', as their last digests told.
 #pragma once
 
-#include "berylridge/Policy/PromptDirectory.h"
+#include "berylridge/Policy/PromptCacheDirectory.h"
 #include "berylridge/Support/Id.h"
 #include "berylridge/Support/Time.h"
 
@@ -25,11 +25,11 @@
 {
 public:
     /// A node's word is dropped after this: its requests have ended since, or it has.
-    static constexpr Duration remoteLimit = std::chrono::milliseconds(1500);
+    static constexpr Duration digestLifetime = std::chrono::milliseconds(1500);
 
     void begin(TargetKey target, std::uint32_t tokens);
     /// The request's first event came: its prompt has been read.
-    void promptRead(TargetKey target, std::uint32_t tokens);
+    void onPromptRead(TargetKey target, std::uint32_t tokens);
     void end(TargetKey target);
 
     struct RemoteEntry
--- a/include/berylridge/Policy/WorkspaceShares.h
+++ b/include/berylridge/Policy/WorkspaceShares.h
@@ -24,78 +24,78 @@
 
 /// The rate that no workspace with unmet demand falls below when `capacity` is shared max-min
 /// fairly; infinite where all demands fit.
-double maxMinLevel(std::vector<double> demands, double capacity);
+double maxMinFairRate(std::vector<double> demands, double capacity);
 
 /// Not safe for use by two threads at once.
 class WorkspaceShares
 {
 public:
     /// A caller of the workspace asks for work of so many tokens.
-    void onAsked(WorkspaceKey workspace, double tokens, TimePoint now);
+    void onRequested(WorkspaceKey workspace, double tokens, TimePoint now);
 
     /// A request of the workspace was admitted, within its share or beyond.
     void onAdmitted(WorkspaceKey workspace, double tokens, TimePoint now);
 
     /// The request was refused since no target had room for it.
-    void onTurnedAway(double tokens, TimePoint now) { m_turnedAway.add(tokens, now); }
+    void onRejected(double tokens, TimePoint now) { m_rejected.add(tokens, now); }
 
     /// Of one workspace's callers at one node, in tokens a second.
     struct Flow
     {
         WorkspaceKey workspace = 0;
-        double asked = 0;
+        double requested = 0;
         double admitted = 0;
     };
     /// What another node told of its own callers.
-    struct RemoteNews
+    struct RemoteDigest
     {
         std::vector<Flow> flows;
-        double servedPerSecond = 0;     ///< Tokens of requests that it admitted.
-        double turnedAwayPerSecond = 0; ///< Tokens of requests that found no room.
+        double servedPerSecond = 0;   ///< Tokens of requests that it admitted.
+        double rejectedPerSecond = 0; ///< Tokens of requests that found no room.
     };
-    void onDigest(const NodeId &node, RemoteNews news, TimePoint now);
+    void onDigest(const NodeId &node, RemoteDigest digest, TimePoint now);
 
     /// Works the shares out anew; called each period. Operators say that the fleet bears
-    /// namedCapacity tokens a second.
-    void update(double namedCapacity, TimePoint now);
+    /// configuredCapacity tokens a second.
+    void update(double configuredCapacity, TimePoint now);
 
     /// How far the workspace is beyond its share at this node: what it got too much, in seconds of
     /// the share. 0 within it, and where all demands fit.
-    double secondsAhead(WorkspaceKey workspace, TimePoint now);
+    double secondsOverShare(WorkspaceKey workspace, TimePoint now);
 
     /// A workspace's place among the others, for those who ask why it was turned away. In tokens a
     /// second.
-    struct Standing
+    struct ShareStatus
     {
         double demand = 0;  ///< At this node.
         double allowed = 0; ///< This node's part of the workspace's share.
         double credit = 0;  ///< Tokens.
         bool isLimited = false;
     };
-    Standing standing(WorkspaceKey workspace, TimePoint now) const;
+    ShareStatus shareStatus(WorkspaceKey workspace, TimePoint now) const;
 
     /// Of this node's own callers, for its digests.
     std::vector<Flow> ownFlows(TimePoint now) const;
     double servedPerSecond(TimePoint now) const { return m_served.at(now); }
-    double turnedAwayPerSecond(TimePoint now) const { return m_turnedAway.at(now); }
+    double rejectedPerSecond(TimePoint now) const { return m_rejected.at(now); }
     /// Of the whole fleet, as this node sees it; in tokens a second.
     struct FleetView
     {
         double servedPerSecond = 0;
-        double turnedAwayPerSecond = 0;
+        double rejectedPerSecond = 0;
         double capacity = 0; ///< What shares are of.
-        double level = 0;    ///< No workspace with unmet demand falls below; may be infinite.
+        double fairRate = 0; ///< No workspace with unmet demand falls below; may be infinite.
     };
     const FleetView &fleet() const { return m_fleet; }
     /// Whether shares are of what the fleet serves, since it turns requests away.
-    bool isFull() const { return m_isFull; }
+    bool isOverloaded() const { return m_isOverloaded; }
 
 private:
     struct Own
     {
         Rate demand;
         Rate admitted;
-        Rate unlimited;         ///< What it got while the fleet was full and it wasn't limited.
+        Rate admittedUnlimited; ///< What it got while the fleet was full and it wasn't limited.
         double allowedRate = 0; ///< This node's part of the workspace's share.
         double credit = 0;      ///< Tokens that it may still get; below zero beyond its share.
         TimePoint creditedAt {};
@@ -103,29 +103,29 @@
     };
     struct Remote
     {
-        RemoteNews news;
+        RemoteDigest digest;
         TimePoint heardAt;
     };
 
-    double capacity(double namedCapacity, TimePoint now);
-    static void beginLimit(Own &own, TimePoint now);
+    double capacity(double configuredCapacity, TimePoint now);
+    static void startLimiting(Own &own, TimePoint now);
     using FlowMap = std::unordered_map<WorkspaceKey, Flow>;
 
     /// Over all nodes, as far as this one can tell.
     FlowMap fleetFlows(TimePoint now) const;
-    /// What the fleet admitted for a workspace that asks for more than the level, in levels; the
+    /// What the fleet admitted for a workspace that asks for more than the fairRate, in levels; the
     /// mean of all of these.
-    double levelsAdmitted(const FlowMap &fleet) const;
+    double meanAdmittedRatio(const FlowMap &fleet) const;
     /// This node's part of the share of a workspace that asks for more.
-    double limitedRate(const Own &own, const Flow &fleet, double usualLevels, TimePoint now) const;
+    double limitedRate(const Own &own, const Flow &fleet, double meanRatio, TimePoint now) const;
 
     std::unordered_map<WorkspaceKey, Own> m_own;
     std::map<NodeId, Remote> m_remotes;
     Rate m_served;
-    Rate m_turnedAway;
+    Rate m_rejected;
     FleetView m_fleet;
     TimePoint m_updatedAt {};
-    bool m_isFull = false;
+    bool m_isOverloaded = false;
 };
 
 } // namespace berylridge
--- a/include/berylridge/Router/Actions.h
+++ b/include/berylridge/Router/Actions.h
@@ -37,7 +37,7 @@
     WorkspaceId workspace; ///< Owner of the request; sent to the target.
     ResendPolicy resendPolicy = ResendPolicy::Forbidden;
     /// Maximum number of idle connections that this node keeps open to the target.
-    std::uint32_t keptConnections = 64;
+    std::uint32_t idleConnectionLimit = 64;
     /// Time until the caller's deadline, sent to the target. Zero if the caller set no deadline.
     Duration timeLeft {0};
 };
--- a/include/berylridge/Router/Events.h
+++ b/include/berylridge/Router/Events.h
@@ -9,7 +9,7 @@
 #include "berylridge/Fleet/BalancerMessages.h"
 #include "berylridge/Fleet/Messages.h"
 #include "berylridge/Idempotency/Messages.h"
-#include "berylridge/Policy/NodeLoad.h"
+#include "berylridge/Policy/LoadShedder.h"
 #include "berylridge/Router/Prompt.h"
 #include "berylridge/Support/Endpoint.h"
 #include "berylridge/Support/Id.h"
--- a/lib/Balancer/BalancedRequest.h
+++ b/lib/Balancer/BalancedRequest.h
@@ -28,7 +28,7 @@
     const ServiceSpec *service = nullptr;
     WorkspaceId workspace;
     std::uint64_t fingerprint = 0;
-    std::optional<PromptChain> chain;
+    std::optional<PrefixChain> chain;
     TimePoint arrivedAt;
     TimePoint deadline; ///< Earlier of the caller's deadline and the route's timeout.
     RequestState state = RequestState::Arrived;
--- a/lib/Balancer/GossipExchange.cpp
+++ b/lib/Balancer/GossipExchange.cpp
@@ -91,10 +91,9 @@
             {target, load.running, clampToUint32(static_cast<double>(load.tokens))});
     for (const auto &flow : m_requests.shares().ownFlows(m_context.now))
         digest.flows.push_back(
-            {flow.workspace, clampToUint32(flow.asked), clampToUint32(flow.admitted)});
+            {flow.workspace, clampToUint32(flow.requested), clampToUint32(flow.admitted)});
     digest.servedPerSecond = clampToUint32(m_requests.shares().servedPerSecond(m_context.now));
-    digest.turnedAwayPerSecond
-        = clampToUint32(m_requests.shares().turnedAwayPerSecond(m_context.now));
+    digest.rejectedPerSecond = clampToUint32(m_requests.shares().rejectedPerSecond(m_context.now));
     digest.interruptedRequests = m_interruptedRequests.take(maxInterruptedRequestsPerDigest);
     if (m_digestsSent++ % digestsPerPeerList == 0)
         digest.peers = m_context.peers.nextLiveEntries(maxPeersPerDigest, m_context.now);
@@ -119,13 +118,13 @@
     for (const TargetLoadEntry &entry : digest.loads)
         loads.push_back({entry.target, {entry.running, entry.tokens}});
     m_targetSelector.loads().onDigest(from, std::move(loads), m_context.now);
-    WorkspaceShares::RemoteNews update;
+    WorkspaceShares::RemoteDigest update;
     for (const WorkspaceFlowEntry &entry : digest.flows)
         update.flows.push_back({entry.workspace,
                                 static_cast<double>(entry.requestedTokensPerSecond),
                                 static_cast<double>(entry.admittedTokensPerSecond)});
     update.servedPerSecond = digest.servedPerSecond;
-    update.turnedAwayPerSecond = digest.turnedAwayPerSecond;
+    update.rejectedPerSecond = digest.rejectedPerSecond;
     m_requests.shares().onDigest(from, std::move(update), m_context.now);
     for (const InterruptedRequestEntry &entry : digest.interruptedRequests)
         m_requests.onRemoteInterruptedRequest(entry);
--- a/lib/Balancer/RequestProcessor.cpp
+++ b/lib/Balancer/RequestProcessor.cpp
@@ -135,7 +135,7 @@
             request.workspace = WorkspaceId(workspace->name);
     }
     request.fingerprint = fingerprintOf(event, request.workspace);
-    if (m_crashes.blockedFor(request.fingerprint, m_context.now))
+    if (m_crashes.remainingBlockTime(request.fingerprint, m_context.now))
         return Refusal {502, "crashing-request", "the request crashed the targets that ran it", {}};
     const std::string *service = selectService(*request.route, event.requestId);
     request.service = service ? request.routeTable->service(*service) : nullptr;
@@ -146,13 +146,13 @@
         limit = std::min(limit, fromMilliseconds(request.route->timeoutMs));
     request.deadline = m_context.now + limit;
     if (event.prompt && request.service->isEngine)
-        request.chain = chainOf(*event.prompt);
+        request.chain = prefixChainOf(*event.prompt);
     return std::nullopt;
 }
 
 std::optional<Refusal> RequestProcessor::placeRequest(BalancedRequest &request, bool isFirst)
 {
-    const PromptChain *chain = request.chain ? &*request.chain : nullptr;
+    const PrefixChain *chain = request.chain ? &*request.chain : nullptr;
     const auto choice = m_targetSelector.choose(*request.service, chain, request.excludedTargets);
     const Duration at = m_context.now - request.arrivedAt;
     if (!choice) {
@@ -188,20 +188,20 @@
     double ahead = 0;
     if (request.chain) {
         const WorkspaceKey workspace = request.workspaceKey();
-        m_shares.onAsked(workspace, demandOf(request), m_context.now);
-        ahead = m_shares.secondsAhead(workspace, m_context.now);
-        step.standing = m_shares.standing(workspace, m_context.now);
+        m_shares.onRequested(workspace, demandOf(request), m_context.now);
+        ahead = m_shares.secondsOverShare(workspace, m_context.now);
+        step.shareStatus = m_shares.shareStatus(workspace, m_context.now);
     }
     step.isWithinShare = ahead <= 0;
     const double target = request.route->latencyTargetMs;
     if (target <= 0)
         return std::nullopt;
-    const double allowed = allowedWaitMs({target, choice.readMs, ahead});
+    const double allowed = maxQueueWaitMs({target, choice.readMs, ahead});
     step.allowedMs = allowed;
     if (choice.waitMs <= allowed)
         return std::nullopt;
-    m_shares.onTurnedAway(demandOf(request), m_context.now);
-    if (!step.isWithinShare && choice.waitMs <= allowedWaitMs({target, choice.readMs, 0}))
+    m_shares.onRejected(demandOf(request), m_context.now);
+    if (!step.isWithinShare && choice.waitMs <= maxQueueWaitMs({target, choice.readMs, 0}))
         m_tally.heldBack(request);
     // The queue shrinks by the excess in this time, provided that callers don't retry earlier.
     const auto excess = fromSeconds((choice.waitMs - allowed) / 1000);
@@ -242,8 +242,8 @@
     dispatch.workspace = request.workspace;
     dispatch.resendPolicy
         = request.route->isRetryable() ? ResendPolicy::Allowed : ResendPolicy::Forbidden;
-    dispatch.keptConnections = keptConnections(request.service->connectionLimit,
-                                               m_context.peers.limitShareCount(m_context.now));
+    dispatch.idleConnectionLimit = idleConnectionLimit(
+        request.service->connectionLimit, m_context.peers.limitShareCount(m_context.now));
     m_context.emit(std::move(dispatch));
 }
 
@@ -341,12 +341,12 @@
         return;
     case AttemptFailure::Timeout:
         if (now < request.deadline)
-            health.onBroken(now);
+            health.onConnectionBroken(now);
         return;
     case AttemptFailure::Reset:
     case AttemptFailure::TruncatedResponse:
         if (event.sentAny) {
-            health.onBroken(now);
+            health.onConnectionBroken(now);
             recordInterruptedRequest(request);
         }
         return;
@@ -368,7 +368,7 @@
         return false;
     if (request.sentAttempts >= request.route->attempts)
         return false;
-    if (m_crashes.blockedFor(request.fingerprint, m_context.now))
+    if (m_crashes.remainingBlockTime(request.fingerprint, m_context.now))
         return false;
     if (!event.sentAny)
         return true; // Nothing reached a target, so a retry repeats nothing.
@@ -439,12 +439,12 @@
         = m_context.routeTable ? m_context.routeTable->catalog().tokensPerSecond : 0;
     m_shares.update(configuredTokensPerSecond, m_context.now);
     m_tally.tick(m_shares.fleet());
-    if (m_shares.isFull() == m_wasFull)
+    if (m_shares.isOverloaded() == m_wasFull)
         return;
-    m_wasFull = m_shares.isFull();
+    m_wasFull = m_shares.isOverloaded();
     Json::Value fields;
     fields["named"] = configuredTokensPerSecond;
-    fields["level"] = std::min(m_shares.fleet().level, configuredTokensPerSecond);
+    fields["level"] = std::min(m_shares.fleet().fairRate, configuredTokensPerSecond);
     m_context.log(m_wasFull ? LogEventId::FleetFull : LogEventId::FleetHasRoom, "",
                   std::move(fields));
 }
--- a/lib/Balancer/RequestProcessor.h
+++ b/lib/Balancer/RequestProcessor.h
@@ -74,7 +74,7 @@
     OverloadLog m_overloadLog;
     WorkspaceShares m_shares;
     CrashRecord m_crashes;
-    std::map<std::string, RetryShare> m_retries; ///< Keyed by service.
+    std::map<std::string, FleetRetryBudget> m_retries; ///< Keyed by service.
     std::unordered_map<RequestHandle, BalancedRequest> m_requests;
     std::vector<InterruptedRequestEntry>
         m_interruptedRequests; ///< Entries to be sent with the next digest.
--- a/lib/Balancer/RequestTrace.cpp
+++ b/lib/Balancer/RequestTrace.cpp
@@ -30,11 +30,11 @@
         return;
     out["allowedMs"] = rounded(step.allowedMs);
     out["withinShare"] = step.isWithinShare;
-    if (!step.standing.isLimited)
+    if (!step.shareStatus.isLimited)
         return;
-    out["shareDemand"] = rounded(step.standing.demand);
-    out["shareAllowed"] = rounded(step.standing.allowed);
-    out["shareCredit"] = rounded(step.standing.credit);
+    out["shareDemand"] = rounded(step.shareStatus.demand);
+    out["shareAllowed"] = rounded(step.shareStatus.allowed);
+    out["shareCredit"] = rounded(step.shareStatus.credit);
 }
 
 void describe(const NoTargetStep & /*step*/, Json::Value &out)
--- a/lib/Balancer/RequestTrace.h
+++ b/lib/Balancer/RequestTrace.h
@@ -21,7 +21,7 @@
     bool isAccepted = false;
     bool isWithinShare = true;
     double allowedMs = 0; ///< Maximum accepted wait; 0 if there is no limit.
-    WorkspaceShares::Standing standing;
+    WorkspaceShares::ShareStatus shareStatus;
 };
 
 /// Records that no target could be chosen.
--- a/lib/Balancer/TargetSelector.cpp
+++ b/lib/Balancer/TargetSelector.cpp
@@ -40,7 +40,7 @@
     return hash64(record.id, static_cast<std::uint64_t>(record.startedAtMs));
 }
 
-std::uint64_t affinityOf(ChainKey part, TargetKey target)
+std::uint64_t affinityOf(PrefixKey part, TargetKey target)
 {
     char bytes[sizeof(part)];
     std::memcpy(bytes, &part, sizeof(part));
@@ -80,7 +80,7 @@
     // A target whose connections broke may have restarted and be cold before any report says so;
     // its usual load would crash it again. The platform's next report on the target resolves the
     // doubt.
-    const TimePoint broken = target.health.brokenAt();
+    const TimePoint broken = target.health.lastBrokenAt();
     const bool mayHaveRestarted = broken > TimePoint {} && entry.updatedAt < broken;
     return mayHaveRestarted && now - broken < restartReportDelay + fromMilliseconds(service.coldMs);
 }
@@ -88,7 +88,7 @@
 PlacementCandidate TargetSelector::candidate(const TargetDirectory::Entry &entry,
                                              const Target &target, TargetKey key,
                                              const ServiceSpec &service,
-                                             const PromptChain *chain) const
+                                             const PrefixChain *chain) const
 {
     const TimePoint now = m_context.now;
     PlacementCandidate candidate;
@@ -96,19 +96,19 @@
     const std::uint32_t slots = entry.record.slots > 0 ? entry.record.slots : service.engineSlots;
     candidate.slots = std::max(1U, slots);
     candidate.tokensPerMs = target.tokensPerMs > 0 ? target.tokensPerMs : initialTokensPerMs;
-    candidate.failureShare = target.health.failureShare(now);
+    candidate.failureRatio = target.health.failureRatio(now);
     candidate.isOtherZone = entry.record.zone != m_context.options.zone.str();
     candidate.isZoneSilent = m_context.peers.isZoneSilent(entry.record.zone, now);
     if (chain && !chain->links.empty()) {
-        candidate.keptTokens = m_prompts.keptTokens(*chain, key);
-        candidate.keptSeconds = m_prompts.keptSeconds(key, now);
+        candidate.cachedTokens = m_prompts.cachedTokens(*chain, key);
+        candidate.cacheLifetimeSeconds = m_prompts.cacheLifetimeSeconds(key, now);
         candidate.affinity = affinityOf(chain->links.front().key, key);
     }
     return candidate;
 }
 
 std::optional<TargetChoice> TargetSelector::choose(const ServiceSpec &service,
-                                                   const PromptChain *chain,
+                                                   const PrefixChain *chain,
                                                    const std::vector<TargetKey> &excludedTargets)
 {
     const TimePoint now = m_context.now;
@@ -127,12 +127,12 @@
             continue;
         if (isCold(entry, target, service)
             && (!isColdSender(target, key)
-                || !target.cold.hasPlace(service.coldRequestsPerSecond, coldSenderCount(), now)))
+                || !target.cold.hasToken(service.coldRequestsPerSecond, coldSenderCount(), now)))
             continue;
         candidates.push_back(candidate(entry, target, key, service, chain));
         entries.emplace_back(&entry, key);
     }
-    PlacementNeed need;
+    PlacementRequest need;
     if (chain) {
         need.inputTokens = std::max(1U, chain->inputTokens);
         need.parts = m_prompts.sharedParts(*chain, now);
@@ -159,7 +159,7 @@
 }
 
 bool TargetSelector::reserve(const TargetChoice &choice, const ServiceSpec &service,
-                             const PromptChain *chain)
+                             const PrefixChain *chain)
 {
     const TimePoint now = m_context.now;
     Target &target = m_targets[choice.key];
@@ -167,18 +167,18 @@
     if (entry && isCold(*entry, target, service)
         && !target.cold.tryTake(service.coldRequestsPerSecond, coldSenderCount(), now))
         return false;
-    if (target.health.isOnTrial())
-        target.health.onTrial(now);
+    if (target.health.isProbeNeeded())
+        target.health.onProbeStarted(now);
     m_loads.begin(choice.key, choice.tokens);
     if (!chain)
         return true;
     const std::uint32_t writtenTokens = choice.tokens + chain->outputTokens;
     m_prompts.setCapacity(choice.key, service.engineTokens);
-    m_prompts.onRead(choice.key, writtenTokens, now);
+    m_prompts.onTokensRead(choice.key, writtenTokens, now);
     target.writtenTokens += writtenTokens;
     // Skips the last part, which belongs to this request alone and can't be reused by others.
-    for (std::size_t i = 0; i < sharedLinks(*chain); ++i) {
-        m_prompts.onPlaced(chain->links[i].key, choice.key, now);
+    for (std::size_t i = 0; i < sharedLinkCount(*chain); ++i) {
+        m_prompts.onPromptSent(chain->links[i].key, choice.key, now);
         m_newPlacements.push_back({chain->links[i].key, choice.key});
     }
     return true;
@@ -186,7 +186,7 @@
 
 void TargetSelector::onFirstEvent(const TargetChoice &choice, Duration since)
 {
-    m_loads.promptRead(choice.key, choice.tokens);
+    m_loads.onPromptRead(choice.key, choice.tokens);
     const std::uint64_t tokens = choice.aheadTokens + choice.tokens;
     if (tokens < minSampleTokens)
         return;
@@ -201,7 +201,7 @@
 void TargetSelector::onAttemptEnded(const TargetChoice &choice, bool hadResponseStarted)
 {
     if (!hadResponseStarted)
-        m_loads.promptRead(choice.key, choice.tokens);
+        m_loads.onPromptRead(choice.key, choice.tokens);
     m_loads.end(choice.key);
 }
 
@@ -237,12 +237,12 @@
     const std::uint32_t since
         = isSame ? entry.writtenTokens - known.writtenTokens : entry.writtenTokens;
     known = {incarnation, entry.writtenTokens};
-    m_prompts.onRead(entry.target, since, m_context.now);
+    m_prompts.onTokensRead(entry.target, since, m_context.now);
 }
 
-void TargetSelector::onRemotePlacement(ChainKey part, TargetKey target)
+void TargetSelector::onRemotePlacement(PrefixKey part, TargetKey target)
 {
-    m_prompts.onPlaced(part, target, m_context.now);
+    m_prompts.onPromptSent(part, target, m_context.now);
 }
 
 void TargetSelector::onDirectory()
--- a/lib/Balancer/TargetSelector.h
+++ b/lib/Balancer/TargetSelector.h
@@ -3,9 +3,9 @@
 
 #include "BalancerContext.h"
 
-#include "berylridge/Policy/FleetShare.h"
+#include "berylridge/Policy/FleetLimits.h"
 #include "berylridge/Policy/Placement.h"
-#include "berylridge/Policy/PromptDirectory.h"
+#include "berylridge/Policy/PromptCacheDirectory.h"
 #include "berylridge/Policy/TargetHealth.h"
 #include "berylridge/Policy/TargetLoads.h"
 
@@ -44,11 +44,11 @@
 
     /// Returns the best target of the service that can accept the request now, without reserving
     /// capacity.
-    std::optional<TargetChoice> choose(const ServiceSpec &service, const PromptChain *chain,
+    std::optional<TargetChoice> choose(const ServiceSpec &service, const PrefixChain *chain,
                                        const std::vector<TargetKey> &excludedTargets);
     /// Counts the request at the target. At a cold target it also consumes one request of this
     /// node's part of the rate; returns false if that part is used up.
-    bool reserve(const TargetChoice &choice, const ServiceSpec &service, const PromptChain *chain);
+    bool reserve(const TargetChoice &choice, const ServiceSpec &service, const PrefixChain *chain);
 
     void onFirstEvent(const TargetChoice &choice, Duration since);
     void onAttemptEnded(const TargetChoice &choice, bool hadResponseStarted);
@@ -57,7 +57,7 @@
     /// Records the duration of a request without a prompt that was answered completely.
     void onResponseCompleted(const std::string &service, Duration duration);
 
-    void onRemotePlacement(ChainKey part, TargetKey target);
+    void onRemotePlacement(PrefixKey part, TargetKey target);
     void onRemoteRead(const NodeId &node, Incarnation incarnation,
                       const TargetCacheWriteEntry &entry);
     /// Discards the cached prompts of targets that have restarted or been removed.
@@ -76,7 +76,7 @@
     struct Target
     {
         TargetHealth health;
-        ColdShare cold;
+        ColdTargetLimiter cold;
         TimePoint coldUntil {}; ///< End of the cold state as reported in the target's responses.
         /// This node is among those that may send to the target while it is cold.
         bool isColdSender = false;
@@ -100,12 +100,12 @@
                 const ServiceSpec &service) const;
     PlacementCandidate candidate(const TargetDirectory::Entry &entry, const Target &target,
                                  TargetKey key, const ServiceSpec &service,
-                                 const PromptChain *chain) const;
+                                 const PrefixChain *chain) const;
 
     BalancerContext &m_context;
     std::unordered_map<TargetKey, Target> m_targets;
     TargetLoads m_loads;
-    PromptDirectory m_prompts;
+    PromptCacheDirectory m_prompts;
     std::unordered_map<std::string, double> m_serviceMs; ///< Moving average by service.
     std::vector<PlacementEntry> m_newPlacements;
     std::map<std::pair<NodeId, TargetKey>, RemoteRead> m_remoteReads;
--- a/lib/Balancer/WorkspaceTally.cpp
+++ b/lib/Balancer/WorkspaceTally.cpp
@@ -108,10 +108,10 @@
     fields["named"] = Json::UInt64(order.size());
     fields["known"] = Json::UInt64(entries.size());
     fields["fleetServed"] = roundedTokens(fleet.servedPerSecond);
-    fields["fleetTurnedAway"] = roundedTokens(fleet.turnedAwayPerSecond);
+    fields["fleetTurnedAway"] = roundedTokens(fleet.rejectedPerSecond);
     fields["fleetCapacity"] = roundedTokens(fleet.capacity);
-    if (std::isfinite(fleet.level))
-        fields["shareLevel"] = roundedTokens(fleet.level);
+    if (std::isfinite(fleet.fairRate))
+        fields["shareLevel"] = roundedTokens(fleet.fairRate);
     fields["workspaces"] = std::move(workspaces);
     m_context.log(LogEventId::WorkspaceTally, "", std::move(fields));
 }
--- a/lib/Net/TargetAttempt.cpp
+++ b/lib/Net/TargetAttempt.cpp
@@ -309,7 +309,7 @@
     // request, is out of step with the next one.
     if (m_parser->keep_alive() && m_isSent && m_buffer.size() == 0)
         m_pool.put(m_order.endpoint, std::move(m_socket), toldIdleLimit(m_parser->get().base()),
-                   m_order.keptConnections, Clock::now());
+                   m_order.idleConnectionLimit, Clock::now());
     close();
 }
 
--- a/lib/Net/TrafficThread.cpp
+++ b/lib/Net/TrafficThread.cpp
@@ -177,7 +177,7 @@
 
 void TrafficThread::measureLag()
 {
-    m_lagTimer.expires_after(NodeLoad::reportPeriod);
+    m_lagTimer.expires_after(LoadShedder::reportPeriod);
     m_lagTimer.async_wait([this](error_code error) {
         if (error)
             return;
@@ -197,7 +197,7 @@
     // Once more after the last late turn, so that the core learns of its end.
     if (isLate || m_wasLate || isShedding())
         report(TrafficThreadReport {lag, std::exchange(m_accepted, 0),
-                                    std::exchange(m_leftUnread, 0), m_load.takeShed()});
+                                    std::exchange(m_leftUnread, 0), m_load.takeShedCounts()});
     m_wasLate = isLate;
 }
 
--- a/lib/Net/TrafficThread.h
+++ b/lib/Net/TrafficThread.h
@@ -9,7 +9,7 @@
 
 #include "berylridge/Net/Metrics.h"
 #include "berylridge/Net/WireProtocol.h"
-#include "berylridge/Policy/NodeLoad.h"
+#include "berylridge/Policy/LoadShedder.h"
 #include "berylridge/Router/Actions.h"
 
 #include "berylridge/Support/Random.h"
@@ -146,7 +146,7 @@
     asio::steady_timer m_drainTimer;
     asio::steady_timer m_lagTimer;
     bool m_wasLate = false;
-    NodeLoad m_load;
+    LoadShedder m_load;
     RandomEngine m_random; ///< Spreads the return of callers.
     std::array<char, scratchBytes> m_scratch {};
     // Since the last report of lag.
--- a/lib/Policy/Admission.cpp
+++ b/lib/Policy/Admission.cpp
@@ -9,31 +9,31 @@
 namespace {
 
 /// Part of the latency target that may pass in a target's queue.
-constexpr double waitPart = 0.85;
+constexpr double maxWaitFraction = 0.85;
 /// The same for workspaces beyond their share: the difference is room that others find free.
-constexpr double waitPartBeyondShare = 0.35;
+constexpr double maxWaitFractionOverShare = 0.35;
 /// Beyond its share a workspace finds half as much room after this many seconds of the share more.
 /// With the same room for all of them, a workspace that asks six times as often as another gets
 /// three times as much of what is left.
-constexpr double secondsToHalf = 0.5;
+constexpr double waitHalvingSeconds = 0.5;
 /// So far beyond its share a workspace finds no room at all. What nodes take for idle is a moment
 /// old, and of it a flood at all nodes would get several times what others do.
-constexpr double secondsToNone = 2.5;
+constexpr double maxSecondsOverShare = 2.5;
 /// Some of the latency target is left for waiting even where reading takes all of it.
-constexpr double leastWaitPart = 0.25;
+constexpr double minWaitFraction = 0.25;
 
 } // namespace
 
-double allowedWaitMs(const AdmissionNeed &need)
+double maxQueueWaitMs(const AdmissionInput &input)
 {
-    assert(need.secondsAhead >= 0 && "a workspace within its share is not ahead");
-    if (need.secondsAhead >= secondsToNone)
-        return noWaitMs;
-    const double part = need.secondsAhead > 0
-        ? waitPartBeyondShare * std::exp2(-need.secondsAhead / secondsToHalf)
-        : waitPart;
-    const double whole = part * need.latencyTargetMs;
-    return std::max(whole - need.readMs, leastWaitPart * whole);
+    assert(input.secondsOverShare >= 0 && "a workspace within its share is not ahead");
+    if (input.secondsOverShare >= maxSecondsOverShare)
+        return refusedWaitMs;
+    const double fraction = input.secondsOverShare > 0
+        ? maxWaitFractionOverShare * std::exp2(-input.secondsOverShare / waitHalvingSeconds)
+        : maxWaitFraction;
+    const double maxWaitMs = fraction * input.latencyTargetMs;
+    return std::max(maxWaitMs - input.readMs, minWaitFraction * maxWaitMs);
 }
 
 } // namespace berylridge
--- a/lib/Policy/CrashRecord.cpp
+++ b/lib/Policy/CrashRecord.cpp
@@ -9,15 +9,15 @@
 constexpr Duration blockTime = std::chrono::minutes(10);
 
 /// Time for the rerun at a second target: the check of the first, and a wait in the queue.
-constexpr Duration holdTime = std::chrono::seconds(4);
+constexpr Duration rerunHoldTime = std::chrono::seconds(4);
 
 } // namespace
 
 bool CrashRecord::isHeld(std::uint64_t fingerprint, TimePoint now) const
 {
     const auto found = m_entries.find(fingerprint);
-    return found != m_entries.end() && found->second.boots.size() < crashLimit
-        && now - found->second.lastAt < holdTime;
+    return found != m_entries.end() && found->second.boots.size() < maxCrashes
+        && now - found->second.lastAt < rerunHoldTime;
 }
 
 bool CrashRecord::add(std::uint64_t fingerprint, std::uint64_t boot, TimePoint now)
@@ -35,10 +35,11 @@
     return found == m_entries.end() ? 0 : found->second.boots.size();
 }
 
-std::optional<Duration> CrashRecord::blockedFor(std::uint64_t fingerprint, TimePoint now) const
+std::optional<Duration> CrashRecord::remainingBlockTime(std::uint64_t fingerprint,
+                                                        TimePoint now) const
 {
     const auto found = m_entries.find(fingerprint);
-    if (found == m_entries.end() || found->second.boots.size() < crashLimit)
+    if (found == m_entries.end() || found->second.boots.size() < maxCrashes)
         return std::nullopt;
     const Duration left = found->second.lastAt + blockTime - now;
     return left > Duration(0) ? std::optional(left) : std::nullopt;
--- a/lib/Policy/LeaseHolder.cpp
+++ b/lib/Policy/LeaseHolder.cpp
@@ -19,14 +19,14 @@
     // The term counts from when this node asked, by its own clock: that was before the owner's own
     // count began, so the lease ends here before the owner gives its slot away, however late the
     // grant came.
-    const TimePoint startsBy(Duration(grant.demandSentAt)
-                             + std::chrono::milliseconds(grant.termMs));
+    const TimePoint startDeadline(Duration(grant.demandSentAt)
+                                  + std::chrono::milliseconds(grant.termMs));
     for (const GrantedLease &granted : grant.leases) {
-        --m_told[granted.flow];
-        Held held;
+        --m_reportedWaiting[granted.flow];
+        LeaseState held;
         held.target = granted.target;
         held.flow = granted.flow;
-        held.startsBy = startsBy;
+        held.startDeadline = startDeadline;
         held.grantedAt = now;
         held.quantum = std::chrono::milliseconds(grant.quantumMs);
         m_leases.insert_or_assign(granted.lease, held);
@@ -48,14 +48,14 @@
     const auto found = m_leases.find(lease);
     if (found == m_leases.end())
         return false;
-    Held &held = found->second;
+    LeaseState &held = found->second;
     held.isBusy = false;
     held.used += used;
     held.completed += isCompleted ? 1 : 0;
-    return isCompleted && mayBegin(lease, now);
+    return isCompleted && canStartRequest(lease, now);
 }
 
-ReturnedLease LeaseHolder::giveBack(LeaseId lease)
+ReturnedLease LeaseHolder::returnLease(LeaseId lease)
 {
     const auto found = m_leases.find(lease);
     assert(found != m_leases.end() && "only held leases can be returned");
@@ -67,27 +67,27 @@
     return returned;
 }
 
-void LeaseHolder::dropIdle()
+void LeaseHolder::dropIdleLeases()
 {
     std::erase_if(m_leases, [](const auto &entry) { return !entry.second.isBusy; });
     for (auto &[lease, held] : m_leases)
-        held.startsBy = held.grantedAt;
+        held.startDeadline = held.grantedAt;
 }
 
-const LeaseHolder::Held *LeaseHolder::find(LeaseId lease) const
+const LeaseHolder::LeaseState *LeaseHolder::find(LeaseId lease) const
 {
     const auto found = m_leases.find(lease);
     return found == m_leases.end() ? nullptr : &found->second;
 }
 
-bool LeaseHolder::mayBegin(LeaseId lease, TimePoint now) const
+bool LeaseHolder::canStartRequest(LeaseId lease, TimePoint now) const
 {
-    const Held *held = find(lease);
-    return held && !held->isBusy && now < held->startsBy
+    const LeaseState *held = find(lease);
+    return held && !held->isBusy && now < held->startDeadline
         && (held->used == Duration(0) || held->used < held->quantum);
 }
 
-std::uint32_t LeaseHolder::heldAt(TargetHash target) const
+std::uint32_t LeaseHolder::leaseCountAt(TargetHash target) const
 {
     std::uint32_t count = 0;
     for (const auto &[lease, held] : m_leases)
@@ -97,16 +97,16 @@
 
 PoolDemand LeaseHolder::demandMessage(std::vector<FlowDemand> demand, TimePoint now)
 {
-    PoolDemand message = urgentMessage(std::move(demand), now);
+    PoolDemand message = demandOnlyMessage(std::move(demand), now);
     message.hasHeldList = true;
     for (const auto &[lease, held] : m_leases)
         message.held.push_back(
             {lease, held.target, held.flow, toMilliseconds(now - held.grantedAt)});
-    listedAt = now;
+    leasesReportedAt = now;
     return message;
 }
 
-PoolDemand LeaseHolder::urgentMessage(std::vector<FlowDemand> demand, TimePoint now)
+PoolDemand LeaseHolder::demandOnlyMessage(std::vector<FlowDemand> demand, TimePoint now)
 {
     PoolDemand message;
     message.pool = m_pool;
@@ -117,21 +117,21 @@
     // Where nothing is held the message is whole as it is.
     message.hasHeldList = m_leases.empty();
     if (message.hasHeldList)
-        listedAt = now;
-    toldAt = now;
-    m_told.clear();
+        leasesReportedAt = now;
+    demandReportedAt = now;
+    m_reportedWaiting.clear();
     for (const FlowDemand &entry : demand)
-        m_told[entry.flow] = entry.waiting;
+        m_reportedWaiting[entry.flow] = entry.waiting;
     message.demand = std::move(demand);
     return message;
 }
 
-bool LeaseHolder::isOwnerBehind(FlowId flow, std::size_t waiting) const
+bool LeaseHolder::isOwnerViewStale(FlowId flow, std::size_t waiting) const
 {
     if (waiting == 0)
         return false;
-    const auto found = m_told.find(flow);
-    const std::int64_t known = found == m_told.end() ? 0 : found->second;
+    const auto found = m_reportedWaiting.find(flow);
+    const std::int64_t known = found == m_reportedWaiting.end() ? 0 : found->second;
     return known <= 0 || static_cast<std::int64_t>(waiting) > 2 * known;
 }
 
--- a/lib/Policy/Pool.cpp
+++ b/lib/Policy/Pool.cpp
@@ -16,7 +16,7 @@
     return hash64(target.str());
 }
 
-std::vector<Pool> poolsOf(const ServiceDocument &document)
+std::vector<Pool> splitIntoPools(const ServiceDocument &document)
 {
     std::map<ZoneId, std::vector<const TargetSpec *>> byZone;
     for (const TargetSpec &target : document.targets)
@@ -24,7 +24,7 @@
 
     std::vector<Pool> pools;
     for (const auto &[zone, targets] : byZone) {
-        const std::size_t shards = (targets.size() + poolTargetLimit - 1) / poolTargetLimit;
+        const std::size_t shards = (targets.size() + maxTargetsPerPool - 1) / maxTargetsPerPool;
         const std::size_t first = pools.size();
         for (std::size_t shard = 0; shard < shards; ++shard) {
             Pool pool;
--- a/lib/Policy/PoolOwner.cpp
+++ b/lib/Policy/PoolOwner.cpp
@@ -10,20 +10,21 @@
 namespace {
 
 /// A holder tells what it holds each list period (1.6 s); one that missed two is silent.
-constexpr Duration holderSilence = std::chrono::milliseconds(4000);
+constexpr Duration holderSilenceTimeout = std::chrono::milliseconds(4000);
 /// Beyond the term, for a holder's clock that runs slower than the owner's.
-constexpr Duration clockMargin = std::chrono::milliseconds(100);
+constexpr Duration clockDriftMargin = std::chrono::milliseconds(100);
 /// How long a target is not offered again to a flow of which nothing may run there: a request
 /// avoids a target that failed it. Without it the slot goes to and fro between owner and holder
 /// without end, and nothing else is done.
-constexpr Duration unfitLasts = std::chrono::milliseconds(200);
+constexpr Duration rejectionLifetime = std::chrono::milliseconds(200);
 
 } // namespace
 
-PoolOwner::PoolOwner(const TargetStateMachine &chart, PoolOwnerOptions options, TimePoint now)
-    : m_chart(&chart)
+PoolOwner::PoolOwner(const TargetStateMachine &stateMachine, PoolOwnerOptions options,
+                     TimePoint now)
+    : m_stateMachine(&stateMachine)
     , m_options(options)
-    , m_began(now)
+    , m_startedAt(now)
     // Two owners of a pool never give the same id: neither two nodes nor two reigns of one node.
     , m_nextLease(
           hash64("lease",
@@ -37,18 +38,18 @@
     m_service = document.service;
     m_attemptTimeout = document.attemptTimeout;
     for (const WorkspaceShare &share : document.workspaces)
-        m_shares.setWeight(flowId(document.service, share.workspace), share.weight);
+        m_accounting.setWeight(flowId(document.service, share.workspace), share.weight);
 
-    std::map<TargetHash, Target> kept;
+    std::map<TargetHash, Target> retainedTargets;
     for (const TargetSpec &spec : pool.targets) {
         const TargetHash hash = targetHash(spec.target);
         auto found = m_targets.find(hash);
-        Target target = found == m_targets.end() ? Target {TargetGauge(*m_chart, now), 0}
+        Target target = found == m_targets.end() ? Target {TargetCapacity(*m_stateMachine, now), 0}
                                                  : std::move(found->second);
-        target.gauge.configure(document, spec.isLeaving);
-        kept.emplace(hash, std::move(target));
+        target.capacity.configure(document, spec.isLeaving);
+        retainedTargets.emplace(hash, std::move(target));
     }
-    m_targets = std::move(kept);
+    m_targets = std::move(retainedTargets);
     for (auto lease = m_leases.begin(); lease != m_leases.end();) {
         const auto next = std::next(lease);
         if (!m_targets.contains(lease->second.target))
@@ -74,42 +75,42 @@
     current.sequence = message.sequence;
     current.sentAt = message.sentAt;
     current.heardAt = now;
-    noteGrantsReceived(from, current, message);
+    acknowledgeGrants(from, current, message);
     if (message.hasHeldList)
         reconcile(from, current, message, now);
-    current.wants.clear();
+    current.demands.clear();
     for (const FlowDemand &demand : message.demand) {
-        current.wants.emplace(demand.flow, demand);
-        m_shares.touch(demand.flow, now);
+        current.demands.emplace(demand.flow, demand);
+        m_accounting.markActive(demand.flow, now);
     }
 }
 
 /// Grants that the holder has received, or has passed over, are no longer on their way to it: what
-/// it wants, it wants beside them.
-void PoolOwner::noteGrantsReceived(const NodeId &from, Holder &holder, const PoolDemand &message)
+/// it demands, it demands beside them.
+void PoolOwner::acknowledgeGrants(const NodeId &from, Holder &holder, const PoolDemand &message)
 {
-    if (message.owner != m_options.incarnation || message.lastGrant <= holder.lastSeen)
+    if (message.owner != m_options.incarnation || message.lastGrant <= holder.lastAcknowledgedGrant)
         return;
-    holder.lastSeen = message.lastGrant;
+    holder.lastAcknowledgedGrant = message.lastGrant;
     for (auto &[id, lease] : m_leases) {
-        if (lease.node == from && lease.number <= holder.lastSeen)
-            arrived(lease);
+        if (lease.node == from && lease.number <= holder.lastAcknowledgedGrant)
+            markDelivered(lease);
     }
 }
 
-void PoolOwner::arrived(Lease &lease)
+void PoolOwner::markDelivered(Lease &lease)
 {
-    if (!lease.isOnItsWay)
+    if (!lease.isInFlight)
         return;
-    lease.isOnItsWay = false;
-    --m_onTheirWay[{lease.node, lease.flow}];
+    lease.isInFlight = false;
+    --m_inFlightGrants[{lease.node, lease.flow}];
 }
 
 /// Compares what the holder says that it holds with what was granted.
 void PoolOwner::reconcile(const NodeId &from, Holder &holder, const PoolDemand &message,
                           TimePoint now)
 {
-    holder.listedAt = now;
+    holder.leasesReportedAt = now;
 
     for (const HeldLease &held : message.held) {
         const auto found = m_leases.find(held.lease);
@@ -123,13 +124,13 @@
             earlier.incarnation = holder.incarnation;
             earlier.target = held.target;
             earlier.flow = held.flow;
-            lease = adopt(held.lease, std::move(earlier), now);
+            lease = adoptLease(held.lease, std::move(earlier), now);
         }
         if (!lease || lease->node != from)
             continue;
-        lease->seenAt = now;
-        lease->isSeen = true;
-        arrived(*lease);
+        lease->confirmedAt = now;
+        lease->isConfirmed = true;
+        markDelivered(*lease);
     }
     const auto isHeld = [&](LeaseId id) {
         return std::any_of(message.held.begin(), message.held.end(),
@@ -141,25 +142,26 @@
         // A grant that the holder has passed over can't be taken up any more: it ignores numbers
         // that are not above the last one. So what it doesn't hold now is free, be it a lost grant
         // or a lost return.
-        if (value.node == from && value.number <= holder.lastSeen && !isHeld(lease->first))
-            free(lease, value.isSeen ? now - value.grantedAt : Duration(0));
+        if (value.node == from && value.number <= holder.lastAcknowledgedGrant
+            && !isHeld(lease->first))
+            free(lease, value.isConfirmed ? now - value.grantedAt : Duration(0));
         lease = next;
     }
 }
 
 /// Takes in a lease that an earlier owner gave.
-PoolOwner::Lease *PoolOwner::adopt(LeaseId id, Lease lease, TimePoint now)
+PoolOwner::Lease *PoolOwner::adoptLease(LeaseId id, Lease lease, TimePoint now)
 {
     const auto target = m_targets.find(lease.target);
     if (target == m_targets.end())
         return nullptr;
     lease.grantedAt = now;
-    lease.startsBy = now + m_options.leaseTerm;
-    lease.seenAt = now;
-    lease.isSeen = true;
+    lease.startDeadline = now + m_options.leaseTerm;
+    lease.confirmedAt = now;
+    lease.isConfirmed = true;
     ++target->second.occupied;
-    m_shares.touch(lease.flow, now);
-    m_shares.begin(lease.flow, lease.estimate, now);
+    m_accounting.markActive(lease.flow, now);
+    m_accounting.begin(lease.flow, lease.estimate, now);
     return &m_leases.emplace(id, std::move(lease)).first->second;
 }
 
@@ -170,19 +172,19 @@
     for (const auto &[id, lease] : m_leases)
         message.leases.push_back(
             {id, lease.node.str(), lease.incarnation, lease.target, lease.flow});
-    m_shares.forEach([&](FlowId flow) {
-        message.flows.push_back({flow, m_shares.virtualTime(flow, now)});
+    m_accounting.forEach([&](FlowId flow) {
+        message.flows.push_back({flow, m_accounting.virtualTime(flow, now)});
     });
     return message;
 }
 
 void PoolOwner::takeOver(const PoolHandover &message, TimePoint now)
 {
-    if (m_isHandedOver || !isWaiting(now))
+    if (m_hasHandover || !isTakeoverPending(now))
         return;
-    m_isHandedOver = true;
+    m_hasHandover = true;
     for (const HandoverFlow &flow : message.flows)
-        m_shares.restore(flow.flow, flow.virtualTime, now);
+        m_accounting.restore(flow.flow, flow.virtualTime, now);
     for (const HandoverLease &handed : message.leases) {
         if (m_leases.contains(handed.lease))
             continue;
@@ -193,14 +195,14 @@
         lease.flow = handed.flow;
         // The holder may have returned it to the earlier owner after this was sent: then its demand
         // doesn't list it, and as a lease without a number it is freed.
-        adopt(handed.lease, std::move(lease), now);
+        adoptLease(handed.lease, std::move(lease), now);
     }
 }
 
 /// Whether an earlier owner's leases may still start requests.
-bool PoolOwner::isWaiting(TimePoint now) const
+bool PoolOwner::isTakeoverPending(TimePoint now) const
 {
-    return now - m_began < m_options.leaseTerm + clockMargin;
+    return now - m_startedAt < m_options.leaseTerm + clockDriftMargin;
 }
 
 void PoolOwner::onReturn(const NodeId &from, const PoolReturn &message, TimePoint now)
@@ -216,35 +218,37 @@
             continue;
         const auto target = m_targets.find(lease->second.target);
         if (target != m_targets.end())
-            target->second.gauge.onCompleted(returned.completed, message.bootId, now);
+            target->second.capacity.onCompleted(returned.completed, message.bootId, now);
         if (returned.isUnfit)
-            m_unfit[{{from, lease->second.flow}, lease->second.target}] = now + unfitLasts;
+            m_rejectedTargets[{{from, lease->second.flow}, lease->second.target}]
+                = now + rejectionLifetime;
         free(lease, fromMilliseconds(returned.usedMs));
     }
 }
 
-void PoolOwner::onNews(const TargetObservation &news, TimePoint now)
+void PoolOwner::onTargetReport(const TargetObservation &targetReport, TimePoint now)
 {
-    const auto target = m_targets.find(news.target);
+    const auto target = m_targets.find(targetReport.target);
     if (target == m_targets.end())
         return;
-    if (target->second.gauge.onSign(static_cast<TargetSignal>(news.sign), news.bootId, now))
-        target->second.gauge.nextPoll = now;
+    if (target->second.capacity.onSignal(static_cast<TargetSignal>(targetReport.sign),
+                                         targetReport.bootId, now))
+        target->second.capacity.nextPoll = now;
 }
 
-void PoolOwner::onReport(TargetHash target, std::string_view bootId, std::uint32_t running,
-                         std::uint64_t completed, Duration age, TimePoint now)
+void PoolOwner::onLoadReport(TargetHash target, std::string_view bootId, std::uint32_t running,
+                             std::uint64_t completed, Duration age, TimePoint now)
 {
     const auto found = m_targets.find(target);
     if (found != m_targets.end())
-        found->second.gauge.onReport(bootId, running, completed, age, now);
+        found->second.capacity.onLoadReport(bootId, running, completed, age, now);
 }
 
 void PoolOwner::onPollFailed(TargetHash target, bool isRefused, TimePoint now)
 {
     const auto found = m_targets.find(target);
     if (found != m_targets.end())
-        found->second.gauge.onPollFailed(isRefused, now);
+        found->second.capacity.onPollFailed(isRefused, now);
 }
 
 void PoolOwner::onHolderGone(const NodeId &node, Incarnation incarnation, TimePoint now)
@@ -260,9 +264,9 @@
         m_holders.erase(holder);
 }
 
-void PoolOwner::onRemoteService(const PoolUsage &message)
+void PoolOwner::onRemoteUsage(const PoolUsage &message)
 {
-    auto &[epoch, known] = m_remote[message.pool];
+    auto &[epoch, known] = m_remoteUsage[message.pool];
     // From an owner that was not heard before, only what comes from now on counts: flows were level
     // within the bound at any time, so what was before may be forgotten.
     const bool isNew = epoch != message.epoch;
@@ -273,7 +277,8 @@
     for (const FlowUsage &flow : message.flows) {
         std::uint64_t &last = known[flow.flow];
         if (!isNew && flow.servedMs > last) {
-            m_shares.addRemote(flow.flow, std::chrono::milliseconds(flow.servedMs - last));
+            m_accounting.addRemoteService(flow.flow,
+                                          std::chrono::milliseconds(flow.servedMs - last));
         }
         last = std::max(last, flow.servedMs);
     }
@@ -283,29 +288,29 @@
 {
     for (auto lease = m_leases.begin(); lease != m_leases.end();) {
         const auto next = std::next(lease);
-        if (hasRunOut(lease->second, now)) {
-            const bool ran = lease->second.isSeen;
+        if (isReclaimable(lease->second, now)) {
+            const bool ran = lease->second.isConfirmed;
             free(lease, ran ? now - lease->second.grantedAt : Duration(0));
         }
         lease = next;
     }
-    std::erase_if(m_unfit, [&](const auto &entry) { return entry.second <= now; });
-    std::erase_if(m_onTheirWay, [](const auto &entry) { return entry.second == 0; });
-    m_shares.expire(now);
+    std::erase_if(m_rejectedTargets, [&](const auto &entry) { return entry.second <= now; });
+    std::erase_if(m_inFlightGrants, [](const auto &entry) { return entry.second == 0; });
+    m_accounting.expire(now);
 }
 
 /// Whether a lease is free although its holder did not return it.
-bool PoolOwner::hasRunOut(const Lease &lease, TimePoint now) const
+bool PoolOwner::isReclaimable(const Lease &lease, TimePoint now) const
 {
-    if (now <= lease.startsBy + clockMargin)
+    if (now <= lease.startDeadline + clockDriftMargin)
         return false;
     const auto holder = m_holders.find(lease.node);
     const bool isKnown = holder != m_holders.end();
     // The holder was heard after the term and does not have it: the grant was lost on its way. One
     // of which nothing was heard may have begun a request and been cut off before it could tell.
-    if (!lease.isSeen && isKnown && holder->second.listedAt > lease.startsBy)
+    if (!lease.isConfirmed && isKnown && holder->second.leasesReportedAt > lease.startDeadline)
         return true;
-    const bool isHeard = isKnown && now - holder->second.heardAt <= holderSilence;
+    const bool isHeard = isKnown && now - holder->second.heardAt <= holderSilenceTimeout;
     if (isHeard)
         return false;
     // The holder is silent: paused, cut off from here, or lost with its VM. Its request may still
@@ -314,40 +319,40 @@
     const auto target = m_targets.find(lease.target);
     if (target == m_targets.end())
         return true;
-    const TargetGauge &gauge = target->second.gauge;
-    const bool isReportNewer = gauge.reportedAt() > lease.seenAt + holderSilence;
+    const TargetCapacity &capacity = target->second.capacity;
+    const bool isReportNewer = capacity.reportedAt() > lease.confirmedAt + holderSilenceTimeout;
     // Another holder may be between two requests at the moment of the report: fewer running than
     // leases proves nothing about this one. A warm target bears the one too many, a cold one falls
     // over.
-    const std::uint32_t most = gauge.isCold() ? 1 : target->second.occupied;
-    if (isReportNewer && gauge.reportedRunning() < most)
+    const std::uint32_t maxReportedRunning = capacity.isCold() ? 1 : target->second.occupied;
+    if (isReportNewer && capacity.reportedRunning() < maxReportedRunning)
         return true;
-    return now - lease.seenAt > m_attemptTimeout;
+    return now - lease.confirmedAt > m_attemptTimeout;
 }
 
 std::vector<TargetHash> PoolOwner::duePolls(TimePoint now)
 {
     std::vector<TargetHash> due;
     for (auto &[hash, target] : m_targets) {
-        if (now < target.gauge.nextPoll)
+        if (now < target.capacity.nextPoll)
             continue;
-        target.gauge.nextPoll = now + target.gauge.pollPeriod();
+        target.capacity.nextPoll = now + target.capacity.pollPeriod();
         due.push_back(hash);
     }
     return due;
 }
 
-PoolUsage PoolOwner::serviceReport(TimePoint now) const
+PoolUsage PoolOwner::usageReport(TimePoint now) const
 {
     PoolUsage report;
     report.service = m_service.str();
     report.pool = m_pool;
     report.epoch = hash64("epoch",
                           m_options.incarnation
-                              ^ static_cast<std::uint64_t>(m_began.time_since_epoch().count()));
-    m_shares.forEach([&](FlowId flow) {
+                              ^ static_cast<std::uint64_t>(m_startedAt.time_since_epoch().count()));
+    m_accounting.forEach([&](FlowId flow) {
         const auto served
-            = std::chrono::duration_cast<std::chrono::milliseconds>(m_shares.served(flow, now));
+            = std::chrono::duration_cast<std::chrono::milliseconds>(m_accounting.served(flow, now));
         report.flows.push_back({flow, static_cast<std::uint64_t>(served.count())});
     });
     return report;
@@ -359,14 +364,14 @@
     if (found == m_targets.end())
         return std::nullopt;
     const Target &value = found->second;
-    return TargetView {&value.gauge, value.gauge.limit(m_part, now), value.occupied};
+    return TargetView {&value.capacity, value.capacity.limit(m_agreement, now), value.occupied};
 }
 
 std::size_t PoolOwner::waiting() const
 {
     std::size_t sum = 0;
     for (const auto &[node, holder] : m_holders) {
-        for (const auto &[flow, want] : holder.wants)
+        for (const auto &[flow, want] : holder.demands)
             sum += want.waiting;
     }
     return sum;
@@ -380,9 +385,9 @@
         assert(target->second.occupied > 0 && "a lease ends at a target that has none");
         --target->second.occupied;
     }
-    arrived(lease->second);
-    m_shares.end(value.flow, value.estimate, value.grantedAt, used);
-    m_memory.onFreed(value.node);
+    markDelivered(lease->second);
+    m_accounting.end(value.flow, value.estimate, value.grantedAt, used);
+    m_history.onLeaseEnded(value.node);
     m_leases.erase(lease);
 }
 
--- a/lib/Policy/ServiceQueue.cpp
+++ b/lib/Policy/ServiceQueue.cpp
@@ -7,52 +7,52 @@
 namespace {
 
 /// Weight of the newest value in the smoothed ones: about the last ten count.
-constexpr double smoothing = 0.2;
+constexpr double smoothingWeight = 0.2;
 /// What a request is taken to cost before one was measured.
-constexpr Duration firstCost = std::chrono::milliseconds(200);
+constexpr Duration initialCostEstimate = std::chrono::milliseconds(200);
 
 double smoothed(double old, double sample)
 {
-    return old == 0 ? sample : old + smoothing * (sample - old);
+    return old == 0 ? sample : old + smoothingWeight * (sample - old);
 }
 
 } // namespace
 
-void DrainMeter::onLeft(TimePoint now)
+void DrainRateEstimator::onDequeued(TimePoint now)
 {
-    if (m_last)
-        m_interval = smoothed(m_interval, std::max(toSeconds(now - *m_last), 1e-6));
-    m_last = now;
+    if (m_lastDequeuedAt)
+        m_interval = smoothed(m_interval, std::max(toSeconds(now - *m_lastDequeuedAt), 1e-6));
+    m_lastDequeuedAt = now;
 }
 
-double DrainMeter::rate(TimePoint now) const
+double DrainRateEstimator::rate(TimePoint now) const
 {
-    if (m_interval == 0 || !m_last)
+    if (m_interval == 0 || !m_lastDequeuedAt)
         return 0;
     // A flow that has stopped draining gets slower with each moment, before the next one leaves.
-    return 1 / std::max(m_interval, toSeconds(now - *m_last) / 2);
+    return 1 / std::max(m_interval, toSeconds(now - *m_lastDequeuedAt) / 2);
 }
 
 void ServiceQueue::push(FlowId flow, Handle handle, TimePoint now)
 {
-    touch(flow, now).push_back({handle, now});
+    activeQueue(flow, now).push_back({handle, now});
     ++m_size;
 }
 
 void ServiceQueue::pushFront(FlowId flow, Handle handle, TimePoint since, TimePoint now)
 {
-    touch(flow, now).push_front({handle, since});
+    activeQueue(flow, now).push_front({handle, since});
     ++m_size;
 }
 
 /// The queue of a flow that is about to get a waiting request. Time in which nothing waited says
 /// nothing about how fast it drains: counted in, the second request after an idle minute was
 /// refused as if it had to wait for half a minute.
-ServiceQueue::Queue &ServiceQueue::touch(FlowId flow, TimePoint now)
+ServiceQueue::Queue &ServiceQueue::activeQueue(FlowId flow, TimePoint now)
 {
     const auto [entry, isNew] = m_waiting.try_emplace(flow);
     if (isNew)
-        m_flows[flow].drain.onBusy(now);
+        m_flows[flow].drain.onFirstWaiting(now);
     return entry->second;
 }
 
@@ -71,8 +71,9 @@
     if (found == m_waiting.end())
         return false;
     Queue &queue = found->second;
-    const auto waiting = std::find_if(queue.begin(), queue.end(),
-                                      [&](const Waiting &value) { return value.handle == handle; });
+    const auto waiting = std::find_if(queue.begin(), queue.end(), [&](const WaitingRequest &value) {
+        return value.handle == handle;
+    });
     if (waiting == queue.end())
         return false;
     erase(found, waiting);
@@ -96,7 +97,7 @@
     return fromSeconds(static_cast<double>(ahead) / rate);
 }
 
-void ServiceQueue::noteCost(FlowId flow, Duration used)
+void ServiceQueue::recordCost(FlowId flow, Duration used)
 {
     double &cost = m_flows[flow].cost;
     cost = smoothed(cost, std::max(toSeconds(used), 1e-3));
@@ -105,7 +106,7 @@
 Duration ServiceQueue::expectedCost(FlowId flow) const
 {
     const auto found = m_flows.find(flow);
-    return found == m_flows.end() || found->second.cost == 0 ? firstCost
+    return found == m_flows.end() || found->second.cost == 0 ? initialCostEstimate
                                                              : fromSeconds(found->second.cost);
 }
 
@@ -130,14 +131,14 @@
     return demand;
 }
 
-std::optional<TimePoint> ServiceQueue::oldest() const
+std::optional<TimePoint> ServiceQueue::oldestArrival() const
 {
-    std::optional<TimePoint> oldest;
+    std::optional<TimePoint> oldestArrival;
     for (const auto &[flow, queue] : m_waiting) {
-        if (!oldest || queue.front().since < *oldest)
-            oldest = queue.front().since;
+        if (!oldestArrival || queue.front().since < *oldestArrival)
+            oldestArrival = queue.front().since;
     }
-    return oldest;
+    return oldestArrival;
 }
 
 } // namespace berylridge
--- a/lib/Policy/TargetGauge.cpp
+++ b/lib/Policy/TargetCapacity.cpp
@@ -1,4 +1,4 @@
-#include "berylridge/Policy/TargetGauge.h"
+#include "berylridge/Policy/TargetCapacity.h"
 
 #include <algorithm>
 
@@ -8,34 +8,34 @@
 
 constexpr Duration warmPollPeriod = std::chrono::milliseconds(1000);
 constexpr Duration coldPollPeriod = std::chrono::milliseconds(250);
-constexpr std::size_t endedBootsKept = 8;
+constexpr std::size_t maxEndedBoots = 8;
 
 /// A target may restart unseen while nothing runs there. The next requests would all reach the new
 /// boot at once and it would fall over. Without word of the boot for this long, the owner gives out
 /// only cold slots; a poll or an answer opens the rest again.
-constexpr Duration evidenceLasts = std::chrono::milliseconds(2500);
+constexpr Duration bootEvidenceLifetime = std::chrono::milliseconds(2500);
 
 } // namespace
 
-std::uint32_t partOfSlots(std::uint32_t slots, OwnerPart part)
+std::uint32_t allottedSlots(std::uint32_t slots, OwnerAgreement agreement)
 {
-    const std::uint32_t listed = std::max(part.listed, 1U);
-    const std::uint32_t agreeing = std::min(part.agreeing, listed);
+    const std::uint32_t listed = std::max(agreement.listed, 1U);
+    const std::uint32_t agreeing = std::min(agreement.agreeing, listed);
     const std::uint32_t others = listed - agreeing;
     if (agreeing > others)
         return slots - slots * others / listed;
     return slots * agreeing / listed;
 }
 
-TargetGauge::TargetGauge(const TargetStateMachine &chart, TimePoint now)
-    : m_chart(&chart)
-    , m_state(chart.initial())
+TargetCapacity::TargetCapacity(const TargetStateMachine &stateMachine, TimePoint now)
+    : m_stateMachine(&stateMachine)
+    , m_state(stateMachine.initial())
 
-    , m_reportedAt(now - 2 * evidenceLasts)
+    , m_reportedAt(now - 2 * bootEvidenceLifetime)
 {
 }
 
-void TargetGauge::configure(const ServiceDocument &document, bool isLeaving)
+void TargetCapacity::configure(const ServiceDocument &document, bool isLeaving)
 {
     m_slots = document.slots;
     m_coldSlots = document.coldSlots;
@@ -44,54 +44,54 @@
         return;
     step(isLeaving ? TargetSignal::LeaveOrdered : TargetSignal::ReturnOrdered);
     // It may have been restarted while it was out: only cold slots until its boot is heard again.
-    m_evidenceAt.reset();
+    m_bootConfirmedAt.reset();
 }
 
-bool TargetGauge::onSign(TargetSignal sign, std::string_view bootId, TimePoint now)
+bool TargetCapacity::onSignal(TargetSignal signal, std::string_view bootId, TimePoint now)
 {
     // News of a boot that has already ended says nothing about the present one.
     const bool isLate
         = hasEnded(bootId) || (!bootId.empty() && !m_bootId.empty() && bootId != m_bootId);
-    switch (sign) {
+    switch (signal) {
     case TargetSignal::NewBoot:
     case TargetSignal::Heard:
-        return heardBoot(bootId, now);
+        return confirmBoot(bootId, now);
     case TargetSignal::RefusedConnection:
     case TargetSignal::Crash:
         if (isLate)
             return false;
-        step(sign);
+        step(signal);
         // Whether the boot has ended or only a connection broke, the next poll tells.
         m_isDown = true;
         return true;
     default:
         if (!isLate)
-            step(sign);
+            step(signal);
         return false;
     }
 }
 
-void TargetGauge::onCompleted(std::uint32_t count, std::string_view bootId, TimePoint now)
+void TargetCapacity::onCompleted(std::uint32_t count, std::string_view bootId, TimePoint now)
 {
     // A return that was on its way while its boot crashed proves nothing about what runs now.
     const bool isOfDeadBoot = m_isDown && (bootId.empty() || bootId == m_bootId);
     if (count == 0 || isOfDeadBoot || hasEnded(bootId))
         return;
-    heardBoot(bootId, now);
+    confirmBoot(bootId, now);
     // The target's report counts the same answers, so the two are never added up.
-    m_told += count;
-    m_completed = std::max(m_completed, m_told);
+    m_reportedByHolders += count;
+    m_completed = std::max(m_completed, m_reportedByHolders);
     step(TargetSignal::FirstAnswer);
     if (m_completed >= m_warmAfter)
         step(TargetSignal::RampDone);
 }
 
-bool TargetGauge::onReport(std::string_view bootId, std::uint32_t running, std::uint64_t completed,
-                           Duration age, TimePoint now)
+bool TargetCapacity::onLoadReport(std::string_view bootId, std::uint32_t running,
+                                  std::uint64_t completed, Duration age, TimePoint now)
 {
     if (hasEnded(bootId))
         return false;
-    const bool isNew = heardBoot(bootId, now);
+    const bool isNew = confirmBoot(bootId, now);
     m_reportedRunning = running;
     m_reportedAt = now - age;
     m_completed = std::max(m_completed, completed);
@@ -101,23 +101,24 @@
     return isNew;
 }
 
-void TargetGauge::onPollFailed(bool isRefused, TimePoint now)
+void TargetCapacity::onPollFailed(bool isRefused, TimePoint now)
 {
     if (isRefused)
-        onSign(TargetSignal::RefusedConnection, {}, now);
+        onSignal(TargetSignal::RefusedConnection, {}, now);
     else
         step(TargetSignal::Silence);
 }
 
-std::uint32_t TargetGauge::limit(OwnerPart part, TimePoint now) const
+std::uint32_t TargetCapacity::limit(OwnerAgreement agreement, TimePoint now) const
 {
     if (m_isDown || m_state == TargetState::Leaving || m_state == TargetState::Gone
         || m_state == TargetState::Suspect) {
         return 0;
     }
-    const bool isEvidenceFresh = m_evidenceAt && now - *m_evidenceAt <= evidenceLasts;
+    const bool isEvidenceFresh
+        = m_bootConfirmedAt && now - *m_bootConfirmedAt <= bootEvidenceLifetime;
     if (isCold() || !isEvidenceFresh)
-        return partOfSlots(m_coldSlots, part);
+        return allottedSlots(m_coldSlots, agreement);
     // Beyond warmAfter the limit doubles with each round of answers, so that a target whose
     // document is too hopeful is found out by one more request at a time and not by all of them.
     std::uint64_t ramped = m_coldSlots;
@@ -130,39 +131,39 @@
     return static_cast<std::uint32_t>(std::min<std::uint64_t>(ramped, m_slots));
 }
 
-Duration TargetGauge::pollPeriod() const
+Duration TargetCapacity::pollPeriod() const
 {
     return isCold() || m_isDown || m_state == TargetState::Suspect ? coldPollPeriod
                                                                    : warmPollPeriod;
 }
 
-bool TargetGauge::hasEnded(std::string_view bootId) const
+bool TargetCapacity::hasEnded(std::string_view bootId) const
 {
     return !bootId.empty()
         && std::find(m_endedBoots.begin(), m_endedBoots.end(), bootId) != m_endedBoots.end();
 }
 
 /// Takes in that the boot runs. Returns whether it is another one than was known.
-bool TargetGauge::heardBoot(std::string_view bootId, TimePoint now)
+bool TargetCapacity::confirmBoot(std::string_view bootId, TimePoint now)
 {
     // Late word of a boot that has ended: it would make its successor cold, or worse, pass for it.
     if (hasEnded(bootId))
         return false;
 
     m_isDown = false;
-    m_evidenceAt = now;
+    m_bootConfirmedAt = now;
     if (bootId.empty() || bootId == m_bootId) {
         step(TargetSignal::Heard);
         return false;
     }
     if (!m_bootId.empty())
         m_endedBoots.push_back(m_bootId);
-    if (m_endedBoots.size() > endedBootsKept)
+    if (m_endedBoots.size() > maxEndedBoots)
         m_endedBoots.pop_front();
     step(TargetSignal::NewBoot);
     m_bootId = bootId;
     m_completed = 0;
-    m_told = 0;
+    m_reportedByHolders = 0;
     m_reportedRunning = 0;
     return true;
 }
--- a/lib/Policy/TargetLoads.cpp
+++ b/lib/Policy/TargetLoads.cpp
@@ -13,7 +13,7 @@
     load.tokens += tokens;
 }
 
-void TargetLoads::promptRead(TargetKey target, std::uint32_t tokens)
+void TargetLoads::onPromptRead(TargetKey target, std::uint32_t tokens)
 {
     TargetLoad &load = m_own[target];
     assert(load.tokens >= tokens && "tokens that were never begun");
@@ -53,7 +53,7 @@
 void TargetLoads::expire(TimePoint now)
 {
     std::erase_if(m_remotes, [&](const auto &entry) {
-        const bool isOld = now - entry.second.heardAt > remoteLimit;
+        const bool isOld = now - entry.second.heardAt > digestLifetime;
         if (isOld)
             subtract(entry.second);
         return isOld;
--- a/lib/Policy/WorkspaceShares.cpp
+++ b/lib/Policy/WorkspaceShares.cpp
@@ -9,33 +9,33 @@
 namespace {
 
 /// Longest time for which unused share is kept, in seconds of the share.
-constexpr double creditSeconds = 1.0;
+constexpr double maxCreditSeconds = 1.0;
 /// What a workspace got beyond its share is held against it so far, in seconds of the share: a
 /// flood that took what was idle must not go without for long once others come.
-constexpr double debtSeconds = 3.0;
+constexpr double maxDebtSeconds = 3.0;
 /// A node's demands count so long after its last digest.
-constexpr Duration remoteLimit = std::chrono::milliseconds(1500);
+constexpr Duration digestLifetime = std::chrono::milliseconds(1500);
 /// Shares add up to a little more than was served, so that they find out when the fleet bears more.
-constexpr double growth = 1.05;
+constexpr double capacityGrowth = 1.05;
 /// Beyond this part of what is served, what is turned away shows that the fleet is full.
-constexpr double fullPart = 0.05;
+constexpr double overloadRejectFraction = 0.05;
 /// Nodes at which a workspace's callers must be for a sample of nodes to tell of the others.
-constexpr std::size_t leastSample = 3;
+constexpr std::size_t minSampledNodes = 3;
 /// Below this a workspace is idle.
-constexpr double idleRate = 1.0;
+constexpr double idleTokensPerSecond = 1.0;
 /// Bounds of the correction of a node's part of a share.
-constexpr double leastCorrection = 0.25;
-constexpr double mostCorrection = 2.0;
+constexpr double minCorrection = 0.25;
+constexpr double maxCorrection = 2.0;
 
 void add(const WorkspaceShares::Flow &flow, WorkspaceShares::Flow &sum)
 {
-    sum.asked += flow.asked;
+    sum.requested += flow.requested;
     sum.admitted += flow.admitted;
 }
 
 } // namespace
 
-double maxMinLevel(std::vector<double> demands, double capacity)
+double maxMinFairRate(std::vector<double> demands, double capacity)
 {
     std::sort(demands.begin(), demands.end());
     double left = capacity;
@@ -48,33 +48,33 @@
     return std::numeric_limits<double>::infinity();
 }
 
-void WorkspaceShares::onAsked(WorkspaceKey workspace, double tokens, TimePoint now)
+void WorkspaceShares::onRequested(WorkspaceKey workspace, double tokens, TimePoint now)
 {
     m_own[workspace].demand.add(tokens, now);
 }
 
-void WorkspaceShares::onDigest(const NodeId &node, RemoteNews news, TimePoint now)
+void WorkspaceShares::onDigest(const NodeId &node, RemoteDigest digest, TimePoint now)
 {
-    m_remotes[node] = {std::move(news), now};
+    m_remotes[node] = {std::move(digest), now};
 }
 
-double WorkspaceShares::capacity(double namedCapacity, TimePoint now)
+double WorkspaceShares::capacity(double configuredCapacity, TimePoint now)
 {
     double served = m_served.at(now);
-    double turnedAway = m_turnedAway.at(now);
+    double turnedAway = m_rejected.at(now);
     for (const auto &[node, remote] : m_remotes) {
-        served += remote.news.servedPerSecond;
-        turnedAway += remote.news.turnedAwayPerSecond;
+        served += remote.digest.servedPerSecond;
+        turnedAway += remote.digest.rejectedPerSecond;
     }
     // Targets that have to read most parts anew bear a third of what operators name. Shares of the
     // named figure hold nobody back then: a flood takes what room there is, and its neighbours get
     // a third of what it gets.
     m_fleet.servedPerSecond = served;
-    m_fleet.turnedAwayPerSecond = turnedAway;
-    m_isFull = turnedAway > fullPart * served;
-    if (m_isFull)
-        return served * growth;
-    return std::max(namedCapacity, served * growth);
+    m_fleet.rejectedPerSecond = turnedAway;
+    m_isOverloaded = turnedAway > overloadRejectFraction * served;
+    if (m_isOverloaded)
+        return served * capacityGrowth;
+    return std::max(configuredCapacity, served * capacityGrowth);
 }
 
 WorkspaceShares::FlowMap WorkspaceShares::fleetFlows(TimePoint now) const
@@ -90,7 +90,7 @@
     for (const auto &[node, remote] : m_remotes) {
         const bool isNew = remote.heardAt > m_updatedAt;
         sampled += isNew ? 1 : 0;
-        for (const Flow &flow : remote.news.flows) {
+        for (const Flow &flow : remote.digest.flows) {
             add(flow, known[flow.workspace]);
             if (!isNew)
                 continue;
@@ -102,82 +102,86 @@
     // The other nodes' last digests are of before a flood that has begun since. Where it comes to
     // many nodes, those that were heard in this period stand for all.
     for (const auto &[workspace, sample] : samples) {
-        if (sample.nodes < leastSample)
+        if (sample.nodes < minSampledNodes)
             continue;
-        const double times = static_cast<double>(m_remotes.size()) / static_cast<double>(sampled);
+        const double scale = static_cast<double>(m_remotes.size()) / static_cast<double>(sampled);
         Flow &flow = known[workspace];
-        flow.asked = std::max(flow.asked, sample.flow.asked * times);
-        flow.admitted = std::max(flow.admitted, sample.flow.admitted * times);
+        flow.requested = std::max(flow.requested, sample.flow.requested * scale);
+        flow.admitted = std::max(flow.admitted, sample.flow.admitted * scale);
     }
     for (const auto &[workspace, own] : m_own)
         add({workspace, own.demand.at(now), own.admitted.at(now)}, known[workspace]);
     return known;
 }
 
-void WorkspaceShares::update(double namedCapacity, TimePoint now)
+void WorkspaceShares::update(double configuredCapacity, TimePoint now)
 {
     std::erase_if(m_remotes,
-                  [&](const auto &entry) { return now - entry.second.heardAt > remoteLimit; });
+                  [&](const auto &entry) { return now - entry.second.heardAt > digestLifetime; });
     const FlowMap fleet = fleetFlows(now);
     m_updatedAt = now;
     std::vector<double> demands;
     demands.reserve(fleet.size());
     for (const auto &[workspace, flow] : fleet)
-        demands.push_back(flow.asked);
-    m_fleet.capacity = capacity(namedCapacity, now);
-    m_fleet.level = maxMinLevel(std::move(demands), m_fleet.capacity);
-    const double usualLevels = levelsAdmitted(fleet);
+        demands.push_back(flow.requested);
+    m_fleet.capacity = capacity(configuredCapacity, now);
+    m_fleet.fairRate = maxMinFairRate(std::move(demands), m_fleet.capacity);
+    const double meanRatio = meanAdmittedRatio(fleet);
     for (auto &[workspace, own] : m_own) {
         const Flow &flow = fleet.at(workspace);
-        const bool wasLimited = std::exchange(own.isLimited, flow.asked > m_fleet.level);
-        own.allowedRate = own.isLimited ? limitedRate(own, flow, usualLevels, now) : flow.asked;
+        const bool wasLimited = std::exchange(own.isLimited, flow.requested > m_fleet.fairRate);
+        own.allowedRate = own.isLimited ? limitedRate(own, flow, meanRatio, now) : flow.requested;
         if (own.isLimited && !wasLimited)
-            beginLimit(own, now);
+            startLimiting(own, now);
     }
-    std::erase_if(m_own, [&](const auto &entry) { return entry.second.demand.at(now) < idleRate; });
+    std::erase_if(m_own, [&](const auto &entry) {
+        return entry.second.demand.at(now) < idleTokensPerSecond;
+    });
 }
 
-double WorkspaceShares::levelsAdmitted(const FlowMap &fleet) const
+double WorkspaceShares::meanAdmittedRatio(const FlowMap &fleet) const
 {
-    double levels = 0;
+    double admittedRatio = 0;
     std::size_t count = 0;
     for (const auto &[workspace, flow] : fleet) {
-        if (flow.asked <= m_fleet.level)
+        if (flow.requested <= m_fleet.fairRate)
             continue;
-        levels += flow.admitted / m_fleet.level;
+        admittedRatio += flow.admitted / m_fleet.fairRate;
         ++count;
     }
-    return count > 0 ? levels / static_cast<double>(count) : 1;
+    return count > 0 ? admittedRatio / static_cast<double>(count) : 1;
 }
 
-double WorkspaceShares::limitedRate(const Own &own, const Flow &fleet, double usualLevels,
+double WorkspaceShares::limitedRate(const Own &own, const Flow &fleet, double meanRatio,
                                     TimePoint now) const
 {
     // Nodes know each other's demand late, so that their parts add up to more or less than the
-    // share. What the fleet admitted tells by how much. The others are the measure, not the level:
-    // held to it by its own count, a fleet that admits too little would never find out.
-    const double levels = fleet.admitted / m_fleet.level;
-    const double correction = std::clamp(1 + usualLevels - levels, leastCorrection, mostCorrection);
-    return m_fleet.level * own.demand.at(now) / fleet.asked * correction;
+    // share. What the fleet admitted tells by how much. The others are the measure, not the
+    // fairRate: held to it by its own count, a fleet that admits too little would never find out.
+    const double admittedRatio = fleet.admitted / m_fleet.fairRate;
+    const double correction
+        = std::clamp(1 + meanRatio - admittedRatio, minCorrection, maxCorrection);
+    return m_fleet.fairRate * own.demand.at(now) / fleet.requested * correction;
 }
 
-void WorkspaceShares::beginLimit(Own &own, TimePoint now)
+void WorkspaceShares::startLimiting(Own &own, TimePoint now)
 {
     // What it got while the fleet was full and nobody knew yet of its demand counts.
-    const double behind = (own.allowedRate - own.unlimited.at(now)) * Rate::usualSmoothingSeconds;
-    own.credit
-        = std::clamp(behind, -own.allowedRate * debtSeconds, own.allowedRate * creditSeconds);
+    const double initialCredit
+        = (own.allowedRate - own.admittedUnlimited.at(now)) * Rate::defaultSmoothingSeconds;
+    own.credit = std::clamp(initialCredit, -own.allowedRate * maxDebtSeconds,
+                            own.allowedRate * maxCreditSeconds);
     own.creditedAt = now;
 }
 
-double WorkspaceShares::secondsAhead(WorkspaceKey workspace, TimePoint now)
+double WorkspaceShares::secondsOverShare(WorkspaceKey workspace, TimePoint now)
 {
     const auto found = m_own.find(workspace);
     if (found == m_own.end() || !found->second.isLimited)
         return 0;
     Own &own = found->second;
     const double earned = own.allowedRate * toSeconds(now - own.creditedAt);
-    own.credit = std::min(own.credit + earned, own.allowedRate * creditSeconds);
+    own.credit = std::min(own.credit + earned, own.allowedRate * maxCreditSeconds);
     own.creditedAt = now;
     // Credit may go below zero by one request, so that a large request is served in its turn.
     if (own.credit > 0 || own.allowedRate <= 0)
@@ -194,14 +198,15 @@
     Own &own = found->second;
     own.admitted.add(tokens, now);
     if (!own.isLimited) {
-        if (m_isFull)
-            own.unlimited.add(tokens, now);
+        if (m_isOverloaded)
+            own.admittedUnlimited.add(tokens, now);
         return;
     }
-    own.credit = std::max(own.credit - tokens, -own.allowedRate * debtSeconds);
+    own.credit = std::max(own.credit - tokens, -own.allowedRate * maxDebtSeconds);
 }
 
-WorkspaceShares::Standing WorkspaceShares::standing(WorkspaceKey workspace, TimePoint now) const
+WorkspaceShares::ShareStatus WorkspaceShares::shareStatus(WorkspaceKey workspace,
+                                                          TimePoint now) const
 {
     const auto found = m_own.find(workspace);
     if (found == m_own.end())
--- a/lib/Router/PoolManager.cpp
+++ b/lib/Router/PoolManager.cpp
@@ -15,19 +15,19 @@
 constexpr Duration spillDuration = std::chrono::seconds(2);
 constexpr Duration usageReportPeriod = std::chrono::milliseconds(500);
 
-PickRule schedulingPolicyFor(SharingPolicy policy)
+SchedulingPolicy schedulingPolicyFor(SharingPolicy policy)
 {
     switch (policy) {
     case SharingPolicy::PerNode:
-        return PerNodeRule {};
+        return PerNodeFairPolicy {};
     case SharingPolicy::RoundRobin:
-        return RoundRobinRule {};
+        return RoundRobinPolicy {};
     case SharingPolicy::Fifo:
-        return FifoRule {};
+        return FifoPolicy {};
     case SharingPolicy::Fleet:
         break;
     }
-    return FleetRule {};
+    return FleetFairPolicy {};
 }
 
 } // namespace
@@ -46,7 +46,7 @@
     m_openTargetCounts.clear();
     for (const auto &document : m_context.documents.services()) {
         std::vector<PoolId> &ids = m_byService[document->service];
-        for (Pool &pool : poolsOf(*document)) {
+        for (Pool &pool : splitIntoPools(*document)) {
             const PoolId id = pool.id;
             for (const TargetSpec &target : pool.targets)
                 m_targetPool[target.target] = {id, document->service};
@@ -79,7 +79,7 @@
     for (auto &[id, entry] : m_pools) {
         const NodeId owner = ownerOf(entry.pool);
         if (entry.poolOwner) {
-            entry.poolOwner->setPart(ownerAgreementFor(entry.pool));
+            entry.poolOwner->setAgreement(ownerAgreementFor(entry.pool));
             entry.needsGrant = true;
         }
         if (owner == entry.owner)
@@ -101,7 +101,7 @@
             applyEarlyHandover(entry);
         }
         // The new owner must learn immediately which leases are held, so that it counts them.
-        entry.holder.listedAt = TimePoint {};
+        entry.holder.leasesReportedAt = TimePoint {};
         sendPeriodicDemand(entry);
     }
 }
@@ -120,7 +120,7 @@
 void PoolManager::onProcessResumed()
 {
     for (auto &[id, entry] : m_pools) {
-        entry.holder.dropIdle();
+        entry.holder.dropIdleLeases();
         if (entry.poolOwner)
             becomeOwner(entry);
     }
@@ -146,7 +146,7 @@
         if (tryUseLease(entry, lease))
             continue;
         hasUnusedLease = true;
-        giveBack(entry, lease, {}, isUnfit(entry, lease));
+        returnLease(entry, lease, {}, isUnfit(entry, lease));
     }
     // The owner's view of the demand here is outdated: other pools served the requests, or they
     // were cancelled or timed out.
@@ -165,16 +165,16 @@
     found->second.needsGrant = true;
 }
 
-void PoolManager::onNews(const TargetObservation &message)
+void PoolManager::onTargetReport(const TargetObservation &message)
 {
     const auto found = m_pools.find(message.pool);
     if (found == m_pools.end() || !found->second.poolOwner)
         return;
-    found->second.poolOwner->onNews(message, m_context.now);
+    found->second.poolOwner->onTargetReport(message, m_context.now);
     found->second.needsGrant = true;
 }
 
-void PoolManager::onRemoteService(const PoolUsage &message)
+void PoolManager::onRemoteUsage(const PoolUsage &message)
 {
     const auto pools = m_byService.find(ServiceId(message.service));
     if (pools == m_byService.end())
@@ -182,7 +182,7 @@
     for (const PoolId id : pools->second) {
         ManagedPool &entry = m_pools.at(id);
         if (entry.poolOwner && id != message.pool)
-            entry.poolOwner->onRemoteService(message);
+            entry.poolOwner->onRemoteUsage(message);
     }
 }
 
@@ -196,7 +196,7 @@
         applyEarlyHandover(found->second);
 }
 
-void PoolManager::onReport(const TargetLoadReport &report)
+void PoolManager::onLoadReport(const TargetLoadReport &report)
 {
     const auto found = m_targetPool.find(report.target);
     if (found == m_targetPool.end())
@@ -204,8 +204,8 @@
     ManagedPool &entry = m_pools.at(found->second.first);
     if (!entry.poolOwner)
         return;
-    entry.poolOwner->onReport(targetHash(report.target), report.bootId, report.running,
-                              report.completed, report.age, m_context.now);
+    entry.poolOwner->onLoadReport(targetHash(report.target), report.bootId, report.running,
+                                  report.completed, report.age, m_context.now);
     entry.needsGrant = true;
 }
 
@@ -231,7 +231,7 @@
     const bool mayRunAnother = entry.holder.end(ref.lease, used, isCompleted, m_context.now);
     if (mayRunAnother && tryUseLease(entry, ref.lease))
         return;
-    giveBack(entry, ref.lease, bootId);
+    returnLease(entry, ref.lease, bootId);
 }
 
 void PoolManager::reportTargetSignal(PoolId pool, TargetHash target, TargetSignal signal,
@@ -253,7 +253,7 @@
             continue;
         for (ManagedPool *entry : poolsToAsk(service)) {
             if (queue->anyFlow([&](FlowId flow, std::size_t waiting) {
-                    return entry->holder.isOwnerBehind(flow, waiting);
+                    return entry->holder.isOwnerViewStale(flow, waiting);
                 })) {
                 sendUrgentDemand(*entry, *queue);
             }
@@ -270,7 +270,7 @@
     for (auto &[id, entry] : m_pools) {
         if (!entry.poolOwner)
             continue;
-        entry.poolOwner->setPart(ownerAgreementFor(entry.pool));
+        entry.poolOwner->setAgreement(ownerAgreementFor(entry.pool));
         entry.poolOwner->tick(m_context.now);
         entry.needsGrant = true;
         for (const TargetHash hash : entry.poolOwner->duePolls(m_context.now)) {
@@ -280,8 +280,9 @@
     }
     for (auto &[service, pools] : m_byService) {
         const ServiceQueue *queue = m_leaseConsumer.queue(service);
-        const std::optional<TimePoint> oldest = queue ? queue->oldest() : std::nullopt;
-        if (oldest && m_context.now - *oldest >= spillDelay) {
+        const std::optional<TimePoint> oldestArrival
+            = queue ? queue->oldestArrival() : std::nullopt;
+        if (oldestArrival && m_context.now - *oldestArrival >= spillDelay) {
             m_spillUntil[service] = m_context.now + spillDuration;
             m_changedServices.insert(service);
         }
@@ -298,7 +299,7 @@
 bool PoolManager::isBusy() const
 {
     return std::any_of(m_pools.begin(), m_pools.end(), [](const auto &entry) {
-        return entry.second.holder.size() > 0 || entry.second.holder.hasToldDemand()
+        return entry.second.holder.size() > 0 || entry.second.holder.hasReportedDemand()
             || (entry.second.poolOwner && entry.second.poolOwner->waiting() > 0);
     });
 }
@@ -320,11 +321,11 @@
             target.zone = spec.zone;
             target.owner = entry.owner;
             target.state = acceptsNewWork(entry.pool, spec) ? "open" : "leaving";
-            target.held = entry.holder.heldAt(hash);
+            target.held = entry.holder.leaseCountAt(hash);
             const auto view
                 = entry.poolOwner ? entry.poolOwner->target(hash, m_context.now) : std::nullopt;
             if (view) {
-                target.state = view->gauge->stateName();
+                target.state = view->capacity->stateName();
                 target.limit = view->limit;
                 target.granted = view->granted;
             }
@@ -354,7 +355,7 @@
                                               schedulingPolicyFor(m_context.options.policy)},
                             m_context.now);
     configureOwner(entry);
-    entry.poolOwner->setPart(ownerAgreementFor(entry.pool));
+    entry.poolOwner->setAgreement(ownerAgreementFor(entry.pool));
     entry.needsGrant = true;
 }
 
@@ -397,7 +398,7 @@
                             m_context.membership.eligibleOwners(pool.zone, m_context.now));
 }
 
-OwnerPart PoolManager::ownerAgreementFor(const Pool &pool) const
+OwnerAgreement PoolManager::ownerAgreementFor(const Pool &pool) const
 {
     const Membership &membership = m_context.membership;
     if (pool.zone == m_context.options.zone)
@@ -423,14 +424,14 @@
 /// Starts a request on a held lease if the target still accepts new work and a request is suitable.
 bool PoolManager::tryUseLease(ManagedPool &entry, LeaseId lease)
 {
-    const LeaseHolder::Held *held = entry.holder.find(lease);
-    if (!held || !entry.holder.mayBegin(lease, m_context.now))
+    const LeaseHolder::LeaseState *held = entry.holder.find(lease);
+    if (!held || !entry.holder.canStartRequest(lease, m_context.now))
         return false;
     const TargetSpec *target = findTarget(entry, held->target);
     if (!target || !acceptsNewWork(entry.pool, *target))
         return false;
     if (!m_leaseConsumer.tryDispatch({entry.pool.id, lease}, held->flow, *target, *entry.document,
-                                     held->startsBy))
+                                     held->startDeadline))
         return false;
     entry.holder.begin(lease);
     return true;
@@ -439,18 +440,18 @@
 /// Returns whether a lease can't be used although it is valid and its flow has waiting requests.
 bool PoolManager::isUnfit(const ManagedPool &entry, LeaseId lease) const
 {
-    const LeaseHolder::Held *held = entry.holder.find(lease);
+    const LeaseHolder::LeaseState *held = entry.holder.find(lease);
     const ServiceQueue *queue = m_leaseConsumer.queue(entry.pool.service);
-    return held && queue && entry.holder.mayBegin(lease, m_context.now)
+    return held && queue && entry.holder.canStartRequest(lease, m_context.now)
         && queue->waiting(held->flow) > 0;
 }
 
-void PoolManager::giveBack(ManagedPool &entry, LeaseId lease, const std::string &bootId,
-                           bool isUnfit)
+void PoolManager::returnLease(ManagedPool &entry, LeaseId lease, const std::string &bootId,
+                              bool isUnfit)
 {
     PoolReturn message;
     message.pool = entry.pool.id;
-    message.leases.push_back(entry.holder.giveBack(lease));
+    message.leases.push_back(entry.holder.returnLease(lease));
     message.leases.back().isUnfit = isUnfit;
     message.bootId = bootId;
     message.sequence = entry.holder.nextSequence();
--- a/lib/Router/PoolManager.h
+++ b/lib/Router/PoolManager.h
@@ -53,10 +53,10 @@
     void onDemand(const NodeId &from, Incarnation incarnation, const PoolDemand &message);
     void onGrant(const NodeId &from, Incarnation incarnation, const PoolGrant &message);
     void onReturn(const NodeId &from, const PoolReturn &message);
-    void onNews(const TargetObservation &message);
-    void onRemoteService(const PoolUsage &message);
+    void onTargetReport(const TargetObservation &message);
+    void onRemoteUsage(const PoolUsage &message);
     void onHandover(const PoolHandover &message);
-    void onReport(const TargetLoadReport &report);
+    void onLoadReport(const TargetLoadReport &report);
     void onPollFailed(const TargetPollFailed &failure);
 
     /// Marks the service's queue as changed.
@@ -103,14 +103,14 @@
 
     void configureOwner(ManagedPool &entry);
     NodeId ownerOf(const Pool &pool) const;
-    OwnerPart ownerAgreementFor(const Pool &pool) const;
+    OwnerAgreement ownerAgreementFor(const Pool &pool) const;
     bool acceptsNewWork(const Pool &pool, const TargetSpec &target) const;
 
     const TargetSpec *findTarget(const ManagedPool &entry, TargetHash target) const;
     bool tryUseLease(ManagedPool &entry, LeaseId lease);
     bool isUnfit(const ManagedPool &entry, LeaseId lease) const;
-    void giveBack(ManagedPool &entry, LeaseId lease, const std::string &bootId,
-                  bool isUnfit = false);
+    void returnLease(ManagedPool &entry, LeaseId lease, const std::string &bootId,
+                     bool isUnfit = false);
     std::vector<ManagedPool *> poolsToAsk(const ServiceId &service);
     void sendFullDemand(ManagedPool &entry, const ServiceQueue &queue);
     void sendUrgentDemand(ManagedPool &entry, const ServiceQueue &queue);
--- a/lib/Router/PoolMessages.cpp
+++ b/lib/Router/PoolMessages.cpp
@@ -64,20 +64,20 @@
 {
     if (entry.owner.isEmpty())
         return;
-    PoolDemand message
-        = entry.holder.urgentMessage(queue.demand(m_context.now, maxFlowsPerDemand), m_context.now);
+    PoolDemand message = entry.holder.demandOnlyMessage(
+        queue.demand(m_context.now, maxFlowsPerDemand), m_context.now);
     m_context.send(entry.owner, FleetMessage(std::move(message)));
 }
 
 void PoolManager::sendPeriodicDemand(ManagedPool &entry)
 {
     const ServiceQueue *queue = m_leaseConsumer.queue(entry.pool.service);
-    const bool hasDemand = entry.holder.hasToldDemand();
+    const bool hasDemand = entry.holder.hasReportedDemand();
     if (!queue || (entry.holder.size() == 0 && !hasDemand))
         return;
-    if (m_context.now - entry.holder.listedAt >= fullDemandPeriod)
+    if (m_context.now - entry.holder.leasesReportedAt >= fullDemandPeriod)
         sendFullDemand(entry, *queue);
-    else if (hasDemand && m_context.now - entry.holder.toldAt >= demandPeriod)
+    else if (hasDemand && m_context.now - entry.holder.demandReportedAt >= demandPeriod)
         sendUrgentDemand(entry, *queue);
 }
 
@@ -106,7 +106,7 @@
         const std::set<NodeId> owners = nextReportReceivers(entry);
         if (owners.empty())
             continue;
-        const PoolUsage report = entry.poolOwner->serviceReport(m_context.now);
+        const PoolUsage report = entry.poolOwner->usageReport(m_context.now);
         if (report.flows.empty())
             continue;
         for (const NodeId &owner : owners)
--- a/lib/Router/RequestAttempts.cpp
+++ b/lib/Router/RequestAttempts.cpp
@@ -189,7 +189,7 @@
     const bool canResume = service->second.document->kind == ServiceKind::ModelEngine;
     if (request.isResumed && !canResume)
         return false;
-    if (m_crashes.crashes(request.fingerprint) >= CrashRecord::crashLimit)
+    if (m_crashes.crashes(request.fingerprint) >= CrashRecord::maxCrashes)
         return false;
     return service->second.budget.tryTake();
 }
@@ -218,7 +218,7 @@
     const Duration used = m_context.now - request.dispatchedAt;
     const auto service = m_services.find(request.service);
     if (isCompleted && service != m_services.end())
-        service->second.queue.noteCost(request.flow, used);
+        service->second.queue.recordCost(request.flow, used);
     Usage &usage = m_usage[request.flow];
     usage.charged += used;
     --usage.running;
--- a/lib/Router/RequestCrashes.cpp
+++ b/lib/Router/RequestCrashes.cpp
@@ -37,7 +37,7 @@
     m_context.emit(PollTarget {request.target, request.endpoint, check.poll});
 }
 
-void RequestManager::onReport(const TargetLoadReport &report)
+void RequestManager::onLoadReport(const TargetLoadReport &report)
 {
     m_knownBoots[report.target] = report.bootId;
     resolveCrashChecks(report.target, report.poll, report.bootId);
@@ -116,7 +116,7 @@
         return;
     }
     Request &request = found->second;
-    if (m_crashes.crashes(request.fingerprint) < CrashRecord::crashLimit) {
+    if (m_crashes.crashes(request.fingerprint) < CrashRecord::maxCrashes) {
         retry(request);
         return;
     }
@@ -133,7 +133,7 @@
 /// Refuses waiting requests with a blocked fingerprint, which would crash the next target.
 void RequestManager::refuseCrashingRequests(std::uint64_t fingerprint)
 {
-    if (!m_crashes.blockedFor(fingerprint, m_context.now))
+    if (!m_crashes.remainingBlockTime(fingerprint, m_context.now))
         return;
     std::vector<RequestHandle> waiting;
     for (const auto &[handle, request] : m_requests) {
@@ -148,7 +148,7 @@
                                                         std::uint64_t fingerprint) const
 {
     return {status, "crashing-request", "this request crashed the targets that ran it",
-            m_crashes.blockedFor(fingerprint, m_context.now)};
+            m_crashes.remainingBlockTime(fingerprint, m_context.now)};
 }
 
 /// Sends the known crashes to nodes with a new incarnation. A restarted node has no crash records,
--- a/lib/Router/RequestManager.cpp
+++ b/lib/Router/RequestManager.cpp
@@ -136,7 +136,7 @@
 
 void RequestManager::admit(Request &request, Service &service)
 {
-    if (m_crashes.blockedFor(request.fingerprint, m_context.now)) {
+    if (m_crashes.remainingBlockTime(request.fingerprint, m_context.now)) {
         m_context.log(LogEventId::CrashingRequest, request.id);
         refuse(request, crashingRefusal(503, request.fingerprint));
         return;
--- a/lib/Router/RequestManager.h
+++ b/lib/Router/RequestManager.h
@@ -34,7 +34,7 @@
     void onHead(const AttemptHead &event);
     void onDone(const AttemptDone &event);
     void onFailed(const AttemptFailed &event);
-    void onReport(const TargetLoadReport &report);
+    void onLoadReport(const TargetLoadReport &report);
     void onPollFailed(const TargetPollFailed &failure);
     void onCrashReport(const CrashReport &news);
     void onDocuments();
--- a/lib/Router/RouterCore.cpp
+++ b/lib/Router/RouterCore.cpp
@@ -98,8 +98,8 @@
             [&](const AttemptDone &e) { m_requests.onDone(e); },
             [&](const AttemptFailed &e) { m_requests.onFailed(e); },
             [&](const TargetLoadReport &e) {
-                m_pools.onReport(e);
-                m_requests.onReport(e);
+                m_pools.onLoadReport(e);
+                m_requests.onLoadReport(e);
             },
             [&](const TargetPollFailed &e) {
                 m_pools.onPollFailed(e);
@@ -150,8 +150,8 @@
                    [&](const PoolDemand &m) { m_pools.onDemand(from, incarnation, m); },
                    [&](const PoolGrant &m) { m_pools.onGrant(from, incarnation, m); },
                    [&](const PoolReturn &m) { m_pools.onReturn(from, m); },
-                   [&](const TargetObservation &m) { m_pools.onNews(m); },
-                   [&](const PoolUsage &m) { m_pools.onRemoteService(m); },
+                   [&](const TargetObservation &m) { m_pools.onTargetReport(m); },
+                   [&](const PoolUsage &m) { m_pools.onRemoteUsage(m); },
                    [&](const CrashReport &m) { m_requests.onCrashReport(m); },
                    [&](const Goodbye &) { m_fleet.onGoodbye(from); },
                    [&](const PoolHandover &m) { m_pools.onHandover(m); },
--- a/unittests/Policy/FleetShareTest.cpp
+++ b/unittests/Policy/FleetLimitsTest.cpp
@@ -1,4 +1,4 @@
-#include "berylridge/Policy/FleetShare.h"
+#include "berylridge/Policy/FleetLimits.h"
 #include "berylridge/Policy/TargetHealth.h"
 
 #include <cmath>
@@ -9,16 +9,16 @@
 
 // A zone's targets come back cold while all nodes have requests for them. In each second the nodes
 // together must stay below what a cold target bears, or it falls over and comes back cold again.
-TEST(ColdShare, NodesTogetherStayBelowTheRate)
+TEST(ColdTargetLimiter, FleetStaysBelowTheRate)
 {
     constexpr double rate = 19;
     for (const std::size_t nodes : {2U, 7U, 9U}) {
         ManualClock clock;
-        std::vector<ColdShare> shares(nodes);
+        std::vector<ColdTargetLimiter> shares(nodes);
         clock.advance(10s);
         int taken = 0;
         for (int ms = 0; ms < 1000; ++ms) {
-            for (ColdShare &share : shares)
+            for (ColdTargetLimiter &share : shares)
                 taken += share.tryTake(rate, nodes, clock.now()) ? 1 : 0;
             clock.advance(1ms);
         }
@@ -29,43 +29,43 @@
 
 // 70 nodes keep connections to a target that takes 680 of them. Idle ones must leave room for new
 // ones, or the target resets these.
-TEST(KeptConnections, NodesTogetherLeaveTheTargetRoom)
+TEST(IdleConnectionLimit, FleetLeavesRoomForNewConnections)
 {
     for (const std::size_t nodes : {2U, 6U, 70U}) {
         const std::uint32_t limit = 680;
-        EXPECT_LE(keptConnections(limit, nodes) * nodes, limit * 3 / 4);
-        EXPECT_GE(keptConnections(limit, nodes), 2U);
+        EXPECT_LE(idleConnectionLimit(limit, nodes) * nodes, limit * 3 / 4);
+        EXPECT_GE(idleConnectionLimit(limit, nodes), 2U);
     }
-    EXPECT_GT(keptConnections(0, 70), 2U) << "no limit is known";
+    EXPECT_GT(idleConnectionLimit(0, 70), 2U) << "no limit is known";
 }
 
 // Every attempt fails. Further attempts end at the fleet's budget in any window, however many nodes
 // take part.
-TEST(RetryShare, NodesTogetherStayWithinTheBudget)
+TEST(FleetRetryBudget, FleetStaysWithinTheBudget)
 {
-    const RetryShare::Limits limits {0.2, 54, 10s};
+    const FleetRetryBudget::Limits limits {0.2, 54, 10s};
     constexpr std::size_t nodes = 7;
     ManualClock clock;
-    std::vector<RetryShare> shares(nodes);
-    int first = 0;
-    int further = 0;
+    std::vector<FleetRetryBudget> shares(nodes);
+    int firstAttempts = 0;
+    int retries = 0;
     for (int step = 0; step < 1000; ++step) {
-        for (RetryShare &share : shares) {
+        for (FleetRetryBudget &share : shares) {
             share.onFirstAttempt(clock.now());
-            ++first;
-            further += share.tryTake(limits, nodes, clock.now()) ? 1 : 0;
+            ++firstAttempts;
+            retries += share.tryTake(limits, nodes, clock.now()) ? 1 : 0;
         }
         clock.advance(10ms);
     }
-    EXPECT_LE(further, limits.ratio * first + limits.slack);
-    EXPECT_GT(further, limits.ratio * first / 2);
+    EXPECT_LE(retries, limits.ratio * firstAttempts + limits.slack);
+    EXPECT_GT(retries, limits.ratio * firstAttempts / 2);
 }
 
-TEST(RetryShare, TheWindowSlides)
+TEST(FleetRetryBudget, RetriesExpireAfterTheWindow)
 {
-    const RetryShare::Limits limits {0, 5, 10s};
+    const FleetRetryBudget::Limits limits {0, 5, 10s};
     ManualClock clock;
-    RetryShare share;
+    FleetRetryBudget share;
     EXPECT_TRUE(share.tryTake(limits, 2, clock.now()));
     EXPECT_TRUE(share.tryTake(limits, 2, clock.now()));
     EXPECT_FALSE(share.tryTake(limits, 2, clock.now()));
@@ -75,7 +75,7 @@
 
 // A target's port is closed: it is left alone for a moment, then one request tries it, and only its
 // answer brings the others back.
-TEST(TargetHealth, OneRequestTriesATargetThatWasDown)
+TEST(TargetHealth, OneRequestProbesAFailedTarget)
 {
     ManualClock clock;
     TargetHealth health;
@@ -83,24 +83,24 @@
     EXPECT_FALSE(health.isReachable(clock.now()));
     clock.advance(300ms);
     EXPECT_TRUE(health.isReachable(clock.now()));
-    EXPECT_TRUE(health.isOnTrial());
-    health.onTrial(clock.now());
+    EXPECT_TRUE(health.isProbeNeeded());
+    health.onProbeStarted(clock.now());
     EXPECT_FALSE(health.isReachable(clock.now()));
     health.onAnswered(clock.now());
     EXPECT_TRUE(health.isReachable(clock.now()));
-    EXPECT_FALSE(health.isOnTrial());
+    EXPECT_FALSE(health.isProbeNeeded());
 }
 
 // A target fails half of its requests while its health check is good.
-TEST(TargetHealth, FailuresFade)
+TEST(TargetHealth, FailuresDecay)
 {
     ManualClock clock;
     TargetHealth health;
     health.onFailedAnswer(clock.now());
-    EXPECT_LT(health.failureShare(clock.now()), 0.25);
+    EXPECT_LT(health.failureRatio(clock.now()), 0.25);
     for (int i = 0; i < 20; ++i)
         health.onFailedAnswer(clock.now());
-    EXPECT_GT(health.failureShare(clock.now()), 0.75);
+    EXPECT_GT(health.failureRatio(clock.now()), 0.75);
     clock.advance(15s);
-    EXPECT_LT(health.failureShare(clock.now()), 0.25);
+    EXPECT_LT(health.failureRatio(clock.now()), 0.25);
 }
--- a/unittests/Policy/LeaseHolderTest.cpp
+++ b/unittests/Policy/LeaseHolderTest.cpp
@@ -29,19 +29,19 @@
 // A grant is held up in the network for longer than its term. The owner has waited the term out and
 // given the slot to another node; were the late grant used, a cold target would get one request too
 // many.
-TEST(LeaseHolder, AGrantThatComesAfterItsTermCannotBeUsed)
+TEST(LeaseHolder, GrantReceivedAfterItsTermIsUnusable)
 {
     ManualClock clock;
     LeaseHolder holder(pool);
     const TimePoint asked = clock.now();
     clock.advance(2100ms);
     for (const LeaseId lease : holder.onGrant(owner, 1, grantOf(10, 1, asked), clock.now()))
-        EXPECT_FALSE(holder.mayBegin(lease, clock.now()));
+        EXPECT_FALSE(holder.canStartRequest(lease, clock.now()));
 }
 
 // Two grants cross in the network. The owner sees a demand that speaks of the later one and takes
 // the earlier for lost; when it comes after all it must be ignored.
-TEST(LeaseHolder, AnOvertakenGrantIsIgnored)
+TEST(LeaseHolder, ReorderedGrantIsIgnored)
 {
     ManualClock clock;
     LeaseHolder holder(pool);
@@ -62,32 +62,32 @@
         ++runs;
     } while (holder.end(10, 20ms, true, clock.now()));
     EXPECT_EQ(runs, 13);
-    const ReturnedLease returned = holder.giveBack(10);
+    const ReturnedLease returned = holder.returnLease(10);
     EXPECT_EQ(returned.completed, 13U);
     EXPECT_EQ(returned.usedMs, 260U);
 }
 
 // The process was paused and wakes with leases in hand. Their terms may seem to run by its clock,
 // but the owner may have been replaced meanwhile: none is used again.
-TEST(LeaseHolder, AfterAPauseNothingBeginsOnOldLeases)
+TEST(LeaseHolder, NoRequestStartsOnOldLeasesAfterAPause)
 {
     ManualClock clock;
     LeaseHolder holder(pool);
     holder.onGrant(owner, 1, grantOf(10, 1, clock.now()), clock.now());
     holder.onGrant(owner, 1, grantOf(11, 2, clock.now()), clock.now());
     holder.begin(10);
-    holder.dropIdle();
+    holder.dropIdleLeases();
     EXPECT_FALSE(holder.find(11));
     EXPECT_FALSE(holder.end(10, 1ms, true, clock.now()));
 }
 
-TEST(LeaseHolder, TheOwnerHearsAtOnceWhenItKnowsOfNothing)
+TEST(LeaseHolder, OwnerViewIsStaleWithoutReportedDemand)
 {
     ManualClock clock;
     LeaseHolder holder(pool);
-    EXPECT_TRUE(holder.isOwnerBehind(flow, 1));
+    EXPECT_TRUE(holder.isOwnerViewStale(flow, 1));
     holder.demandMessage({{flow, 4, 0, 100}}, clock.now());
-    EXPECT_FALSE(holder.isOwnerBehind(flow, 5));
-    EXPECT_TRUE(holder.isOwnerBehind(flow, 9));
-    EXPECT_FALSE(holder.isOwnerBehind(flow, 0));
+    EXPECT_FALSE(holder.isOwnerViewStale(flow, 5));
+    EXPECT_TRUE(holder.isOwnerViewStale(flow, 9));
+    EXPECT_FALSE(holder.isOwnerViewStale(flow, 0));
 }
--- a/unittests/Policy/PlacementTest.cpp
+++ b/unittests/Policy/PlacementTest.cpp
@@ -1,5 +1,5 @@
 #include "berylridge/Policy/Placement.h"
-#include "berylridge/Policy/PromptDirectory.h"
+#include "berylridge/Policy/PromptCacheDirectory.h"
 #include "berylridge/Policy/TargetLoads.h"
 #include "berylridge/Support/Random.h"
 
@@ -18,34 +18,34 @@
     return {"m", {{shared, 13000}, {own, 4000}}, 17000, 100};
 }
 
-PlacementCandidate candidateWith(std::uint64_t tokens, std::uint32_t kept)
+PlacementCandidate candidateWith(std::uint64_t tokens, std::uint32_t cachedTokens)
 {
     PlacementCandidate candidate;
-    candidate.keptSeconds = 10;
+    candidate.cacheLifetimeSeconds = 10;
     candidate.load.tokens = tokens;
     candidate.slots = 128;
-    candidate.keptTokens = kept;
+    candidate.cachedTokens = cachedTokens;
     return candidate;
 }
 
-/// A prompt whose shared part is used so often, and kept by so many targets.
-PlacementNeed needOf(double usesPerSecond, std::size_t holders)
+/// A prompt whose shared part is used so often, and cachedTokens by so many targets.
+PlacementRequest requestOf(double usesPerSecond, std::size_t copies)
 {
-    PlacementNeed need;
-    need.inputTokens = 17000;
-    need.parts = {{13000, usesPerSecond, holders}};
-    return need;
+    PlacementRequest request;
+    request.inputTokens = 17000;
+    request.parts = {{13000, usesPerSecond, copies}};
+    return request;
 }
 
 } // namespace
 
 // A request whose shared part lies at a busy target waits there: reading the part again elsewhere
 // takes longer, and takes that target's time from others.
-TEST(Placement, AKeptPartIsWorthSomeWaiting)
+TEST(Placement, PrefersWaitingForACachedPart)
 {
     const std::vector<PlacementCandidate> candidates {candidateWith(20000, 13000),
                                                       candidateWith(0, 0)};
-    const auto choice = choosePlacement(candidates, needOf(1, 1));
+    const auto choice = choosePlacement(candidates, requestOf(1, 1));
     ASSERT_TRUE(choice);
     EXPECT_EQ(choice->index, 0U);
     EXPECT_EQ(choice->tokens, 4000U);
@@ -53,11 +53,11 @@
 
 // One book gets a fifth of the traffic. Its target's queue grows until reading the book once more
 // elsewhere is cheaper, and the load spreads.
-TEST(Placement, AHotPartSpreadsWhenItsTargetIsFull)
+TEST(Placement, CopiesAHotPartWhenItsTargetIsFull)
 {
     const std::vector<PlacementCandidate> candidates {candidateWith(100000, 13000),
                                                       candidateWith(0, 0)};
-    const auto choice = choosePlacement(candidates, needOf(20, 1));
+    const auto choice = choosePlacement(candidates, requestOf(20, 1));
     ASSERT_TRUE(choice);
     EXPECT_EQ(choice->index, 1U);
 }
@@ -65,107 +65,107 @@
 // Hundreds of long parts, each used once in some seconds, and a memory that turns over as fast. The
 // holder has a queue for a moment. A copy elsewhere would be given up before it is used again: it
 // would only take reading time and memory from the other parts, which then are read again too.
-TEST(Placement, ASeldomUsedPartIsNotCopied)
+TEST(Placement, DoesNotCopyARarelyUsedPart)
 {
     std::vector<PlacementCandidate> candidates {candidateWith(100000, 13000), candidateWith(0, 0)};
-    EXPECT_EQ(choosePlacement(candidates, needOf(0.1, 1))->index, 0U);
+    EXPECT_EQ(choosePlacement(candidates, requestOf(0.1, 1))->index, 0U);
     // A memory that keeps the copy for a minute makes up for it.
-    candidates[1].keptSeconds = 60;
-    EXPECT_EQ(choosePlacement(candidates, needOf(0.5, 1))->index, 1U);
+    candidates[1].cacheLifetimeSeconds = 60;
+    EXPECT_EQ(choosePlacement(candidates, requestOf(0.5, 1))->index, 1U);
 }
 
 // A target has long prompts to read and is slower than its tokens say. The next long prompt goes
 // where reading has been faster of late; a short one doesn't wait for that.
-TEST(Placement, LongPromptsGoWhereReadingIsFast)
+TEST(Placement, SendsLongPromptsToFasterTargets)
 {
     std::vector<PlacementCandidate> candidates {candidateWith(0, 0), candidateWith(10000, 0)};
     candidates[0].tokensPerMs = 80;
     candidates[1].tokensPerMs = 100;
-    PlacementNeed need;
-    need.inputTokens = 20000;
-    EXPECT_EQ(choosePlacement(candidates, need)->index, 1U);
-    need.inputTokens = 500;
-    EXPECT_EQ(choosePlacement(candidates, need)->index, 0U);
+    PlacementRequest request;
+    request.inputTokens = 20000;
+    EXPECT_EQ(choosePlacement(candidates, request)->index, 1U);
+    request.inputTokens = 500;
+    EXPECT_EQ(choosePlacement(candidates, request)->index, 0U);
 }
 
 // With each copy the next one has to pay more: copies of hot parts would else push all others out.
-TEST(Placement, FurtherCopiesAreDearer)
+TEST(Placement, EachCopyRaisesTheCostOfTheNext)
 {
     const std::vector<PlacementCandidate> candidates {candidateWith(90000, 13000),
                                                       candidateWith(0, 0)};
-    EXPECT_EQ(choosePlacement(candidates, needOf(2, 1))->index, 1U);
-    EXPECT_EQ(choosePlacement(candidates, needOf(2, 4))->index, 0U);
+    EXPECT_EQ(choosePlacement(candidates, requestOf(2, 1))->index, 1U);
+    EXPECT_EQ(choosePlacement(candidates, requestOf(2, 4))->index, 0U);
 }
 
 // Two nodes place the same new part at once. Both must choose the same target, or two read it.
-TEST(Placement, ANewPartGoesWhereAllNodesRankItFirst)
+TEST(Placement, SendsANewPartToTheRendezvousTarget)
 {
     std::vector<PlacementCandidate> candidates {candidateWith(1000, 0), candidateWith(0, 0)};
     candidates[0].affinity = 9;
     candidates[1].affinity = 5;
-    EXPECT_EQ(choosePlacement(candidates, needOf(0, 0))->index, 0U);
+    EXPECT_EQ(choosePlacement(candidates, requestOf(0, 0))->index, 0U);
 }
 
 // A target answers its health check and fails half of its requests.
-TEST(Placement, AFailingTargetIsAvoided)
+TEST(Placement, AvoidsAFailingTarget)
 {
     std::vector<PlacementCandidate> candidates {candidateWith(0, 0), candidateWith(0, 0)};
-    candidates[0].failureShare = 0.5;
+    candidates[0].failureRatio = 0.5;
     candidates[1].load.running = 3;
     EXPECT_EQ(choosePlacement(candidates, {})->index, 1U);
 }
 
 // All nodes of a zone fell silent at once: its targets are behind a partition, and each request
 // sent there would wait for a time limit. They are used only where nothing else is left.
-TEST(Placement, ASilentZoneIsTheLastResort)
+TEST(Placement, UsesASilentZoneOnlyAsLastResort)
 {
     std::vector<PlacementCandidate> candidates {candidateWith(0, 13000), candidateWith(50000, 0)};
     candidates[0].isZoneSilent = true;
-    EXPECT_EQ(choosePlacement(candidates, needOf(1, 1))->index, 1U);
+    EXPECT_EQ(choosePlacement(candidates, requestOf(1, 1))->index, 1U);
     candidates.pop_back();
-    EXPECT_EQ(choosePlacement(candidates, needOf(1, 1))->index, 0U);
+    EXPECT_EQ(choosePlacement(candidates, requestOf(1, 1))->index, 0U);
 }
 
-TEST(Placement, NoCandidateNoChoice)
+TEST(Placement, ReturnsNothingWithoutCandidates)
 {
     EXPECT_FALSE(choosePlacement({}, {}));
 }
 
 // Replays a busy minute: 180 books over nine targets, with a choice by the directory against one by
 // the fewest waiting tokens. The tokens that are read again show what placement by prompt saves.
-TEST(Placement, SharedPartsAreSeldomReadAgain)
+TEST(Placement, CacheAwarePlacementRereadsFewerTokens)
 {
     const auto readWith = [](bool byPrompt) {
         ManualClock clock;
         RandomEngine random(7);
-        PromptDirectory prompts;
+        PromptCacheDirectory prompts;
         TargetLoads loads;
         std::uint64_t read = 0;
         std::vector<std::pair<TargetKey, std::uint32_t>> running;
         for (int i = 0; i < 3000; ++i) {
-            const PromptChain chain = chainOf(promptOf(random() % 180, 1000000 + random()));
+            const PrefixChain chain = prefixChainOf(promptOf(random() % 180, 1000000 + random()));
             std::vector<PlacementCandidate> candidates;
             for (TargetKey key = 0; key < 9; ++key) {
                 prompts.setCapacity(key, 1000000);
                 PlacementCandidate candidate = candidateWith(loads.total(key).tokens, 0);
-                candidate.keptSeconds = prompts.keptSeconds(key, clock.now());
+                candidate.cacheLifetimeSeconds = prompts.cacheLifetimeSeconds(key, clock.now());
                 if (byPrompt)
-                    candidate.keptTokens = prompts.keptTokens(chain, key);
+                    candidate.cachedTokens = prompts.cachedTokens(chain, key);
                 candidates.push_back(candidate);
             }
-            PlacementNeed need = needOf(0, 1);
+            PlacementRequest request = requestOf(0, 1);
             if (byPrompt)
-                need.parts = prompts.sharedParts(chain, clock.now());
-            const auto choice = choosePlacement(candidates, need);
+                request.parts = prompts.sharedParts(chain, clock.now());
+            const auto choice = choosePlacement(candidates, request);
             const auto key = static_cast<TargetKey>(choice->index);
-            const std::uint32_t tokens = chain.inputTokens - prompts.keptTokens(chain, key);
+            const std::uint32_t tokens = chain.inputTokens - prompts.cachedTokens(chain, key);
             read += tokens;
-            prompts.onRead(key, tokens, clock.now());
-            prompts.onPlaced(chain.links.front().key, key, clock.now());
+            prompts.onTokensRead(key, tokens, clock.now());
+            prompts.onPromptSent(chain.links.front().key, key, clock.now());
             loads.begin(key, tokens);
             running.emplace_back(key, tokens);
             if (running.size() > 40) {
-                loads.promptRead(running.front().first, running.front().second);
+                loads.onPromptRead(running.front().first, running.front().second);
                 loads.end(running.front().first);
                 running.erase(running.begin());
             }
@@ -176,77 +176,78 @@
     EXPECT_LT(readWith(true) * 3, readWith(false) * 2);
 }
 
-// A part that lies behind another one is of use only where the first is kept too.
-TEST(PromptDirectory, AChainIsKeptFromItsBegin)
+// A part that lies behind another one is of use only where the first is cachedTokens too.
+TEST(PromptCacheDirectory, CountsCachedPartsFromTheStart)
 {
     ManualClock clock;
-    PromptDirectory prompts;
-    const PromptChain chain = chainOf({"m", {{1, 100}, {2, 200}, {3, 50}}, 350, 10});
-    prompts.onPlaced(chain.links[1].key, first, clock.now());
-    EXPECT_EQ(prompts.keptTokens(chain, first), 0U);
-    prompts.onPlaced(chain.links[0].key, first, clock.now());
-    EXPECT_EQ(prompts.keptTokens(chain, first), 300U);
-    EXPECT_EQ(prompts.keptTokens(chain, second), 0U);
-    const PromptChain otherModel = chainOf({"n", {{1, 100}}, 100, 10});
-    EXPECT_EQ(prompts.keptTokens(otherModel, first), 0U);
+    PromptCacheDirectory prompts;
+    const PrefixChain chain = prefixChainOf({"m", {{1, 100}, {2, 200}, {3, 50}}, 350, 10});
+    prompts.onPromptSent(chain.links[1].key, first, clock.now());
+    EXPECT_EQ(prompts.cachedTokens(chain, first), 0U);
+    prompts.onPromptSent(chain.links[0].key, first, clock.now());
+    EXPECT_EQ(prompts.cachedTokens(chain, first), 300U);
+    EXPECT_EQ(prompts.cachedTokens(chain, second), 0U);
+    const PrefixChain otherModel = prefixChainOf({"n", {{1, 100}}, 100, 10});
+    EXPECT_EQ(prompts.cachedTokens(otherModel, first), 0U);
 }
 
-// Under load an engine's memory turns over in seconds. A node that took parts as kept for a minute
-// sent requests to targets that read them anew: a third of all reading.
-TEST(PromptDirectory, APartIsGoneWhenOtherTokensFilledTheMemory)
+// Under load an engine's memory turns over in seconds. A node that took parts as cachedTokens for a
+// minute sent requests to targets that read them anew: a third of all reading.
+TEST(PromptCacheDirectory, EvictsAPartWhenOtherTokensFillTheCache)
 {
     ManualClock clock;
-    PromptDirectory prompts;
-    const PromptChain chain = chainOf(promptOf(1, 2));
+    PromptCacheDirectory prompts;
+    const PrefixChain chain = prefixChainOf(promptOf(1, 2));
     prompts.setCapacity(first, 100000);
-    prompts.onPlaced(chain.links[0].key, first, clock.now());
-    prompts.onRead(first, 60000, clock.now());
-    EXPECT_EQ(prompts.keptTokens(chain, first), 13000U);
-    prompts.onRead(first, 20000, clock.now());
-    EXPECT_EQ(prompts.keptTokens(chain, first), 0U);
-    EXPECT_EQ(prompts.sharedParts(chain, clock.now()).at(0).holders, 0U);
+    prompts.onPromptSent(chain.links[0].key, first, clock.now());
+    prompts.onTokensRead(first, 60000, clock.now());
+    EXPECT_EQ(prompts.cachedTokens(chain, first), 13000U);
+    prompts.onTokensRead(first, 20000, clock.now());
+    EXPECT_EQ(prompts.cachedTokens(chain, first), 0U);
+    EXPECT_EQ(prompts.sharedParts(chain, clock.now()).at(0).copies, 0U);
 }
 
 // What a copy is worth follows from how often its part is used and how fast its memory fills.
-TEST(PromptDirectory, TellsUsesAndHowLongAPartIsKept)
+TEST(PromptCacheDirectory, ReportsUseRateAndCacheLifetime)
 {
     ManualClock clock;
-    PromptDirectory prompts;
-    const PromptChain chain = chainOf(promptOf(1, 2));
+    PromptCacheDirectory prompts;
+    const PrefixChain chain = prefixChainOf(promptOf(1, 2));
     prompts.setCapacity(first, 1000000);
     for (int i = 0; i < 400; ++i) {
-        prompts.onPlaced(chain.links[0].key, i % 2 == 0 ? first : second, clock.now());
-        prompts.onRead(first, 5000, clock.now());
+        prompts.onPromptSent(chain.links[0].key, i % 2 == 0 ? first : second, clock.now());
+        prompts.onTokensRead(first, 5000, clock.now());
         clock.advance(100ms);
     }
     const std::vector<SharedPart> parts = prompts.sharedParts(chain, clock.now());
     ASSERT_EQ(parts.size(), 1U) << "the last part is the request's own";
     EXPECT_EQ(parts[0].tokens, 13000U);
-    EXPECT_EQ(parts[0].holders, 2U);
+    EXPECT_EQ(parts[0].copies, 2U);
     EXPECT_NEAR(parts[0].usesPerSecond, 10, 1);
-    EXPECT_NEAR(prompts.keptSeconds(first, clock.now()), 14, 2) << "0.7 of the memory at 50,000/s";
-    EXPECT_EQ(prompts.keptSeconds(second, clock.now()), 60)
+    EXPECT_NEAR(prompts.cacheLifetimeSeconds(first, clock.now()), 14, 2)
+        << "0.7 of the memory at 50,000/s";
+    EXPECT_EQ(prompts.cacheLifetimeSeconds(second, clock.now()), 60)
         << "nobody says how large its memory is";
 }
 
-TEST(PromptDirectory, ARestartedTargetKeepsNothing)
+TEST(PromptCacheDirectory, ForgetsTheCacheOfARestartedTarget)
 {
     ManualClock clock;
-    PromptDirectory prompts;
-    const PromptChain chain = chainOf(promptOf(1, 2));
-    prompts.onPlaced(chain.links[0].key, first, clock.now());
-    prompts.onPlaced(chain.links[0].key, second, clock.now());
+    PromptCacheDirectory prompts;
+    const PrefixChain chain = prefixChainOf(promptOf(1, 2));
+    prompts.onPromptSent(chain.links[0].key, first, clock.now());
+    prompts.onPromptSent(chain.links[0].key, second, clock.now());
     prompts.forgetTarget(first);
-    EXPECT_EQ(prompts.keptTokens(chain, first), 0U);
-    EXPECT_EQ(prompts.sharedParts(chain, clock.now()).at(0).holders, 1U);
-    clock.advance(PromptDirectory::keptFor + 1s);
+    EXPECT_EQ(prompts.cachedTokens(chain, first), 0U);
+    EXPECT_EQ(prompts.sharedParts(chain, clock.now()).at(0).copies, 1U);
+    clock.advance(PromptCacheDirectory::maxCacheLifetime + 1s);
     prompts.expire(clock.now());
-    EXPECT_EQ(prompts.sharedParts(chain, clock.now()).at(0).holders, 0U);
+    EXPECT_EQ(prompts.sharedParts(chain, clock.now()).at(0).copies, 0U);
 }
 
 // A node dies with requests at a target. Its last word on them must not hold the target's room for
 // ever.
-TEST(TargetLoads, ASilentNodesLoadIsDropped)
+TEST(TargetLoads, DropsTheLoadOfASilentNode)
 {
     ManualClock clock;
     TargetLoads loads;
@@ -255,10 +256,10 @@
     EXPECT_EQ(loads.total(first).tokens, 9500U);
     loads.onDigest(NodeId("b"), {{first, {1, 2000}}}, clock.now());
     EXPECT_EQ(loads.total(first).running, 2U);
-    clock.advance(TargetLoads::remoteLimit + 1ms);
+    clock.advance(TargetLoads::digestLifetime + 1ms);
     loads.expire(clock.now());
     EXPECT_EQ(loads.total(first).tokens, 500U);
-    loads.promptRead(first, 500);
+    loads.onPromptRead(first, 500);
     loads.end(first);
     EXPECT_EQ(loads.total(first).running, 0U);
 }
--- a/unittests/Policy/PoolTest.cpp
+++ b/unittests/Policy/PoolTest.cpp
@@ -26,7 +26,7 @@
 {
     const ServiceDocument document = documentWith(100);
     std::size_t count = 0;
-    for (const Pool &pool : poolsOf(document)) {
+    for (const Pool &pool : splitIntoPools(document)) {
         for (const TargetSpec &target : pool.targets)
             EXPECT_EQ(target.zone, pool.zone);
         count += pool.targets.size();
@@ -36,8 +36,8 @@
 
 TEST(Pool, LargeZonesAreSplit)
 {
-    EXPECT_EQ(poolsOf(documentWith(20)).size(), 2U);
-    EXPECT_EQ(poolsOf(documentWith(100)).size(), 8U);
+    EXPECT_EQ(splitIntoPools(documentWith(20)).size(), 2U);
+    EXPECT_EQ(splitIntoPools(documentWith(100)).size(), 8U);
 }
 
 TEST(Pool, TheOrderOfCandidatesDoesNotChangeTheOwner)
--- a/unittests/Policy/ServiceQueueTest.cpp
+++ b/unittests/Policy/ServiceQueueTest.cpp
@@ -12,7 +12,7 @@
 
 } // namespace
 
-TEST(ServiceQueue, OrderOfArrivalButRetriesFirst)
+TEST(ServiceQueue, ServesInOrderOfArrivalWithRetriesFirst)
 {
     ManualClock clock;
     ServiceQueue queue;
@@ -26,7 +26,7 @@
     EXPECT_FALSE(queue.popIf(flow, clock.now(), any));
 }
 
-TEST(ServiceQueue, ExpectedWaitFollowsTheDrain)
+TEST(ServiceQueue, ExpectedWaitFollowsTheDrainRate)
 {
     ManualClock clock;
     ServiceQueue queue;
@@ -47,7 +47,7 @@
 // A workspace sends two requests after half a minute without any. The first is about to get its
 // slot; the second was refused as one that would wait too long, though every slot was free: the
 // idle time had been taken for a slow drain.
-TEST(ServiceQueue, IdleTimeIsNotASlowDrain)
+TEST(ServiceQueue, IdleTimeDoesNotLowerTheDrainRate)
 {
     ManualClock clock;
     ServiceQueue queue;
@@ -62,7 +62,7 @@
     EXPECT_EQ(queue.expectedWait(flow, clock.now()), Duration(2ms));
 }
 
-TEST(ServiceQueue, DemandTellsTheLongestWaitsFirst)
+TEST(ServiceQueue, DemandReportsTheLongestWaits)
 {
     ManualClock clock;
     ServiceQueue queue;
--- /dev/null
+++ b/unittests/Policy/WorkspaceSharesFleetTest.cpp
@@ -0,0 +1,277 @@
+// Shares over a fleet of many nodes, each of which knows the others' demands and loads with a lag.
+#include "berylridge/Policy/Admission.h"
+#include "berylridge/Policy/WorkspaceShares.h"
+
+#include "berylridge/Support/Random.h"
+
+#include <algorithm>
+#include <cmath>
+#include <deque>
+#include <gtest/gtest.h>
+#include <map>
+#include <vector>
+
+using namespace berylridge;
+using namespace std::chrono_literals;
+
+namespace {
+
+constexpr std::size_t nodeCount = 60;
+constexpr std::size_t targetCount = 50;
+constexpr double tokensPerMs = 100; ///< Of each target.
+constexpr double latencyTargetMs = 600;
+constexpr double meanTokens = 12000; ///< Of a request.
+constexpr int digestPeriodMs = 100;
+constexpr std::size_t periodsPerRound = 6;
+constexpr int updatePeriodMs = 100;
+constexpr double configuredCapacity = 20e6;
+
+/// Nodes before targets that read at a fixed rate. Each node tells a sixth of the others each
+/// tenth of a second what its callers sendRequest and what it has at each target.
+class ModelFleet
+{
+public:
+    ModelFleet()
+        : m_nodes(nodeCount)
+    {
+        for (Node &node : m_nodes) {
+            node.ownTokens.resize(targetCount);
+            node.remoteTokens.resize(nodeCount, std::vector<double>(targetCount));
+            node.remoteTokenSum.resize(targetCount);
+        }
+    }
+
+    /// A request of the workspace comes to one of the nodes from first to last.
+    void sendRequest(WorkspaceKey workspace, std::size_t first, std::size_t last)
+    {
+        const auto nodes = static_cast<double>(last - first + 1);
+        const auto index = first + static_cast<std::size_t>(uniform(m_random) * nodes);
+        Node &node = m_nodes[std::min(index, last)];
+        const double tokens = -std::log(1 - uniform(m_random)) * meanTokens;
+        requestedTokens[workspace] += tokens;
+        node.shares.onRequested(workspace, tokens, m_clock.now());
+        std::size_t target = 0;
+        for (std::size_t i = 1; i < m_running; ++i)
+            target = node.knownTokens(i) < node.knownTokens(target) ? i : target;
+        const double ahead = node.shares.secondsOverShare(workspace, m_clock.now());
+        const double allowed = maxQueueWaitMs({latencyTargetMs, tokens / tokensPerMs, ahead});
+        if (node.knownTokens(target) / tokensPerMs > allowed) {
+            node.shares.onRejected(tokens, m_clock.now());
+            return;
+        }
+        node.shares.onAdmitted(workspace, tokens, m_clock.now());
+        admittedTokens[workspace] += tokens;
+        node.ownTokens[target] += tokens;
+    }
+
+    /// From now on only so many targets read; what was queued at the others is lost.
+    void setRunning(std::size_t targets)
+    {
+        for (std::size_t i = targets; i < m_running; ++i) {
+            for (Node &node : m_nodes)
+                node.ownTokens[i] = 0;
+        }
+        m_running = targets;
+    }
+
+    void advanceOneMs()
+    {
+        for (std::size_t i = 0; i < m_running; ++i)
+            read(i);
+        m_clock.advance(1ms);
+        ++m_ms;
+        for (std::size_t i = 0; i < nodeCount; ++i) {
+            if ((m_ms + static_cast<int>(i)) % digestPeriodMs == 0)
+                sendDigests(i);
+            if ((m_ms + static_cast<int>(i)) % updatePeriodMs == 0)
+                m_nodes[i].shares.update(configuredCapacity, m_clock.now());
+        }
+    }
+
+    std::map<WorkspaceKey, double> requestedTokens;
+    std::map<WorkspaceKey, double> admittedTokens;
+
+private:
+    struct Node
+    {
+        WorkspaceShares shares;
+        std::vector<double> ownTokens;                 ///< Tokens of its requests, by target.
+        std::vector<std::vector<double>> remoteTokens; ///< The same of other nodes.
+        std::vector<double> remoteTokenSum;
+
+        double knownTokens(std::size_t target) const
+        {
+            return ownTokens[target] + remoteTokenSum[target];
+        }
+    };
+
+    void read(std::size_t target)
+    {
+        double queued = 0;
+        for (const Node &node : m_nodes)
+            queued += node.ownTokens[target];
+        const double left = queued > tokensPerMs ? 1 - tokensPerMs / queued : 0;
+        for (Node &node : m_nodes)
+            node.ownTokens[target] *= left;
+    }
+
+    void sendDigests(std::size_t sender)
+    {
+        const Node &from = m_nodes[sender];
+        const TimePoint now = m_clock.now();
+        const auto turn = static_cast<std::size_t>(m_ms / digestPeriodMs);
+        for (std::size_t i = 0; i < nodeCount; ++i) {
+            if (i == sender || (i + sender + turn) % periodsPerRound != 0)
+                continue;
+            Node &node = m_nodes[i];
+            node.shares.onDigest(NodeId("n" + std::to_string(sender)),
+                                 {from.shares.ownFlows(now), from.shares.servedPerSecond(now),
+                                  from.shares.rejectedPerSecond(now)},
+                                 now);
+            for (std::size_t target = 0; target < targetCount; ++target)
+                node.remoteTokenSum[target]
+                    += from.ownTokens[target] - node.remoteTokens[sender][target];
+            node.remoteTokens[sender] = from.ownTokens;
+        }
+    }
+
+    ManualClock m_clock;
+    std::vector<Node> m_nodes;
+    RandomEngine m_random {7};
+    std::size_t m_running = targetCount;
+    int m_ms = 0;
+};
+
+/// What workspaces admittedTokens and requestedTokens from one moment on.
+class Window
+{
+public:
+    explicit Window(const ModelFleet &fleet)
+        : m_requestedBefore(fleet.requestedTokens)
+        , m_admittedBefore(fleet.admittedTokens)
+    {
+    }
+
+    /// Each gets at least half of what it requestedTokens or the best served one admittedTokens.
+    void expectFairShares(const ModelFleet &fleet)
+    {
+        double most = 0;
+        for (const auto &[workspace, tokens] : fleet.admittedTokens)
+            most = std::max(most, tokens - m_admittedBefore[workspace]);
+        for (const auto &[workspace, tokens] : fleet.admittedTokens) {
+            const double admittedTokens = tokens - m_admittedBefore[workspace];
+            const double requestedTokens
+                = fleet.requestedTokens.at(workspace) - m_requestedBefore[workspace];
+            EXPECT_GE(admittedTokens, std::min(requestedTokens, most) / 2)
+                << "workspace " << workspace << " asked " << requestedTokens << ", the best got "
+                << most;
+        }
+    }
+
+private:
+    std::map<WorkspaceKey, double> m_requestedBefore;
+    std::map<WorkspaceKey, double> m_admittedBefore;
+};
+
+/// Looks once a second at the last six.
+class WindowPerSecond
+{
+public:
+    void next(const ModelFleet &fleet)
+    {
+        m_windows.emplace_back(fleet);
+        if (m_windows.size() <= seconds)
+            return;
+        m_windows.front().expectFairShares(fleet);
+        m_windows.pop_front();
+    }
+
+private:
+    static constexpr std::size_t seconds = 6;
+
+    std::deque<Window> m_windows;
+};
+
+constexpr WorkspaceKey flood = 1;
+constexpr WorkspaceKey firstLarge = 2; ///< Three of them, each at one node.
+constexpr WorkspaceKey firstSmall = 5; ///< Ten of them, each at two nodes.
+constexpr WorkspaceKey secondFlood = 15;
+
+/// Twice what the targets read, without the flood.
+void sendUsualRequests(ModelFleet &fleet, int ms)
+{
+    if (ms % 5 == 0) {
+        for (WorkspaceKey i = 0; i < 3; ++i)
+            fleet.sendRequest(firstLarge + i, i, i);
+    }
+    if (ms % 40 == 0) {
+        for (WorkspaceKey i = 0; i < 10; ++i)
+            fleet.sendRequest(firstSmall + i, 10 + 2 * i, 11 + 2 * i);
+    }
+}
+
+} // namespace
+
+// Guards against a flood that comes to all nodes getting several times what others get, while
+// small workspaces find the targets full.
+TEST(WorkspaceSharesFleet, FloodAtAllNodesLeavesOthersTheirShares)
+{
+    ModelFleet fleet;
+    for (int ms = 0; ms < 8000; ++ms) {
+        fleet.sendRequest(flood, 0, nodeCount - 1);
+        sendUsualRequests(fleet, ms);
+        fleet.advanceOneMs();
+    }
+    Window window(fleet);
+    for (int ms = 0; ms < 6000; ++ms) {
+        fleet.sendRequest(flood, 0, nodeCount - 1);
+        sendUsualRequests(fleet, ms);
+        fleet.advanceOneMs();
+    }
+    window.expectFairShares(fleet);
+}
+
+// Guards against a flood that begins at all nodes at once and takes the room of several seconds
+// before nodes have remoteTokens of each other's demand.
+TEST(WorkspaceSharesFleet, SuddenFloodAtAllNodesLeavesOthersTheirShares)
+{
+    ModelFleet fleet;
+    for (int ms = 0; ms < 8000; ++ms) {
+        if (ms % 50 == 0)
+            fleet.sendRequest(flood, 0, nodeCount - 1); // Its usual.
+        sendUsualRequests(fleet, ms);
+        fleet.advanceOneMs();
+    }
+    Window window(fleet);
+    for (int ms = 0; ms < 6000; ++ms) {
+        fleet.sendRequest(flood, 0, nodeCount - 1);
+        fleet.sendRequest(flood, 0, nodeCount - 1);
+        sendUsualRequests(fleet, ms);
+        fleet.advanceOneMs();
+    }
+    window.expectFairShares(fleet);
+}
+
+// Guards against a flood at all nodes paying at a low level for what it admittedTokens at a high
+// one, and against one at few nodes owing nothing for it.
+TEST(WorkspaceSharesFleet, SharesStayFairWhileTargetsFail)
+{
+    ModelFleet fleet;
+    WindowPerSecond windows;
+    std::size_t running = targetCount;
+    for (int ms = 0; ms < 18000; ++ms) {
+        if (ms >= 4000) {
+            fleet.sendRequest(flood, 0, nodeCount - 1);
+            fleet.sendRequest(flood, 0, nodeCount - 1);
+        }
+        if (ms % 5 == 0)
+            fleet.sendRequest(firstLarge, 0, 0);
+        if (ms >= 4000 && ms % 2 == 0)
+            fleet.sendRequest(secondFlood, 40, 41);
+        if (ms >= 8000 && ms % 1000 == 0 && running > 15)
+            fleet.setRunning(running -= 5);
+        fleet.advanceOneMs();
+        if (ms >= 7000 && ms % 1000 == 0)
+            windows.next(fleet);
+    }
+}
--- a/unittests/Policy/WorkspaceSharesTest.cpp
+++ b/unittests/Policy/WorkspaceSharesTest.cpp
@@ -1,4 +1,5 @@
-// Shares of workspaces and what they admit, under loads that ask for more than the fleet bears.
+// Shares of workspaces and what they admit, under loads that sendRequest for more than the fleet
+// bears.
 #include "berylridge/Policy/WorkspaceShares.h"
 #include "berylridge/Policy/Admission.h"
 
@@ -22,79 +23,79 @@
     {
     }
 
-    double knownWaitMs() const { return m_known / m_tokensPerMs; }
-    void tell() { m_known = m_queued; }
+    double knownWaitMs() const { return m_knownQueued / m_tokensPerMs; }
+    void updateKnownQueue() { m_knownQueued = m_queued; }
     void add(double tokens) { m_queued += tokens; }
-    void passMs() { m_queued = std::max(0.0, m_queued - m_tokensPerMs); }
+    void advanceOneMs() { m_queued = std::max(0.0, m_queued - m_tokensPerMs); }
 
 private:
     double m_tokensPerMs;
     double m_queued = 0;
-    double m_known = 0;
+    double m_knownQueued = 0;
 };
 
 /// One node before one target, as the balancer asks them.
 class OneTarget
 {
 public:
-    explicit OneTarget(double tokensPerMs, int tellEveryMs)
+    explicit OneTarget(double tokensPerMs, int digestPeriodMs)
         : m_target(tokensPerMs)
-        , m_tellEveryMs(tellEveryMs)
+        , m_digestPeriodMs(digestPeriodMs)
     {
     }
 
-    void ask(WorkspaceKey workspace, double tokens)
+    void sendRequest(WorkspaceKey workspace, double tokens)
     {
         constexpr double latencyTargetMs = 400;
         constexpr double readMs = 20;
-        asked[workspace] += tokens;
-        m_shares.onAsked(workspace, tokens, m_clock.now());
-        const double ahead = m_shares.secondsAhead(workspace, m_clock.now());
-        if (m_target.knownWaitMs() > allowedWaitMs({latencyTargetMs, readMs, ahead})) {
-            m_shares.onTurnedAway(tokens, m_clock.now());
+        requestedTokens[workspace] += tokens;
+        m_shares.onRequested(workspace, tokens, m_clock.now());
+        const double ahead = m_shares.secondsOverShare(workspace, m_clock.now());
+        if (m_target.knownWaitMs() > maxQueueWaitMs({latencyTargetMs, readMs, ahead})) {
+            m_shares.onRejected(tokens, m_clock.now());
             return;
         }
         m_shares.onAdmitted(workspace, tokens, m_clock.now());
         m_target.add(tokens);
-        got[workspace] += tokens;
+        admittedTokens[workspace] += tokens;
     }
 
-    void passMs(double namedCapacity)
+    void advanceOneMs(double configuredCapacity)
     {
-        constexpr int updateEveryMs = 100;
-        m_target.passMs();
+        constexpr int updatePeriodMs = 100;
+        m_target.advanceOneMs();
         m_clock.advance(1ms);
         ++m_ms;
-        if (m_ms % m_tellEveryMs == 0)
-            m_target.tell();
-        if (m_ms % updateEveryMs == 0)
-            m_shares.update(namedCapacity, m_clock.now());
+        if (m_ms % m_digestPeriodMs == 0)
+            m_target.updateKnownQueue();
+        if (m_ms % updatePeriodMs == 0)
+            m_shares.update(configuredCapacity, m_clock.now());
     }
 
-    std::map<WorkspaceKey, double> asked;
-    std::map<WorkspaceKey, double> got;
+    std::map<WorkspaceKey, double> requestedTokens;
+    std::map<WorkspaceKey, double> admittedTokens;
 
 private:
     ManualClock m_clock;
     WorkspaceShares m_shares;
     ReadingTarget m_target;
-    int m_tellEveryMs;
+    int m_digestPeriodMs;
     int m_ms = 0;
 };
 
 } // namespace
 
-TEST(WorkspaceShares, LevelsAreMaxMinFair)
+TEST(WorkspaceShares, FairRateIsMaxMinFair)
 {
-    EXPECT_TRUE(std::isinf(maxMinLevel({10, 20, 30}, 100)));
-    EXPECT_DOUBLE_EQ(maxMinLevel({10, 50, 60}, 90), 40);
-    EXPECT_DOUBLE_EQ(maxMinLevel({50, 50}, 50), 25);
-    EXPECT_TRUE(std::isinf(maxMinLevel({}, 0)));
+    EXPECT_TRUE(std::isinf(maxMinFairRate({10, 20, 30}, 100)));
+    EXPECT_DOUBLE_EQ(maxMinFairRate({10, 50, 60}, 90), 40);
+    EXPECT_DOUBLE_EQ(maxMinFairRate({50, 50}, 50), 25);
+    EXPECT_TRUE(std::isinf(maxMinFairRate({}, 0)));
 }
 
 // One workspace floods the fleet while it is full. The small one's requests all stay within its
 // share; the flood gets what is left and no more.
-TEST(WorkspaceShares, AFloodIsHeldToItsShareAndNeighboursAreNot)
+TEST(WorkspaceShares, LimitsOnlyTheWorkspaceOverItsShare)
 {
     constexpr WorkspaceKey flood = 1;
     constexpr WorkspaceKey small = 2;
@@ -102,19 +103,20 @@
     OneTarget fleet(capacity / 1000, 1);
     for (int ms = 0; ms < 6000; ++ms) {
         if (ms == 2000)
-            fleet.got.clear();
-        fleet.ask(flood, 500); // 500,000 a second
+            fleet.admittedTokens.clear();
+        fleet.sendRequest(flood, 500); // 500,000 a second
         if (ms % 100 == 50)
-            fleet.ask(small, 2000); // 20,000 a second
-        fleet.passMs(capacity);
+            fleet.sendRequest(small, 2000); // 20,000 a second
+        fleet.advanceOneMs(capacity);
     }
-    EXPECT_DOUBLE_EQ(fleet.got[small], 4 * 20000);
-    EXPECT_NEAR(fleet.got[flood] / 4, 80000, 8000);
+    EXPECT_DOUBLE_EQ(fleet.admittedTokens[small], 4 * 20000);
+    EXPECT_NEAR(fleet.admittedTokens[flood] / 4, 80000, 8000);
 }
 
 // Two workspaces flood the fleet, one twice as hard, each through its own node. Operators name a
-// capacity of a third of what the fleet serves. Both must get the same, not by what they ask.
-TEST(WorkspaceShares, SharesFollowWhatIsServed)
+// capacity of a third of what the fleet serves. Both must get the same, not by what they
+// sendRequest.
+TEST(WorkspaceShares, SharesFollowTheServedRate)
 {
     constexpr WorkspaceKey hard = 1;
     constexpr WorkspaceKey soft = 2;
@@ -122,41 +124,41 @@
     WorkspaceShares shares;
     shares.onDigest(NodeId("b"), {{{soft, 200000}}, 150000, 0}, clock.now());
     for (int ms = 0; ms < 3000; ++ms) {
-        shares.onAsked(hard, 400, clock.now());
+        shares.onRequested(hard, 400, clock.now());
         shares.onAdmitted(hard, 150, clock.now());
         clock.advance(1ms);
     }
     shares.onDigest(NodeId("b"), {{{soft, 200000}}, 150000, 0}, clock.now());
     shares.update(100000, clock.now());
-    EXPECT_NEAR(shares.fleet().level, 150000, 20000);
+    EXPECT_NEAR(shares.fleet().fairRate, 150000, 20000);
 }
 
 // Targets that have lost their memory read every shared part anew and bear a third of the capacity
-// that operators name. A flood and a small workspace together ask for less than the named figure,
-// so by that figure nobody is beyond its share, though most of both is turned away. The caller of
-// the small one sees refusals while the flood gets three times as much.
-TEST(WorkspaceShares, SharesFollowWhatIsServedWhereOperatorsNameMore)
+// that operators name. A flood and a small workspace together sendRequest for less than the named
+// figure, so by that figure nobody is beyond its share, though most of both is turned away. The
+// caller of the small one sees refusals while the flood gets three times as much.
+TEST(WorkspaceShares, SharesFollowTheServedRateBelowTheConfiguredCapacity)
 {
     constexpr WorkspaceKey flood = 1;
     constexpr WorkspaceKey small = 2;
-    constexpr double namedCapacity = 700000; // tokens a second
+    constexpr double configuredCapacity = 700000; // tokens a second
     ManualClock clock;
     WorkspaceShares shares;
     int smallRefused = 0;
     int floodRefused = 0;
     for (int ms = 0; ms < 6000; ++ms) {
         if (ms % 100 == 0)
-            shares.update(namedCapacity, clock.now());
-        shares.onAsked(flood, 450, clock.now()); // 450,000 a second
-        const bool isFloodWithin = shares.secondsAhead(flood, clock.now()) <= 0;
+            shares.update(configuredCapacity, clock.now());
+        shares.onRequested(flood, 450, clock.now()); // 450,000 a second
+        const bool isFloodWithin = shares.secondsOverShare(flood, clock.now()) <= 0;
         floodRefused += isFloodWithin ? 0 : 1;
         if (ms % 2 == 0)
             shares.onAdmitted(flood, 450, clock.now()); // Half of the flood finds room.
         else
-            shares.onTurnedAway(450, clock.now());
+            shares.onRejected(450, clock.now());
         if (ms % 100 == 50) {
-            shares.onAsked(small, 8000, clock.now()); // 80,000 a second
-            smallRefused += shares.secondsAhead(small, clock.now()) <= 0 ? 0 : 1;
+            shares.onRequested(small, 8000, clock.now()); // 80,000 a second
+            smallRefused += shares.secondsOverShare(small, clock.now()) <= 0 ? 0 : 1;
             shares.onAdmitted(small, 8000, clock.now());
         }
         clock.advance(1ms);
@@ -165,31 +167,32 @@
     EXPECT_GT(floodRefused, 1500);
 }
 
-// Two large workspaces ask for more than their shares, one six times as often as the other, beside
-// a small one. What a node knows of the queue is 100 ms old, so whoever asks most often overfills
-// it each time that it looks short. Callers of the small one then find no room for half of what
-// they ask, though it is a seventh of their share.
-TEST(WorkspaceShares, WorkspacesFarBeyondTheirShareWaitForShorterQueues)
+// Two large workspaces sendRequest for more than their shares, one six times as often as the other,
+// beside a small one. What a node knows of the queue is 100 ms old, so whoever asks most often
+// overfills it each time that it looks short. Callers of the small one then find no room for half
+// of what they sendRequest, though it is a seventh of their share.
+TEST(WorkspaceShares, MaxWaitShrinksWithTheExcessOverTheShare)
 {
     constexpr WorkspaceKey fast = 1;
     constexpr WorkspaceKey slow = 2;
     constexpr WorkspaceKey small = 3;
     OneTarget fleet(400, 100);
     for (int ms = 0; ms < 8000; ++ms) {
-        fleet.ask(fast, 3000);
+        fleet.sendRequest(fast, 3000);
         if (ms % 6 == 0)
-            fleet.ask(slow, 3000);
+            fleet.sendRequest(slow, 3000);
         if (ms % 50 == 0)
-            fleet.ask(small, 3000);
-        fleet.passMs(700000);
+            fleet.sendRequest(small, 3000);
+        fleet.advanceOneMs(700000);
     }
-    EXPECT_GT(fleet.got[small], 0.75 * fleet.asked[small]);
-    EXPECT_GT(fleet.got[slow], 0.75 * fleet.got[fast]);
-    EXPECT_GT(fleet.got[fast] + fleet.got[slow] + fleet.got[small], 0.95 * 8 * 400000);
+    EXPECT_GT(fleet.admittedTokens[small], 0.75 * fleet.requestedTokens[small]);
+    EXPECT_GT(fleet.admittedTokens[slow], 0.75 * fleet.admittedTokens[fast]);
+    EXPECT_GT(fleet.admittedTokens[fast] + fleet.admittedTokens[slow] + fleet.admittedTokens[small],
+              0.95 * 8 * 400000);
 }
 
-// Guards against a debt made at a high level shutting a workspace out for long once the level is
-// low.
+// Guards against a debt made at a high fairRate shutting a workspace out for long once the fairRate
+// is low.
 TEST(WorkspaceShares, ADebtGetsNoLongerWhenTheShareFalls)
 {
     constexpr WorkspaceKey own = 1;
@@ -200,7 +203,7 @@
         shares.onDigest(NodeId("b"), {{{other, 4e7, othersServed}}, othersServed, 5e6},
                         clock.now());
         for (int ms = 0; ms < 100; ++ms) {
-            shares.onAsked(own, 40000, clock.now());
+            shares.onRequested(own, 40000, clock.now());
             shares.onAdmitted(own, admitted, clock.now());
             clock.advance(1ms);
         }
@@ -210,11 +213,11 @@
         pass(5e6, 3000);
     for (int i = 0; i < 10; ++i)
         pass(5e6, 40000);
-    double before = shares.secondsAhead(own, clock.now());
+    double before = shares.secondsOverShare(own, clock.now());
     EXPECT_GT(before, 0);
     for (int i = 0; i < 20; ++i) {
         pass(1e5, 0);
-        const double after = shares.secondsAhead(own, clock.now());
+        const double after = shares.secondsOverShare(own, clock.now());
         EXPECT_LE(after, before);
         before = after;
     }
