--- a/include/berylridge/Policy/CrashRecord.h
+++ b/include/berylridge/Policy/CrashRecord.h
@@ -1,5 +1,5 @@
-// Requests that crash the targets that run them. Each crash is known by the boot that it ended, so
-// that it counts once, whoever tells of it.
+// Records which requests crash the targets that run them. A crash is identified by the boot that it
+// ended, so that it counts once however many nodes report it.
 #pragma once
 
 #include "berylridge/Support/Time.h"
@@ -14,23 +14,25 @@
 class CrashRecord
 {
 public:
-    /// A request with this fingerprint crashes no more targets than this.
+    /// The number of targets that requests with one fingerprint may crash before they are rejected.
     static constexpr std::size_t maxCrashes = 2;
 
-    /// A boot ended while it ran the request. Returns whether that is news.
+    /// Records that a boot ended while it ran the request. Returns whether the crash was unknown
+    /// before.
     bool add(std::uint64_t fingerprint, std::uint64_t boot, TimePoint now);
 
-    /// Whether a request that has not run yet is to wait: another one with its fingerprint crashed
-    /// a target a moment ago, and its rerun shows whether it was guilty.
+    /// Returns whether a request that has not run yet has to wait: another one with its fingerprint
+    /// crashed a target a moment ago, and its rerun shows whether it caused the crash.
     bool isHeld(std::uint64_t fingerprint, TimePoint now) const;
-    /// A request with this fingerprint was answered whole, so it doesn't crash what runs it.
+    /// Forgets the fingerprint: a request with it got a complete response, so it does not crash
+    /// the targets that run it.
     void clear(std::uint64_t fingerprint) { m_entries.erase(fingerprint); }
 
     std::size_t crashes(std::uint64_t fingerprint) const;
-    /// How long the request is still refused; none when it may run.
+    /// Returns how long the request is still rejected, or nothing if it may run.
     std::optional<Duration> remainingBlockTime(std::uint64_t fingerprint, TimePoint now) const;
 
-    /// Calls visit(fingerprint, boot) for each crash that is remembered.
+    /// Calls visit(fingerprint, boot) for each recorded crash.
     template <typename Visit>
     void forEach(Visit visit) const
     {
--- a/include/berylridge/Policy/FleetLimits.h
+++ b/include/berylridge/Policy/FleetLimits.h
@@ -1,4 +1,4 @@
-// Limits that hold over the whole fleet, kept without asking anyone: each node uses its part.
+// Fleet-wide limits that need no coordination: each node uses its part of the limit.
 #pragma once
 
 #include "berylridge/Support/Time.h"
@@ -9,24 +9,25 @@
 
 namespace berylridge {
 
-/// Idle connections that each of so many nodes may keep to a target, which takes `limit`
-/// connections of them all; a limit of 0 is not known.
+/// Returns how many idle connections each of `nodes` nodes may keep to a target that accepts
+/// `limit` connections in total; a limit of 0 means unknown.
 ///
-/// Load it answers: 70 nodes keep as many connections as they once needed at the same moment. The
-/// target's limit is used up by idle ones, and it resets each new one.
+/// Guards against 70 nodes each keeping as many idle connections as they once needed at the same
+/// moment. Idle connections then use up the target's limit, and it resets each new one.
 std::uint32_t idleConnectionLimit(std::uint32_t limit, std::size_t nodes);
 
-/// Requests a second to a cold target: a token bucket with one node's part of the rate.
+/// Limits the requests per second to a cold target, with a token bucket that holds one node's part
+/// of the rate.
 ///
-/// Load it answers: a zone's targets come back cold at once while the rest is overloaded, and every
-/// node sends them all it has. They fall over and come back cold again.
+/// Guards against targets of a zone that return cold all at once while the others are overloaded:
+/// if every node sends them all its requests, they crash and return cold again.
 class ColdTargetLimiter
 {
 public:
-    /// Takes one request's place where there is one. The burst of one request a node stays below
-    /// the platform's slack as long as there are fewer nodes than the rate and slack bear.
+    /// Takes a token for one request if there is one. The burst of one request per node stays below
+    /// the platform's slack as long as there are fewer nodes than the rate and the slack allow for.
     bool tryTake(double ratePerSecond, std::size_t nodes, TimePoint now);
-    /// Whether tryTake() would succeed.
+    /// Returns whether tryTake() would succeed.
     bool hasToken(double ratePerSecond, std::size_t nodes, TimePoint now) const;
 
 private:
@@ -38,28 +39,28 @@
     TimePoint m_filledAt {};
 };
 
-/// Further attempts at a service: a part of its first attempts in a sliding window, and this node's
-/// part of a fixed slack.
+/// Limits the retries of a service to a ratio of its first attempts in a sliding window, plus this
+/// node's part of a fixed slack.
 ///
-/// Load it answers: a fault fails all attempts, and sending each again doubles the load just when
-/// the targets bear least.
+/// Guards against retry amplification: when a fault fails every attempt, one retry of each doubles
+/// the load just when the targets have the least capacity.
 class FleetRetryBudget
 {
 public:
     struct Limits
     {
-        double ratio = 0.1; ///< Further attempts for each first one.
-        double slack = 10;  ///< On top, over the whole fleet.
+        double ratio = 0.1; ///< Retries allowed per first attempt.
+        double slack = 10;  ///< Additional retries, over the whole fleet.
         Duration window = std::chrono::seconds(10);
     };
 
     void onFirstAttempt(TimePoint now);
-    /// Takes one further attempt where one is left.
+    /// Takes one retry from the budget if one is left.
     bool tryTake(const Limits &limits, std::size_t nodes, TimePoint now);
 
 private:
-    /// The bound is fleet-wide and is counted at the targets; this node's view of its part may be
-    /// off by a few, so it uses less than all of it.
+    /// The limit holds for the whole fleet and is measured at the targets. A node may misjudge its
+    /// part by a few retries, so it uses less than all of it.
     static constexpr double usableFraction = 0.8;
 
     void expire(Duration window, TimePoint now);
--- a/include/berylridge/Policy/FlowAccounting.h
+++ b/include/berylridge/Policy/FlowAccounting.h
@@ -1,5 +1,6 @@
-// Virtual time of a pool's flows at its owner: what each received, over its weight. The owner
-// serves the flow that has received least (start-time fair queueing).
+// Keeps the virtual time of a pool's flows at its owner: the service that each flow received,
+// divided by its weight. The owner serves the flow with the lowest virtual time (start-time fair
+// queueing).
 #pragma once
 
 #include "berylridge/Fleet/Messages.h"
@@ -13,39 +14,42 @@
 class FlowAccounting
 {
 public:
-    /// Weights come from the service's document; a flow without one counts as 1.
+    /// Sets a flow's weight from the service's document; a flow without a weight counts as 1.
     void setWeight(FlowId flow, double weight);
 
-    /// The flow has demand or work in flight. A flow that had neither for a while starts level with
-    /// the flow that was served last: otherwise it could save up its idle time and then hold all
-    /// slots until it had caught up, and the others would see their service stop.
+    /// Records that the flow has demand or work in flight. A flow that had neither for a while
+    /// restarts at the virtual time of the flow that was served last. Otherwise it would accumulate
+    /// its idle time as credit and occupy all slots until it had caught up, while the others get no
+    /// service.
     void markActive(FlowId flow, TimePoint now);
 
-    /// A lease was granted: the flow is charged the estimate at once, since the cost is known only
-    /// at the end; without it one flow would take every slot that is free at this moment.
+    /// Charges the flow the estimate when a lease is granted, since the cost is known only at the
+    /// end. Without this charge, one flow would take every slot that is free at this moment.
     void begin(FlowId flow, Duration estimate, TimePoint now);
-    /// The lease's end: what was charged for it gives way to what it took.
+    /// Replaces the estimate that was charged for the lease by the time that it used.
     void end(FlowId flow, Duration estimate, TimePoint begun, Duration used);
 
-    /// Service that other pools of the same service gave to the flow.
+    /// Adds service that other pools of the same service gave to the flow.
     void addRemoteService(FlowId flow, Duration served);
 
-    /// Weighted seconds. While work runs longer than estimated, it grows with the time that passes.
+    /// Returns the weighted service in seconds. While a request runs longer than estimated, it
+    /// grows with the elapsed time.
     double virtualTime(FlowId flow, TimePoint now) const;
 
-    /// Sets a flow that this owner has not charged yet to where an earlier owner left it.
+    /// Restores the virtual time that an earlier owner computed, for a flow that this owner has not
+    /// charged yet.
     void restore(FlowId flow, double virtualTime, TimePoint now);
 
-    /// Remembers the virtual time at which a flow was last onChosen.
+    /// Records the virtual time of the flow that was selected last.
     void onChosen(double virtualTime);
 
-    /// Slot time given by this pool, work in flight included; cumulative.
+    /// Returns the slot time that this pool gave to the flow so far, including work in flight.
     Duration served(FlowId flow, TimePoint now) const;
 
-    /// Forgets flows that have been idle for long.
+    /// Removes flows that have been idle for a long time.
     void expire(TimePoint now);
 
-    /// Calls visit(flow) for each flow known here.
+    /// Calls visit(flow) for each known flow.
     template <typename Visit>
     void forEach(Visit visit) const
     {
@@ -58,18 +62,18 @@
 private:
     struct Flow
     {
-        Duration settledService {0}; ///< Of this pool's ended leases.
+        Duration settledService {0}; ///< Service of this pool's ended leases.
         Duration remoteService {0};
-        double virtualTimeOffset = 0; ///< Virtual time given when the flow came back from idleness.
+        double virtualTimeOffset = 0; ///< Added when the flow returned from idleness.
         TimePoint lastActiveAt {};
-        std::multimap<TimePoint, Duration> inFlight; ///< Start and estimate of each lease.
+        std::multimap<TimePoint, Duration> inFlight; ///< Start time and estimate of each lease.
     };
 
     double weight(FlowId flow) const;
 
     std::unordered_map<FlowId, Flow> m_flows;
     std::unordered_map<FlowId, double> m_weights;
-    double m_systemVirtualTime = 0; ///< Virtual time of the flow onChosen last; never falls.
+    double m_systemVirtualTime = 0; ///< Virtual time of the flow selected last; never decreases.
 };
 
 } // namespace berylridge
--- a/include/berylridge/Policy/LeaseHolder.h
+++ b/include/berylridge/Policy/LeaseHolder.h
@@ -1,4 +1,5 @@
-// The leases that this node holds of one pool, and what it has told the pool's owner.
+// Keeps the leases that this node holds in one pool, and the demand that it has reported to the
+// pool's owner.
 #pragma once
 
 #include "berylridge/Fleet/Messages.h"
@@ -20,10 +21,10 @@
     {
         TargetHash target = 0;
         FlowId flow = 0;
-        TimePoint startDeadline; ///< No request may begin on it later.
+        TimePoint startDeadline; ///< No request may start on the lease after this time.
         TimePoint grantedAt;
         Duration quantum {0};
-        Duration used {0}; ///< By requests that have ended.
+        Duration used {0}; ///< Slot time of requests that have ended.
         std::uint32_t completed = 0;
         bool isBusy = false;
     };
@@ -33,19 +34,20 @@
     {
     }
 
-    /// Takes leases from the pool's owner. Returns those that may be used: a grant that was
-    /// overtaken by a later one, or that comes after its term, gives none, since the owner has
-    /// given its slots away.
+    /// Accepts leases from the pool's owner. Returns the leases of this grant. A grant that was
+    /// overtaken by a later one yields none, since the owner has granted its slots to others. A
+    /// lease that arrives after its term is kept, but canStartRequest() is false for it.
     std::vector<LeaseId> onGrant(const NodeId &owner, Incarnation ownerIncarnation,
                                  const PoolGrant &grant, TimePoint now);
 
     void begin(LeaseId lease);
-    /// A request on the lease ended. Returns whether another of the flow's requests may begin on
-    /// it.
+    /// Records that a request on the lease ended. Returns whether another request of the flow may
+    /// start on it.
     bool end(LeaseId lease, Duration used, bool isCompleted, TimePoint now);
-    /// Takes the lease out of what is held; what to tell the owner.
+    /// Removes the lease and returns what the owner has to be told about it.
     ReturnedLease returnLease(LeaseId lease);
-    /// After a pause: idle leases are void, and busy ones can't be used again.
+    /// Drops idle leases and prevents the busy ones from being reused, after the process was
+    /// paused.
     void dropIdleLeases();
 
     const LeaseState *find(LeaseId lease) const;
@@ -53,20 +55,23 @@
     std::size_t size() const { return m_leases.size(); }
     std::uint32_t leaseCountAt(TargetHash target) const;
 
-    /// The whole state for the owner; remembers what was told.
+    /// Builds a message with the demand and all held leases, and records what was reported.
     PoolDemand demandMessage(std::vector<FlowDemand> demand, TimePoint now);
-    /// The demand alone, for an owner that must hear of it before the next period.
+    /// Builds a message with the demand alone, for an owner that has to receive it before the next
+    /// period.
     PoolDemand demandOnlyMessage(std::vector<FlowDemand> demand, TimePoint now);
 
-    /// Number for the next PoolReturn.
+    /// Returns the sequence number of the next PoolReturn.
     std::uint64_t nextSequence() { return ++m_sequence; }
-    /// Whether the owner's picture is so far off that it should hear now instead of at the next
-    /// period: it knows of no more waiting requests of a flow that has some, or of fewer than half.
+    /// Returns whether the owner's view is so outdated that it should be updated now instead of at
+    /// the next period: it knows of no waiting request of a flow that has some, or of fewer than
+    /// half.
     bool isOwnerViewStale(FlowId flow, std::size_t waiting) const;
-    /// Whether the owner was told of demand or of leases that are there no more.
+    /// Returns whether the owner may still count on demand or leases that are gone: the last report
+    /// listed demand, or leases were granted after it.
     bool hasReportedDemand() const { return !m_reportedWaiting.empty(); }
 
-    /// When demand was last told, and when the whole state.
+    /// When the demand was last reported, and when all held leases were.
     TimePoint demandReportedAt {};
     TimePoint leasesReportedAt {};
 
@@ -78,7 +83,7 @@
     std::uint64_t m_lastGrant = 0;
     std::uint64_t m_sequence = 0;
     std::unordered_map<FlowId, std::int64_t>
-        m_reportedWaiting; ///< Waiting as told, less what was granted since.
+        m_reportedWaiting; ///< Reported waiting requests, less the leases granted since.
 };
 
 } // namespace berylridge
--- a/include/berylridge/Policy/LoadShedder.h
+++ b/include/berylridge/Policy/LoadShedder.h
@@ -1,10 +1,10 @@
-// How many requests a second one thread's processor bears, and whose are turned away when more
-// come.
+// Estimates how many requests per second one thread's processor can handle, and selects the
+// requests to shed when more arrive.
 //
-// Load it answers: all callers of a large workspace are sent to one node, which gets ten times its
-// usual requests. Its processor is used up, and every caller of the node waits for seconds until
-// the client gives up, those of small workspaces too. Turned away at once, the callers reach other
-// nodes.
+// Guards against a node overload: all callers of a large workspace are sent to one node, which
+// receives ten times its usual requests. Its processor is saturated, and every caller of the node,
+// including those of small workspaces, waits for seconds until the client gives up. Callers that
+// are rejected at once reach other nodes.
 #pragma once
 
 #include "berylridge/Policy/Rate.h"
@@ -21,14 +21,14 @@
 /// hash32() of a credential; 0 for callers without one.
 using CredentialKey = std::uint32_t;
 
-/// Requests of one credential that were turned away.
+/// Number of shed requests of one credential.
 struct ShedCount
 {
     CredentialKey credential = 0;
     std::uint64_t requests = 0;
 };
 
-/// Not safe for use by two threads at once.
+/// This class is not thread-safe.
 class LoadShedder
 {
 public:
@@ -40,21 +40,21 @@
     {
     }
 
-    /// Between two reports of a thread that isn't late.
+    /// Time between two reports of a thread that is not late.
     static constexpr Duration reportPeriod = std::chrono::milliseconds(50);
 
-    /// How late the thread ran; told each period, which is longer by as much. Time without a report
-    /// says nothing: the thread that reports is the one that is late.
+    /// Records how late the thread ran. Called each period, which is longer by that lag. Time
+    /// without a report carries no information, since the late thread is the one that reports.
     void onLag(Duration lag, TimePoint now);
 
-    /// Whether a request with the credential is to be turned away; counts it as arrived.
+    /// Returns whether to shed the request with this credential, and counts its arrival.
     bool sheds(CredentialKey credential, TimePoint now);
 
-    /// Whether any request may be turned away now.
+    /// Returns whether requests may be shed at present.
     bool isLimited() const { return m_limit < unlimited; }
-    /// Requests a second that are kept; infinite while the thread keeps up.
+    /// Returns the accepted requests per second; infinite while the thread keeps up.
     double limit() const { return m_limit; }
-    /// What was turned away since the last call, by credential.
+    /// Returns the number of requests shed since the last call, by credential.
     std::vector<ShedCount> takeShedCounts();
     std::size_t credentialCount() const { return m_arrivals.size(); }
 
@@ -64,9 +64,9 @@
     struct Arrivals
     {
         Rate rate;
-        double tokens = 1; ///< Requests that may be kept at once.
+        double tokens = 1; ///< Token bucket: requests that may be accepted at once.
         TimePoint filledAt {};
-        std::uint64_t shed = 0; ///< Since takeShedCounts() was called.
+        std::uint64_t shed = 0; ///< Since the last call of takeShedCounts().
     };
 
     bool tryTake(Arrivals &arrivals, TimePoint now);
@@ -75,9 +75,10 @@
     const Duration m_acceptedLag;
     std::unordered_map<CredentialKey, Arrivals> m_arrivals;
     Rate m_acceptedRate;
-    double m_onTimeRate = 0; ///< Of what was kept, at the last report of a thread in time.
-    // Requests a second. The borne rate is what the processor is taken to bear; the limit is below
-    // it while the thread is late, and the level is what each credential may have of the limit.
+    double m_onTimeRate = 0; ///< Accepted rate at the last report of a thread that was on time.
+    // In requests per second. The sustainable rate is the estimate of what the processor can
+    // handle. The limit is below it while the thread is late. The fair rate is what each credential
+    // may use of the limit.
     double m_sustainableRate = unlimited;
     double m_limit = unlimited;
     double m_fairRate = unlimited;
--- a/include/berylridge/Policy/PoolOwner.h
+++ b/include/berylridge/Policy/PoolOwner.h
@@ -1,5 +1,5 @@
-// The owner of a pool: knows what waits for it on every node, what runs at its targets, and gives
-// free slots to the flow that has received least.
+// The owner of a pool. It tracks the waiting requests of every node and the requests running at the
+// pool's targets, and grants free slots to the flow with the lowest virtual time.
 #pragma once
 
 #include "berylridge/Policy/FlowAccounting.h"
@@ -17,7 +17,7 @@
 
 namespace berylridge {
 
-/// A message of a pool's owner to a holder.
+/// A message of a pool's owner to a lease holder.
 struct OwnerMessage
 {
     NodeId to;
@@ -26,7 +26,7 @@
 
 struct PoolOwnerOptions
 {
-    Incarnation incarnation = 0; ///< Of the owning node.
+    Incarnation incarnation = 0; ///< Incarnation of the owning node.
     Duration leaseTerm {0};
     SchedulingPolicy policy;
 };
@@ -34,12 +34,13 @@
 class PoolOwner
 {
 public:
-    /// Begins to own the pool. Grants wait for one lease term: an earlier owner may be paused or
-    /// cut off, and what it granted runs out by then; meanwhile holders tell what they hold.
+    /// Takes ownership of the pool. Grants are delayed by one lease term: an earlier owner may be
+    /// paused or partitioned, and its grants expire by then. Meanwhile holders report the leases
+    /// that they hold.
     PoolOwner(const TargetStateMachine &stateMachine, PoolOwnerOptions options, TimePoint now);
 
-    /// Takes in the document. Targets that left the pool are dropped with their leases; isLeaving
-    /// of each target says whether it is closed for new work for any reason.
+    /// Applies the document. Targets that left the pool are dropped with their leases. isLeaving of
+    /// each target says whether it is closed for new work, for any reason.
     void configure(const ServiceDocument &document, const Pool &pool, TimePoint now);
     void setAgreement(OwnerAgreement agreement) { m_agreement = agreement; }
 
@@ -50,27 +51,28 @@
     void onLoadReport(TargetHash target, std::string_view bootId, std::uint32_t running,
                       std::uint64_t completed, Duration age, TimePoint now);
     void onPollFailed(TargetHash target, bool isRefused, TimePoint now);
-    /// Everything given out, for the successor; this owner must grant nothing afterwards.
+    /// Returns all granted leases for the successor. This owner must not grant anything afterwards.
     PoolHandover handover(TimePoint now) const;
-    /// Goes on from where the earlier owner stopped. Warm targets get work at once; cold ones only
-    /// after the lease term, since a third node may have taken itself for the owner meanwhile.
+    /// Continues from the earlier owner's state. Warm targets get work at once. Cold ones get it
+    /// only after the lease term, since a third node may have acted as the owner in the meantime.
     void takeOver(const PoolHandover &message, TimePoint now);
-    /// The run of a node has ended: what it held is free, what it wanted is void.
+    /// Handles the end of a node's incarnation: its leases are released and its demand is dropped.
     void onHolderGone(const NodeId &node, Incarnation incarnation, TimePoint now);
-    /// What another pool of the service gave.
+    /// Adds the service that another pool of the service gave to each flow.
     void onRemoteUsage(const PoolUsage &message);
 
-    /// Frees what has run out and forgets what is old.
+    /// Reclaims expired leases and removes outdated entries.
     void tick(TimePoint now);
-    /// Gives out free slots as long as there is demand.
+    /// Grants free slots as long as there is demand.
     std::vector<OwnerMessage> grant(TimePoint now);
 
-    /// Targets whose load report is due; marks them as asked.
+    /// Returns the targets whose load report is due, and schedules their next poll.
     std::vector<TargetHash> duePolls(TimePoint now);
-    /// What the pool's flows received, for owners of the service's other pools.
+    /// Returns the service that the pool's flows received, for the owners of the service's other
+    /// pools.
     PoolUsage usageReport(TimePoint now) const;
 
-    /// For status: the capacity, the limit now and the leases given out, by target.
+    /// Status of a target: its capacity, its present limit and its granted leases.
     struct TargetView
     {
         const TargetCapacity *capacity;
@@ -91,14 +93,14 @@
         Incarnation incarnation = 0;
         TargetHash target = 0;
         FlowId flow = 0;
-        std::uint64_t number = 0; ///< Of the grant; 0 for a lease taken over from an earlier owner.
+        std::uint64_t number = 0; ///< Number of the grant; 0 for a lease of an earlier owner.
         TimePoint grantedAt;
         TimePoint
-            startDeadline; ///< No request begins on it later, by the holder's clock even earlier.
-        TimePoint confirmedAt; ///< When the holder last told that it holds it.
+            startDeadline; ///< No request starts after it; the holder's own deadline is earlier.
+        TimePoint confirmedAt; ///< When the holder last reported the lease.
         Duration estimate {0};
-        bool isConfirmed = false; ///< The holder told that it holds it.
-        bool isInFlight = false;  ///< The holder may not have received it yet.
+        bool isConfirmed = false; ///< Whether the holder has reported the lease.
+        bool isInFlight = false;  ///< Whether the holder may not have received it yet.
     };
     struct Holder
     {
@@ -106,9 +108,9 @@
         std::uint64_t sequence = 0;
         std::int64_t sentAt = 0;
         TimePoint heardAt;
-        TimePoint leasesReportedAt;              ///< When it last told all that it holds.
-        std::uint64_t lastGrantNumber = 0;       ///< Of the grants sent to it.
-        std::uint64_t lastAcknowledgedGrant = 0; ///< The highest grant number that it has received.
+        TimePoint leasesReportedAt;              ///< When it last reported all its leases.
+        std::uint64_t lastGrantNumber = 0;       ///< Highest grant number sent to it.
+        std::uint64_t lastAcknowledgedGrant = 0; ///< Highest grant number that it has received.
         std::map<FlowId, FlowDemand> demands;
     };
     struct Target
@@ -127,7 +129,7 @@
     bool isReclaimable(const Lease &lease, TimePoint now) const;
     std::uint32_t freeSlots(const Target &target, TimePoint now) const;
     std::uint32_t untrackedRequests(const Target &target, TimePoint now) const;
-    /// Whose requests: a flow's at one node.
+    /// A flow at one node, identifying whose requests wait.
     using FlowAtNode = std::pair<NodeId, FlowId>;
     std::optional<TargetHash> selectTarget(const FlowAtNode &want, TimePoint now) const;
     bool hasFreeSlot(TimePoint now) const;
@@ -147,15 +149,16 @@
     PoolId m_pool = 0;
     ServiceId m_service;
     TimePoint m_startedAt;
-    bool m_hasHandover = false; ///< The earlier owner told what it had given out.
+    bool m_hasHandover = false; ///< Whether the earlier owner sent its state.
 
     std::uint64_t m_nextLease;
     std::map<TargetHash, Target> m_targets;
     std::map<LeaseId, Lease> m_leases;
     std::map<NodeId, Holder> m_holders;
-    /// Leases that their holder may not have received yet, by holder and flow.
+    /// Number of leases that their holder may not have received yet, by holder and flow.
     std::map<FlowAtNode, std::uint32_t> m_inFlightGrants;
-    /// Until when a target is not offered to a flow at a node, which has said that nothing fits.
+    /// Until when a target is not offered to a flow at a node. The node has returned a lease there
+    /// because none of the flow's requests could use the target.
     std::map<std::pair<FlowAtNode, TargetHash>, TimePoint> m_rejectedTargets;
     FlowAccounting m_accounting;
     SchedulingHistory m_history;
--- a/include/berylridge/Policy/PromptCacheDirectory.h
+++ b/include/berylridge/Policy/PromptCacheDirectory.h
@@ -1,12 +1,13 @@
-// Which targets keep which shared parts of prompts, as far as the fleet's own sendings tell.
+// Estimates which targets have which shared parts of prompts cached, from the requests that the
+// fleet has sent.
 //
-// Load it answers: many requests over a few hundred long shared parts, which all targets together
-// keep several times over and one zone's targets hardly. Sent anywhere, each part is read again and
-// again, and the reading alone overloads the fleet.
+// Designed for many requests over a few hundred long shared parts. All targets together can cache
+// these several times over, the targets of one zone hardly once. Without placement by cache
+// contents, each part is read again and again, and that alone overloads the fleet.
 //
-// A target gives up what was used least recently when its cache is full. So age is counted in the
-// tokens that have tokensRead its cache since, not in time: under load a part is gone in seconds,
-// on a calm day it stays.
+// A target evicts the least recently used part when its cache is full. So the age of a part is
+// counted in the tokens that have entered the cache since, not in time: under load a part is
+// evicted within seconds, at low load it stays.
 #pragma once
 
 #include "berylridge/Policy/Rate.h"
@@ -22,16 +23,17 @@
 
 /// hash32() of a target's id.
 using TargetKey = std::uint32_t;
-/// Names a chain of parts: a kept part is of use only where all parts before it are kept too.
+/// Identifies a sequence of parts from the prompt's start. A cached part is useful only if all
+/// parts before it are cached too.
 using PrefixKey = std::uint32_t;
 
-/// A prompt with the name of each of its chains.
+/// A prompt with the key of each of its prefixes.
 struct PrefixChain
 {
     struct Link
     {
         PrefixKey key = 0;
-        std::uint32_t tokens = 0; ///< Of this part alone.
+        std::uint32_t tokens = 0; ///< Tokens of this part alone.
     };
     std::vector<Link> links;
     std::uint32_t inputTokens = 0;
@@ -40,42 +42,42 @@
 
 PrefixChain prefixChainOf(const Prompt &prompt);
 
-/// How many of the chain's links are shared: the last one is the request's own, where there are
-/// others.
+/// Returns how many of the chain's links are shared. The last link is unique to the request, unless
+/// it is the only one.
 std::size_t sharedLinkCount(const PrefixChain &chain);
 
-/// A part that a prompt shares with others, as the fleet uses it.
+/// A part that a prompt shares with others, and its use in the fleet.
 struct SharedPart
 {
     std::uint32_t tokens = 0;
-    double usesPerSecond = 0; ///< By all nodes' requests.
-    std::size_t copies = 0;   ///< Targets that keep it with all parts before it.
+    double usesPerSecond = 0; ///< Uses by requests of all nodes.
+    std::size_t copies = 0;   ///< Targets that have it cached with all parts before it.
 };
 
-/// Not safe for use by two threads at once.
+/// This class is not thread-safe.
 class PromptCacheDirectory
 {
 public:
-    /// Bounds this node's own cache; targets seldom keep an unused part for so long.
+    /// Bounds this node's own memory use; targets rarely cache an unused part for this long.
     static constexpr Duration maxCacheLifetime = std::chrono::seconds(60);
-    /// Most parts are used once in some seconds.
+    /// Most parts are used once within several seconds.
     static constexpr double useSmoothingSeconds = 10;
 
-    /// A request with this chain was sent to the target by some node of the fleet.
+    /// Records that some node of the fleet sent a request with this prefix to the target.
     void onPromptSent(PrefixKey key, TargetKey target, TimePoint now);
-    /// So many tokens have tokensRead the target's cache, by any node's requests.
+    /// Records that requests of any node added this many tokens to the target's cache.
     void onTokensRead(TargetKey target, std::uint64_t tokens, TimePoint now);
-    /// Tokens that the target's cache holds; 0 where nobody says.
+    /// Sets the size of the target's cache in tokens; 0 if it is unknown.
     void setCapacity(TargetKey target, std::uint64_t tokens) { m_caches[target].capacity = tokens; }
-    /// The target has lost its cache or is gone.
+    /// Removes the target's cached parts, since it lost its cache or is gone.
     void forgetTarget(TargetKey target);
     void expire(TimePoint now);
 
-    /// Tokens at the prompt's begin that the target keeps.
+    /// Returns the tokens at the start of the prompt that the target has cached.
     std::uint32_t cachedTokens(const PrefixChain &chain, TargetKey target) const;
-    /// The prompt's shared parts, in its order.
+    /// Returns the prompt's shared parts in its order.
     std::vector<SharedPart> sharedParts(const PrefixChain &chain, TimePoint now) const;
-    /// How long the target keeps a part that isn't used again, as its cache fills now.
+    /// Returns how long the target caches a part that is not used again, at the present fill rate.
     double cacheLifetimeSeconds(TargetKey target, TimePoint now) const;
 
 private:
@@ -83,11 +85,11 @@
     {
         TargetKey target = 0;
         TimePoint usedAt;
-        std::uint64_t tokensReadAtUse = 0; ///< Of its target's cache.
+        std::uint64_t tokensReadAtUse = 0; ///< Value of its target's tokensRead.
     };
     struct TargetCache
     {
-        std::uint64_t tokensRead = 0; ///< Tokens so far.
+        std::uint64_t tokensRead = 0; ///< Tokens added to the cache so far.
         std::uint64_t capacity = 0;
         Rate tokensReadPerSecond;
     };
--- a/include/berylridge/Policy/Rate.h
+++ b/include/berylridge/Policy/Rate.h
@@ -1,16 +1,16 @@
-// A smoothed rate of events.
+// Computes an exponentially smoothed rate of events.
 #pragma once
 
 #include "berylridge/Support/Time.h"
 
 namespace berylridge {
 
-/// Units a second, smoothed exponentially.
+/// Units per second, smoothed exponentially.
 class Rate
 {
 public:
-    /// Long enough for a few requests of a small workspace, short beside the seconds over which
-    /// shares are judged.
+    /// Long enough to include a few requests of a small workspace, and short compared to the
+    /// several seconds over which shares are compared.
     static constexpr double defaultSmoothingSeconds = 1.5;
 
     explicit Rate(double smoothingSeconds = defaultSmoothingSeconds)
--- a/include/berylridge/Policy/RetryBudget.h
+++ b/include/berylridge/Policy/RetryBudget.h
@@ -1,5 +1,5 @@
-// Limits retries to a part of the first attempts, so that a fault that fails every attempt doesn't
-// multiply the load.
+// Limits retries to a ratio of the first attempts, so that a fault that fails every attempt does
+// not multiply the load.
 #pragma once
 
 #include "berylridge/Support/Time.h"
@@ -12,11 +12,11 @@
     void setRatio(double ratio) { m_ratio = ratio; }
 
     void onFirstAttempt();
-    /// Takes one retry from the budget where one is left.
+    /// Takes one retry from the budget if one is left.
     bool tryTake();
 
 private:
-    /// Some retries are free, so that a service with little traffic can use any.
+    /// Initial retries are free, so that a service with little traffic can retry at all.
     static constexpr double initialTokens = 10;
     static constexpr double tokenLimit = 100;
 
--- a/include/berylridge/Policy/SchedulingPolicy.h
+++ b/include/berylridge/Policy/SchedulingPolicy.h
@@ -1,5 +1,5 @@
-// Which waiting flow gets the next free slot. The fleet-wide policy is the product's; the others
-// are the baselines that measurements compare it with.
+// Selects the waiting flow that gets the next free slot. FleetFairPolicy is the one for production;
+// the others are baselines for measurements.
 #pragma once
 
 #include "berylridge/Fleet/Messages.h"
@@ -19,11 +19,11 @@
 {
     const NodeId *node = nullptr;
     FlowId flow = 0;
-    double virtualTime = 0; ///< Of the flow over the fleet.
-    Duration age {0};       ///< How long its oldest request has waited there.
+    double virtualTime = 0; ///< Virtual time of the flow over the whole fleet.
+    Duration age {0};       ///< How long its oldest request has waited on this node.
 };
 
-/// What the baselines remember of earlier choices.
+/// Earlier grants that the baseline policies depend on.
 class SchedulingHistory
 {
 public:
@@ -41,7 +41,7 @@
     std::map<std::pair<NodeId, FlowId>, double> m_nodeCharge;
 };
 
-/// The lowest key is served first; the second number breaks ties of the first.
+/// The candidate with the lowest key is served first; the second number breaks ties of the first.
 using SchedulingKey = std::pair<double, double>;
 
 template <typename T>
@@ -53,7 +53,7 @@
         } -> std::same_as<SchedulingKey>;
 };
 
-/// Least service over the fleet first, then the longest wait.
+/// Selects the flow with the least service over the fleet, then the longest wait.
 struct FleetFairPolicy
 {
     SchedulingKey key(const SchedulingCandidate &candidate, const SchedulingHistory &) const
@@ -62,7 +62,7 @@
     }
 };
 
-/// Slots split evenly over nodes, least service inside each node first.
+/// Splits slots evenly over nodes, and selects the flow with the least service on a node.
 struct PerNodeFairPolicy
 {
     SchedulingKey key(const SchedulingCandidate &candidate, const SchedulingHistory &history) const
@@ -72,7 +72,7 @@
     }
 };
 
-/// Workspaces in turn, whatever their requests cost.
+/// Selects workspaces in turn, regardless of the cost of their requests.
 struct RoundRobinPolicy
 {
     SchedulingKey key(const SchedulingCandidate &candidate, const SchedulingHistory &history) const
@@ -82,7 +82,7 @@
     }
 };
 
-/// The longest wait first.
+/// Selects the longest wait.
 struct FifoPolicy
 {
     SchedulingKey key(const SchedulingCandidate &candidate, const SchedulingHistory &) const
--- a/include/berylridge/Policy/ServiceQueue.h
+++ b/include/berylridge/Policy/ServiceQueue.h
@@ -1,5 +1,5 @@
-// Requests that wait on this node for one service, by flow in order of arrival, and how fast they
-// leave.
+// Queues the requests that wait on this node for one service, by flow and in order of arrival, and
+// measures how fast they leave the queue.
 #pragma once
 
 #include "berylridge/Fleet/Messages.h"
@@ -14,20 +14,20 @@
 
 namespace berylridge {
 
-/// How fast a flow's requests leave the queue, from the times at which they left.
+/// Estimates how fast a flow's requests leave the queue.
 class DrainRateEstimator
 {
 public:
-    /// A first request waits: from now on the flow could drain.
+    /// Starts the measurement when the first request waits.
     void onFirstWaiting(TimePoint now) { m_lastDequeuedAt = now; }
     void onDequeued(TimePoint now);
-    /// Requests a second; 0 when nothing has left yet.
+    /// Returns requests per second; 0 if nothing has left yet.
     double rate(TimePoint now) const;
 
 private:
-    double m_interval = 0; ///< Smoothed seconds between two; 0 before the second.
+    double m_interval = 0; ///< Smoothed seconds between two departures; 0 before the second.
     std::optional<TimePoint>
-        m_lastDequeuedAt; ///< When one left last, or when the first began to wait.
+        m_lastDequeuedAt; ///< Last departure, or when the first request began to wait.
 };
 
 class ServiceQueue
@@ -42,9 +42,9 @@
     };
 
     void push(FlowId flow, Handle handle, TimePoint now);
-    /// A request that is to be tried again goes before those that wait.
+    /// Queues a request that is retried, before all others.
     void pushFront(FlowId flow, Handle handle, TimePoint since, TimePoint now);
-    /// The flow's first request for which isFit(handle) holds, taken out.
+    /// Removes and returns the flow's first request for which isFit(handle) holds.
     template <typename IsFit>
     std::optional<Handle> popIf(FlowId flow, TimePoint now, IsFit isFit)
     {
@@ -64,7 +64,7 @@
     }
     bool remove(FlowId flow, Handle handle);
 
-    /// Whether matches(flow, waiting) holds for any flow that waits.
+    /// Returns whether matches(flow, waiting) holds for any flow that waits.
     template <typename IsSuch>
     bool anyFlow(IsSuch matches) const
     {
@@ -75,32 +75,33 @@
 
     std::size_t size() const { return m_size; }
     std::size_t waiting(FlowId flow) const;
-    /// How long a request that comes now would wait, judged by how fast the flow drains; none when
-    /// that is not known yet.
+    /// Returns how long a request that arrives now would wait, estimated from the flow's drain
+    /// rate, or nothing if the rate is not known yet.
     std::optional<Duration> expectedWait(FlowId flow, TimePoint now) const;
 
     void recordCost(FlowId flow, Duration used);
     Duration expectedCost(FlowId flow) const;
 
-    /// Flows that wait, longest wait first, at most limit of them.
+    /// Returns at most `limit` of the flows that wait, those with the longest waits if there are
+    /// more.
     std::vector<FlowDemand> demand(TimePoint now, std::size_t limit) const;
-    /// When the oldestArrival waiting request came.
+    /// Returns the arrival time of the request that has waited longest.
     std::optional<TimePoint> oldestArrival() const;
 
 private:
     using Queue = std::deque<WaitingRequest>;
-    /// What is kept of a flow while nothing of it waits.
+    /// State of a flow that is kept while none of its requests wait.
     struct Flow
     {
         DrainRateEstimator drain;
-        double cost = 0; ///< Smoothed slot seconds of a request; 0 before the first.
+        double cost = 0; ///< Smoothed slot seconds per request; 0 before the first.
     };
 
     Queue &activeQueue(FlowId flow, TimePoint now);
     void erase(std::map<FlowId, Queue>::iterator entry, const Queue::const_iterator &waiting);
 
     std::map<FlowId, Flow> m_flows;
-    std::map<FlowId, Queue> m_waiting; ///< Of flows that wait; none is empty.
+    std::map<FlowId, Queue> m_waiting; ///< Queues of flows that wait; none is empty.
 
     std::size_t m_size = 0;
 };
--- a/include/berylridge/Policy/TargetCapacity.h
+++ b/include/berylridge/Policy/TargetCapacity.h
@@ -1,5 +1,5 @@
-// How much one target bears now, as its pool's owner knows it: state, ramp and evidence of its
-// boot.
+// Tracks how many requests one target may run at present, as known to its pool's owner: its state,
+// its ramp-up after a start, and the evidence that its boot still runs.
 #pragma once
 
 #include "berylridge/Chart/TargetStateMachine.h"
@@ -14,19 +14,19 @@
 
 namespace berylridge {
 
-/// The agreement of a cold target's slots that this owner may use, in a zone whose nodes don't all
-/// agree that it is the owner: others may have another view and an owner of their own.
+/// How many nodes of a zone agree on this owner. If not all of them do, others may have a different
+/// view and an owner of their own, and this owner may use only a part of a cold target's slots.
 struct OwnerAgreement
 {
-    std::uint32_t agreeing = 1; ///< Nodes of the zone that hold the same view, this one included.
+    std::uint32_t agreeing = 1; ///< Nodes of the zone with the same view, including this one.
     std::uint32_t listed = 1;   ///< Nodes of the zone that are not known to be gone.
 
     auto operator<=>(const OwnerAgreement &) const = default;
 };
 
-/// Slots of `slots` for an owner with that agreement. Over all owners with disjoint agreeing nodes
-/// the sum is at most `slots`: a minority rounds down, and a majority, of which there is only one,
-/// takes the rest.
+/// Returns how many of `slots` the owner may use. Over all owners with disjoint agreeing nodes the
+/// sum is at most `slots`: a minority rounds down, and the majority, of which there is at most one,
+/// takes the remainder.
 std::uint32_t allottedSlots(std::uint32_t slots, OwnerAgreement agreement);
 
 class TargetCapacity
@@ -34,33 +34,34 @@
 public:
     TargetCapacity(const TargetStateMachine &stateMachine, TimePoint now);
 
-    /// Limits from the document; they may change while the target runs.
+    /// Applies the limits of the document, which may change while the target runs.
     void configure(const ServiceDocument &document, bool isLeaving);
 
-    /// A signal from a node's news, an answer or a poll. An empty boot id means that it is unknown.
-    /// Returns whether the target is cold again.
+    /// Handles a signal from a node's report, a response or a poll. An empty boot id means that the
+    /// boot is unknown. Returns whether the target is cold again.
     bool onSignal(TargetSignal signal, std::string_view bootId, TimePoint now);
-    /// Whole answers that a holder got from the boot.
+    /// Adds complete responses that a holder received from the boot.
     void onCompleted(std::uint32_t count, std::string_view bootId, TimePoint now);
-    /// The target's own load report. Returns whether the target is cold again.
+    /// Handles the target's own load report. Returns whether the target is cold again.
     bool onLoadReport(std::string_view bootId, std::uint32_t running, std::uint64_t completed,
                       Duration age, TimePoint now);
     void onPollFailed(bool isRefused, TimePoint now);
 
-    /// Requests that may run there at once now.
+    /// Returns how many requests may run on the target concurrently.
     std::uint32_t limit(OwnerAgreement agreement, TimePoint now) const;
-    /// Whether it still ramps up, so that work of unknown owners must be counted against it.
+    /// Returns whether the target still ramps up. Then requests of unknown owners count against its
+    /// limit.
     bool isCold() const { return m_completed < m_warmAfter; }
 
     TargetState state() const { return m_state; }
     const std::string &stateName() const { return m_stateMachine->name(m_state); }
     const std::string &bootId() const { return m_bootId; }
     std::uint32_t reportedRunning() const { return m_reportedRunning; }
-    /// When the newest load report was true.
+    /// Returns the time at which the latest load report was valid.
     TimePoint reportedAt() const { return m_reportedAt; }
     Duration pollPeriod() const;
 
-    TimePoint nextPoll {}; ///< Kept by the owner.
+    TimePoint nextPoll {}; ///< Maintained by the owner.
 
 private:
     bool hasEnded(std::string_view bootId) const;
@@ -71,14 +72,14 @@
     const TargetStateMachine *m_stateMachine;
     TargetState m_state;
     std::string m_bootId;
-    std::deque<std::string> m_endedBoots; ///< The last few, to know late word of them.
+    std::deque<std::string> m_endedBoots; ///< The most recent ones, to detect late messages.
 
     std::uint32_t m_slots = 1;
     std::uint32_t m_coldSlots = 1;
     std::uint32_t m_warmAfter = 1;
-    std::uint64_t m_completed = 0;              ///< Whole answers in this boot.
-    std::uint64_t m_reportedByHolders = 0;      ///< Those of them that holders told.
-    bool m_isDown = false;                      ///< Its boot has ended and no new one was heard.
+    std::uint64_t m_completed = 0;         ///< Complete responses of this boot.
+    std::uint64_t m_reportedByHolders = 0; ///< Those of them that holders reported.
+    bool m_isDown = false;                 ///< Its boot has ended and no new one was confirmed.
     std::optional<TimePoint> m_bootConfirmedAt; ///< When this boot was last known to run.
     std::uint32_t m_reportedRunning = 0;
     TimePoint m_reportedAt {};
--- a/include/berylridge/Policy/TargetHealth.h
+++ b/include/berylridge/Policy/TargetHealth.h
@@ -1,5 +1,5 @@
-// Whether a target answers, as this node's own attempts show: some fail while the platform lists
-// the target as ready.
+// Tracks whether a target responds, from this node's own attempts: some may fail while the platform
+// lists the target as ready.
 #pragma once
 
 #include "berylridge/Support/Time.h"
@@ -8,34 +8,36 @@
 
 namespace berylridge {
 
-/// Not safe for use by two threads at once.
+/// This class is not thread-safe.
 class TargetHealth
 {
 public:
-    /// A connection could not be opened: the target or the way to it is down.
+    /// Records that a connection could not be opened: the target or the network path to it is down.
     void onConnectFailed(TimePoint now);
-    /// A connection broke, or stayed silent, before the answer was whole.
+    /// Records that a connection broke or timed out before the response was complete.
     void onConnectionBroken(TimePoint now);
-    /// An answer was wrong, or the target failed a request by its own word.
+    /// Records an invalid response, or one in which the target reported a failure.
     void onFailedAnswer(TimePoint now) { countAttempt(1, now); }
     void onAnswered(TimePoint now);
-    /// A request is on its way to a target that failed to connect: others wait for how it fares.
+    /// Records that a probe request was sent to a target that failed to connect; other requests
+    /// wait for its result.
     void onProbeStarted(TimePoint now);
 
-    /// False for a while after a connection could not be opened.
+    /// Returns false during the backoff after a connection could not be opened.
     bool isReachable(TimePoint now) const { return now >= m_backoffUntil; }
-    /// Whether the next request would show if the target is back.
+    /// Returns whether the next request serves as a probe of a target that failed to connect.
     bool isProbeNeeded() const { return m_failedConnects > 0; }
-    /// Part of recent attempts that failed, from 0 to 1, weighed so that few attempts say little.
+    /// Returns the ratio of recent attempts that failed, from 0 to 1, weighted so that a few
+    /// attempts have little effect.
     double failureRatio(TimePoint now) const;
-    /// When it last broke off; a target that did may have started anew, and is cold then.
+    /// Returns when a connection last broke. The target may have restarted then, and would be cold.
     TimePoint lastBrokenAt() const { return m_lastBrokenAt; }
 
 private:
     void countAttempt(double failures, TimePoint now);
     double decayFactor(TimePoint now) const;
 
-    std::uint32_t m_failedConnects = 0; ///< In a row.
+    std::uint32_t m_failedConnects = 0; ///< Consecutive failures.
     TimePoint m_backoffUntil {};
     TimePoint m_lastBrokenAt {};
     double m_failures = 0; ///< Decaying sums.
--- a/include/berylridge/Policy/TargetLoads.h
+++ b/include/berylridge/Policy/TargetLoads.h
@@ -1,5 +1,5 @@
-// What each target has to do for the whole fleet: this node's own requests, counted exactly, and
-// the other nodes', as their last digests told.
+// Tracks each target's load over the whole fleet: exact counts of this node's own requests, plus
+// the loads in the other nodes' latest digests.
 #pragma once
 
 #include "berylridge/Policy/PromptCacheDirectory.h"
@@ -17,18 +17,18 @@
 struct TargetLoad
 {
     std::uint32_t running = 0;
-    std::uint64_t tokens = 0; ///< Prompt tokens still to be read.
+    std::uint64_t tokens = 0; ///< Prompt tokens that are not read yet.
 };
 
-/// Not safe for use by two threads at once.
+/// This class is not thread-safe.
 class TargetLoads
 {
 public:
-    /// A node's word is dropped after this: its requests have ended since, or it has.
+    /// A node's digest is dropped after this time: its requests have ended since, or the node has.
     static constexpr Duration digestLifetime = std::chrono::milliseconds(1500);
 
     void begin(TargetKey target, std::uint32_t tokens);
-    /// The request's first event came: its prompt has been read.
+    /// Records that the request's first event arrived, so its prompt has been read.
     void onPromptRead(TargetKey target, std::uint32_t tokens);
     void end(TargetKey target);
 
@@ -41,7 +41,7 @@
     void expire(TimePoint now);
 
     TargetLoad own(TargetKey target) const;
-    /// Over all nodes.
+    /// Returns the load over all nodes.
     TargetLoad total(TargetKey target) const;
     const std::unordered_map<TargetKey, TargetLoad> &allOwn() const { return m_own; }
 
--- a/include/berylridge/Policy/WorkspaceShares.h
+++ b/include/berylridge/Policy/WorkspaceShares.h
@@ -1,11 +1,12 @@
-// Who is turned away first when the fleet can't serve all: workspaces that ask for more than their
-// max-min share of what the fleet bears.
+// Decides which workspaces are rejected first when the fleet is overloaded: those that request more
+// than their max-min fair share of its capacity.
 //
-// Load it answers: a few large workspaces ask for several times their usual, and the small ones
-// find every target full. Each node knows its own callers' demand exactly and the others' from
-// digests. What the fleet bears is what it serves while it turns requests away: a figure that
-// operators give doesn't know how much of the prompts the targets keep, and is off by a factor of
-// two either way. It counts only while next to nothing is turned away.
+// Guards against a few large workspaces that request several times their usual load, so that small
+// ones find every target full. Each node knows its own callers' demand exactly and that of the
+// other nodes' callers from digests. While the fleet rejects requests, its capacity is the rate
+// that it serves. A capacity configured by operators does not account for how much of the prompts
+// the targets have cached, and is off by a factor of two either way. It counts only while next to
+// nothing is rejected.
 #pragma once
 
 #include "berylridge/Policy/Rate.h"
@@ -22,72 +23,72 @@
 /// hash32() of a workspace's name.
 using WorkspaceKey = std::uint32_t;
 
-/// The rate that no workspace with unmet demand falls below when `capacity` is shared max-min
-/// fairly; infinite where all demands fit.
+/// Returns the rate that every workspace with unmet demand gets if `capacity` is shared max-min
+/// fairly; infinite if all demands fit.
 double maxMinFairRate(std::vector<double> demands, double capacity);
 
-/// Not safe for use by two threads at once.
+/// This class is not thread-safe.
 class WorkspaceShares
 {
 public:
-    /// A caller of the workspace asks for work of so many tokens.
+    /// Records that a caller of the workspace requested work of this many tokens.
     void onRequested(WorkspaceKey workspace, double tokens, TimePoint now);
 
-    /// A request of the workspace was admitted, within its share or beyond.
+    /// Records that a request of the workspace was admitted, within its share or over it.
     void onAdmitted(WorkspaceKey workspace, double tokens, TimePoint now);
 
-    /// The request was refused since no target had room for it.
+    /// Records that a request was rejected because no target had capacity for it.
     void onRejected(double tokens, TimePoint now) { m_rejected.add(tokens, now); }
 
-    /// Of one workspace's callers at one node, in tokens a second.
+    /// Rates of one workspace's callers at one node, in tokens per second.
     struct Flow
     {
         WorkspaceKey workspace = 0;
         double requested = 0;
         double admitted = 0;
     };
-    /// What another node told of its own callers.
+    /// What another node reported about its own callers.
     struct RemoteDigest
     {
         std::vector<Flow> flows;
         double servedPerSecond = 0;   ///< Tokens of requests that it admitted.
-        double rejectedPerSecond = 0; ///< Tokens of requests that found no room.
+        double rejectedPerSecond = 0; ///< Tokens of requests that it rejected for lack of capacity.
     };
     void onDigest(const NodeId &node, RemoteDigest digest, TimePoint now);
 
-    /// Works the shares out anew; called each period. Operators say that the fleet bears
-    /// configuredCapacity tokens a second.
+    /// Recomputes the shares; called each period. configuredCapacity is the capacity of the fleet
+    /// that operators state, in tokens per second.
     void update(double configuredCapacity, TimePoint now);
 
-    /// How far the workspace is beyond its share at this node: what it got too much, in seconds of
-    /// the share. 0 within it, and where all demands fit.
+    /// Returns how far the workspace is over its share at this node: the excess that it received,
+    /// in seconds of its share. Returns 0 within the share, and where all demands fit.
     double secondsOverShare(WorkspaceKey workspace, TimePoint now);
 
-    /// A workspace's place among the others, for those who ask why it was turned away. In tokens a
-    /// second.
+    /// A workspace's share and demand, to explain why it was rejected; in tokens per second.
     struct ShareStatus
     {
-        double demand = 0;  ///< At this node.
+        double demand = 0;  ///< Demand at this node.
         double allowed = 0; ///< This node's part of the workspace's share.
-        double credit = 0;  ///< Tokens.
+        double credit = 0;  ///< In tokens.
         bool isLimited = false;
     };
     ShareStatus shareStatus(WorkspaceKey workspace, TimePoint now) const;
 
-    /// Of this node's own callers, for its digests.
+    /// Returns the rates of this node's own callers, for its digests.
     std::vector<Flow> ownFlows(TimePoint now) const;
     double servedPerSecond(TimePoint now) const { return m_served.at(now); }
     double rejectedPerSecond(TimePoint now) const { return m_rejected.at(now); }
-    /// Of the whole fleet, as this node sees it; in tokens a second.
+    /// Rates of the whole fleet as known to this node, in tokens per second.
     struct FleetView
     {
         double servedPerSecond = 0;
         double rejectedPerSecond = 0;
-        double capacity = 0; ///< What shares are of.
-        double fairRate = 0; ///< No workspace with unmet demand falls below; may be infinite.
+        double capacity = 0; ///< The capacity that is shared.
+        double fairRate = 0; ///< Rate that each workspace with unmet demand gets; may be infinite.
     };
     const FleetView &fleet() const { return m_fleet; }
-    /// Whether shares are of what the fleet serves, since it turns requests away.
+    /// Returns whether the fleet rejects requests, so that shares are computed from the rate that
+    /// it serves.
     bool isOverloaded() const { return m_isOverloaded; }
 
 private:
@@ -95,9 +96,9 @@
     {
         Rate demand;
         Rate admitted;
-        Rate admittedUnlimited; ///< What it got while the fleet was full and it wasn't limited.
+        Rate admittedUnlimited; ///< Received during overload while it was not limited.
         double allowedRate = 0; ///< This node's part of the workspace's share.
-        double credit = 0;      ///< Tokens that it may still get; below zero beyond its share.
+        double credit = 0;      ///< Tokens that it may still receive; negative over its share.
         TimePoint creditedAt {};
         bool isLimited = false;
     };
@@ -111,12 +112,12 @@
     static void startLimiting(Own &own, TimePoint now);
     using FlowMap = std::unordered_map<WorkspaceKey, Flow>;
 
-    /// Over all nodes, as far as this one can tell.
+    /// Returns the flows over all nodes, as known to this node.
     FlowMap fleetFlows(TimePoint now) const;
-    /// What the fleet admitted for a workspace that asks for more than the fairRate, in levels; the
-    /// mean of all of these.
+    /// Returns the mean, over all workspaces that request more than the fair rate, of what the
+    /// fleet admitted for them as a multiple of the fair rate.
     double meanAdmittedRatio(const FlowMap &fleet) const;
-    /// This node's part of the share of a workspace that asks for more.
+    /// Returns this node's part of the share of a workspace that requests more than it.
     double limitedRate(const Own &own, const Flow &fleet, double meanRatio, TimePoint now) const;
 
     std::unordered_map<WorkspaceKey, Own> m_own;
--- a/lib/Policy/Admission.cpp
+++ b/lib/Policy/Admission.cpp
@@ -8,25 +8,27 @@
 
 namespace {
 
-/// Part of the latency target that may pass in a target's queue.
+/// Fraction of the latency target that a request may wait in a target's queue.
 constexpr double maxWaitFraction = 0.85;
-/// The same for workspaces beyond their share: the difference is room that others find free.
+/// The same for workspaces over their share. The difference is capacity that remains for the other
+/// workspaces.
 constexpr double maxWaitFractionOverShare = 0.35;
-/// Beyond its share a workspace finds half as much room after this many seconds of the share more.
-/// With the same room for all of them, a workspace that asks six times as often as another gets
-/// three times as much of what is left.
+/// For a workspace over its share, the longest wait halves with each further excess of this many
+/// seconds of the share. If all of them had the same limit, a workspace that sends requests six
+/// times as often as another would get three times as much of the remaining capacity.
 constexpr double waitHalvingSeconds = 0.5;
-/// So far beyond its share a workspace finds no room at all. What nodes take for idle is a moment
-/// old, and of it a flood at all nodes would get several times what others do.
+/// A workspace this far over its share is rejected in any case. A node's view of idle capacity is
+/// slightly outdated, and a flood at all nodes would get several times as much of it as others.
 constexpr double maxSecondsOverShare = 2.5;
-/// Some of the latency target is left for waiting even where reading takes all of it.
+/// Part of that wait which remains even where reading the prompt takes the whole latency target.
 constexpr double minWaitFraction = 0.25;
 
 } // namespace
 
 double maxQueueWaitMs(const AdmissionInput &input)
 {
-    assert(input.secondsOverShare >= 0 && "a workspace within its share is not ahead");
+    assert(input.secondsOverShare >= 0
+           && "the excess of a workspace over its share must not be negative");
     if (input.secondsOverShare >= maxSecondsOverShare)
         return refusedWaitMs;
     const double fraction = input.secondsOverShare > 0
--- a/lib/Policy/CrashRecord.cpp
+++ b/lib/Policy/CrashRecord.cpp
@@ -4,11 +4,11 @@
 
 namespace {
 
-/// Counted from the last crash. Callers who resend for longer meet the limit again after two
-/// crashes.
+/// Counts from the last crash. Callers who resend for longer reach the limit again after two
+/// further crashes.
 constexpr Duration blockTime = std::chrono::minutes(10);
 
-/// Time for the rerun at a second target: the check of the first, and a wait in the queue.
+/// Time for the rerun on a second target: the check of the first target, and a wait in the queue.
 constexpr Duration rerunHoldTime = std::chrono::seconds(4);
 
 } // namespace
--- a/lib/Policy/FleetLimits.cpp
+++ b/lib/Policy/FleetLimits.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Part of a target's connections that may be idle; the rest is for new ones.
+/// Fraction of a target's connections that may be idle; the rest is left for new ones.
 constexpr double maxIdleFraction = 0.5;
 constexpr std::uint32_t minIdleConnections = 2;
 constexpr std::uint32_t maxIdleConnections = 64;
@@ -16,7 +16,7 @@
 
 std::uint32_t idleConnectionLimit(std::uint32_t limit, std::size_t nodes)
 {
-    assert(nodes > 0 && "a fleet without nodes has no parts");
+    assert(nodes > 0 && "a fleet-wide limit cannot be divided among no nodes");
     if (limit == 0)
         return maxIdleConnections;
     const double perNodeLimit = maxIdleFraction * limit / static_cast<double>(nodes);
@@ -27,7 +27,7 @@
 double ColdTargetLimiter::refilledTokens(double ratePerSecond, std::size_t nodes,
                                          TimePoint now) const
 {
-    assert(nodes > 0 && "a fleet without nodes has no parts");
+    assert(nodes > 0 && "a fleet-wide limit cannot be divided among no nodes");
     const double rate = ratePerSecond / static_cast<double>(nodes);
     return std::min(burst, m_tokens + rate * toSeconds(now - m_filledAt));
 }
@@ -54,7 +54,7 @@
 
 bool FleetRetryBudget::tryTake(const Limits &limits, std::size_t nodes, TimePoint now)
 {
-    assert(nodes > 0 && "a fleet without nodes has no parts");
+    assert(nodes > 0 && "a fleet-wide limit cannot be divided among no nodes");
     expire(limits.window, now);
     const double allowed = limits.ratio * static_cast<double>(m_firstAttempts.size())
         + limits.slack / static_cast<double>(nodes);
--- a/lib/Policy/FlowAccounting.cpp
+++ b/lib/Policy/FlowAccounting.cpp
@@ -7,18 +7,18 @@
 
 namespace {
 
-/// Demand is repeated each demand period; a flow that missed several repeats is idle. Shorter, one
-/// lost datagram would virtualTimeOffset a flow that never ceased to wait, and take away what it
-/// was owed.
+/// Holders repeat their demand each demand period; a flow that missed several repeats is idle. With
+/// a shorter timeout, one lost datagram would raise the virtual time of a flow that never ceased to
+/// wait, and it would lose service that it is owed.
 constexpr Duration flowIdleTimeout = std::chrono::milliseconds(1500);
-/// A flow's account is kept this long, so that short pauses between its requests don't cost it.
+/// A flow's account is kept this long, so that short pauses between its requests do not reset it.
 constexpr Duration accountLifetime = std::chrono::minutes(5);
 
 } // namespace
 
 void FlowAccounting::setWeight(FlowId flow, double weight)
 {
-    assert(weight > 0 && "weights are checked when a document is read");
+    assert(weight > 0 && "the document reader must reject weights that are not positive");
     m_weights[flow] = weight;
 }
 
@@ -52,7 +52,7 @@
         state.settledService += used;
         return;
     }
-    assert(false && "a lease ends that did not begin");
+    assert(false && "a lease ended that did not begin");
 }
 
 void FlowAccounting::addRemoteService(FlowId flow, Duration served)
--- a/lib/Policy/LeaseHolder.cpp
+++ b/lib/Policy/LeaseHolder.cpp
@@ -16,9 +16,9 @@
     if (grant.number <= m_lastGrant)
         return usable;
     m_lastGrant = grant.number;
-    // The term counts from when this node asked, by its own clock: that was before the owner's own
-    // count began, so the lease ends here before the owner gives its slot away, however late the
-    // grant came.
+    // The term counts from this node's request, by its own clock. That was before the owner's count
+    // began, so the lease ends here before the owner grants its slot to another node, however late
+    // the grant arrived.
     const TimePoint startDeadline(Duration(grant.demandSentAt)
                                   + std::chrono::milliseconds(grant.termMs));
     for (const GrantedLease &granted : grant.leases) {
@@ -39,7 +39,7 @@
 {
     const auto found = m_leases.find(lease);
     assert(found != m_leases.end() && !found->second.isBusy
-           && "a lease runs one request at a time");
+           && "a held lease can run only one request at a time");
     found->second.isBusy = true;
 }
 
@@ -58,7 +58,7 @@
 ReturnedLease LeaseHolder::returnLease(LeaseId lease)
 {
     const auto found = m_leases.find(lease);
-    assert(found != m_leases.end() && "only held leases can be returned");
+    assert(found != m_leases.end() && "the returned lease must be held");
     ReturnedLease returned;
     returned.lease = lease;
     returned.usedMs = toMilliseconds(found->second.used);
@@ -114,7 +114,7 @@
     message.sentAt = now.time_since_epoch().count();
     message.owner = m_ownerIncarnation;
     message.lastGrant = m_lastGrant;
-    // Where nothing is held the message is whole as it is.
+    // If no leases are held, the message is complete as it is.
     message.hasHeldList = m_leases.empty();
     if (message.hasHeldList)
         leasesReportedAt = now;
--- a/lib/Policy/LoadShedder.cpp
+++ b/lib/Policy/LoadShedder.cpp
@@ -10,24 +10,25 @@
 
 namespace {
 
-/// What the logarithm of the borne rate loses in each period whose lag is twice the accepted one,
-/// and gains in each without any.
+/// Integral gain: in each period, the logarithm of the sustainable rate falls by this much if the
+/// lag is twice the accepted one, and rises by as much if there is no lag.
 constexpr double integralGain = 0.1;
-/// The same of the limit beside it, at once. The lag adds up what is kept too much: by the sum
-/// alone the limit would swing about what is borne.
+/// Proportional gain: the same for the limit, applied at once and not accumulated. The lag sums up
+/// the accepted excess; with the integral term alone, the limit would oscillate around the
+/// sustainable rate.
 constexpr double proportionalGain = 0.4;
-/// Lags beyond so many lagRatio the accepted one count the same.
+/// Larger ratios of the lag to the accepted lag count as this one.
 constexpr double maxLagRatio = 4;
-/// Periods that one report stands for at most.
+/// Maximum number of periods that one report counts for.
 constexpr double maxPeriodsPerReport = 10;
-/// Requests a second, and part of the arrivals, that are kept in any case: refusals too make the
-/// thread late, and by lag alone they would leave nothing for what is served.
+/// Requests per second, and fraction of the arrivals, that are accepted in any case. Rejections
+/// also make the thread late; judged by lag alone, they would leave nothing to be served.
 constexpr double minLimitPerSecond = 10;
 constexpr double minArrivalFraction = 0.01;
-/// A credential that was idle keeps at once what its level gives it in a time between these.
+/// Bounds for the time whose worth of the fair rate an idle credential may use at once.
 constexpr Duration minBurstTime = std::chrono::milliseconds(100);
 constexpr Duration maxBurstTime = std::chrono::milliseconds(250);
-/// A credential without arrivals for some seconds is forgotten.
+/// A credential without arrivals for several seconds is removed.
 constexpr double idleRequestsPerSecond = 0.05;
 
 } // namespace
@@ -35,8 +36,9 @@
 void LoadShedder::onLag(Duration lag, TimePoint now)
 {
     const double lagRatio = std::min(toSeconds(lag) / toSeconds(m_acceptedLag), maxLagRatio);
-    // A first late turn may be a pause of the process or a short burst, which say little of its
-    // load: it counts as one period, and brakes only if it is very late.
+    // A first late report may be due to a pause of the process or a short burst, which say little
+    // about its load. It counts as one period, and the proportional term applies only if it is very
+    // late.
     const bool wasLate = std::exchange(m_wasLate, lagRatio > 1);
     const double periods = wasLate
         ? std::clamp(toSeconds(lag) / toSeconds(reportPeriod), 1.0, maxPeriodsPerReport)
@@ -64,7 +66,8 @@
 {
     Arrivals &arrivals = m_arrivals[credential];
     arrivals.rate.add(1, now);
-    // Also while nothing is shed: credentials are whatever callers send, and must not pile up.
+    // Runs also while nothing is shed: callers send arbitrary credentials, and their entries must
+    // not accumulate.
     if (now - m_fairRateUpdatedAt >= reportPeriod)
         updateFairRate(now);
     if (m_fairRate < unlimited && !tryTake(arrivals, now)) {
@@ -78,7 +81,7 @@
 
 bool LoadShedder::tryTake(Arrivals &arrivals, TimePoint now)
 {
-    // A late thread meets at once what came while it was late.
+    // A thread that was late receives at once all that arrived in the meantime.
     const Duration burstTime = std::clamp(m_lag, minBurstTime, maxBurstTime);
     const double burst = std::max(1.0, m_fairRate * toSeconds(burstTime));
     const double earned = m_fairRate * toSeconds(now - arrivals.filledAt);
@@ -114,7 +117,7 @@
         rates.push_back(each.rate.at(now));
         m_arrivalRate += rates.back();
     }
-    // Demands that fit may be those of a moment before a flood.
+    // If the present demands fit, they may be those of the moment before a flood.
     if (isLimited())
         m_fairRate = std::min(maxMinFairRate(std::move(rates), m_limit), m_limit);
 }
--- a/lib/Policy/Placement.cpp
+++ b/lib/Policy/Placement.cpp
@@ -8,26 +8,30 @@
 
 namespace {
 
-/// Reading a part again takes its target's time from others and pushes parts out of its memory. It
-/// counts this many times as much as the same time of waiting, shared by the uses that the copy can
-/// expect before its target gives it up: a part that is seldom utilization is not worth a second
-/// copy, a hot one spreads at once.
+/// Reading a part that another target has cached takes the target's time from others and evicts
+/// other parts from its cache. It counts this many times as much as the same time of waiting,
+/// divided by the uses that the copy can expect before the target evicts it. So a rarely used part
+/// is not worth a second copy, and a hot one spreads at once.
 constexpr double copyReadWeight = 60.0;
 constexpr double minCopyReadWeight = 3.0;
-/// The same for what is read in any case. It makes up for differences between targets alone: a long
-/// prompt goes where prompts have been read fastest of late, as it slows down a target that reads
-/// another one by more than its tokens say.
+/// The same for tokens that have to be read in any case. It balances differences between targets
+/// only: a long prompt goes to the target that has read prompts fastest lately, since it slows down
+/// a target that reads another one by more than the token count shows.
 constexpr double uniqueReadWeight = 30.0;
-/// A round trip more to a target of another zone; breaks ties between targets that keep nothing.
+/// Additional round trip to a target in another zone; breaks ties between targets that have nothing
+/// cached.
 constexpr double crossZoneCostMs = 2.0;
-/// A part that no target keeps yet goes to the target that all nodes rank first, unless that one
-/// has so much more to do: two nodes that place it at once would else make two targets read it.
+/// A part that no target has cached goes to the target that all nodes rank first, unless its load
+/// is higher by this much. Otherwise two nodes that place the part at the same time would make two
+/// targets read it.
 constexpr double affinityCostMs = 40.0;
-/// A target that fails all requests costs a caller about this.
+/// Approximate cost to a caller of a target that fails all requests.
 constexpr double failureCostMs = 1500.0;
-/// Behind a partition an attempt ends only by a time limit. Used only where nothing else is left.
+/// Attempts across a partition end only by a timeout. Such targets are used only if nothing else is
+/// left.
 constexpr double silentZoneCostMs = 5000.0;
-/// Steps of an engine take longer the more requests run; per request, relative to its slots.
+/// Each step of an engine takes longer the more requests run. This is the
+/// cost when all slots are in use.
 constexpr double concurrencyCostMs = 60.0;
 
 struct Cost
@@ -43,8 +47,8 @@
     return std::max(copyReadWeight / std::max(uses, 1.0), minCopyReadWeight);
 }
 
-/// The reading of what the target doesn't keep, in ms, weighed. A part that no target keeps has to
-/// be read anyway.
+/// Returns the weighted time to read the uncached tokens, in ms. A part that no target has cached
+/// has to be read anyway.
 double weightedReadMs(const PlacementCandidate &candidate, const PlacementRequest &request)
 {
     double weighed = 0;
@@ -65,7 +69,7 @@
 
 Cost costOf(const PlacementCandidate &candidate, const PlacementRequest &request, bool isPreferred)
 {
-    assert(candidate.tokensPerMs > 0 && "a target that never reads");
+    assert(candidate.tokensPerMs > 0 && "the target's read rate must be positive");
     Cost cost;
     const double slots = std::max(1U, candidate.slots);
     const double utilization = candidate.load.running / slots;
--- a/lib/Policy/PoolOwner.cpp
+++ b/lib/Policy/PoolOwner.cpp
@@ -9,13 +9,13 @@
 
 namespace {
 
-/// A holder tells what it holds each list period (1.6 s); one that missed two is silent.
+/// A holder reports its leases each list period (1.6 s); one that missed two is silent.
 constexpr Duration holderSilenceTimeout = std::chrono::milliseconds(4000);
-/// Beyond the term, for a holder's clock that runs slower than the owner's.
+/// Added to the lease term, for a holder's clock that runs slower than the owner's.
 constexpr Duration clockDriftMargin = std::chrono::milliseconds(100);
-/// How long a target is not offered again to a flow of which nothing may run there: a request
-/// avoids a target that failed it. Without it the slot goes to and fro between owner and holder
-/// without end, and nothing else is done.
+/// How long a target is not offered again to a flow that has no request which may run there, since
+/// a request avoids a target that failed it. Without it, owner and holder would pass the slot back
+/// and forth endlessly and do nothing else.
 constexpr Duration rejectionLifetime = std::chrono::milliseconds(200);
 
 } // namespace
@@ -25,7 +25,8 @@
     : m_stateMachine(&stateMachine)
     , m_options(options)
     , m_startedAt(now)
-    // Two owners of a pool never give the same id: neither two nodes nor two reigns of one node.
+    // Two owners of a pool never produce the same id: neither two nodes nor two ownership periods
+    // of one node.
     , m_nextLease(
           hash64("lease",
                  options.incarnation ^ static_cast<std::uint64_t>(now.time_since_epoch().count())))
@@ -85,8 +86,8 @@
     }
 }
 
-/// Grants that the holder has received, or has passed over, are no longer on their way to it: what
-/// it demands, it demands beside them.
+/// Grants that the holder has received or skipped are no longer in flight: its demand does not
+/// include them.
 void PoolOwner::acknowledgeGrants(const NodeId &from, Holder &holder, const PoolDemand &message)
 {
     if (message.owner != m_options.incarnation || message.lastGrant <= holder.lastAcknowledgedGrant)
@@ -106,7 +107,7 @@
     --m_inFlightGrants[{lease.node, lease.flow}];
 }
 
-/// Compares what the holder says that it holds with what was granted.
+/// Compares the leases that the holder reports with those that were granted.
 void PoolOwner::reconcile(const NodeId &from, Holder &holder, const PoolDemand &message,
                           TimePoint now)
 {
@@ -118,7 +119,7 @@
         if (found != m_leases.end()) {
             lease = &found->second;
         } else {
-            // A lease of an earlier owner: its holder goes on with it, so it counts.
+            // A lease of an earlier owner: its holder still uses it, so it counts.
             Lease earlier;
             earlier.node = from;
             earlier.incarnation = holder.incarnation;
@@ -139,9 +140,9 @@
     for (auto lease = m_leases.begin(); lease != m_leases.end();) {
         const auto next = std::next(lease);
         const Lease &value = lease->second;
-        // A grant that the holder has passed over can't be taken up any more: it ignores numbers
-        // that are not above the last one. So what it doesn't hold now is free, be it a lost grant
-        // or a lost return.
+        // The holder ignores grant numbers that are not above the last one, so it cannot accept a
+        // grant that it has skipped. Leases of these grants that it does not hold are free: either
+        // the grant or the return was lost.
         if (value.node == from && value.number <= holder.lastAcknowledgedGrant
             && !isHeld(lease->first))
             free(lease, value.isConfirmed ? now - value.grantedAt : Duration(0));
@@ -149,7 +150,7 @@
     }
 }
 
-/// Takes in a lease that an earlier owner gave.
+/// Adds a lease that an earlier owner granted.
 PoolOwner::Lease *PoolOwner::adoptLease(LeaseId id, Lease lease, TimePoint now)
 {
     const auto target = m_targets.find(lease.target);
@@ -193,13 +194,13 @@
         lease.incarnation = handed.incarnation;
         lease.target = handed.target;
         lease.flow = handed.flow;
-        // The holder may have returned it to the earlier owner after this was sent: then its demand
-        // doesn't list it, and as a lease without a number it is freed.
+        // The holder may have returned it to the earlier owner after this message was sent. Then
+        // the holder's demand does not list it, and as a lease with number 0 it is freed.
         adoptLease(handed.lease, std::move(lease), now);
     }
 }
 
-/// Whether an earlier owner's leases may still start requests.
+/// Returns whether an earlier owner's leases may still start requests.
 bool PoolOwner::isTakeoverPending(TimePoint now) const
 {
     return now - m_startedAt < m_options.leaseTerm + clockDriftMargin;
@@ -207,8 +208,8 @@
 
 void PoolOwner::onReturn(const NodeId &from, const PoolReturn &message, TimePoint now)
 {
-    // Demand that was sent before this return still lists the leases; when it is overtaken on its
-    // way they would come back as leases of an earlier owner and hold slots that nobody uses.
+    // Demand that was sent before this return still lists the leases. If it arrives after the
+    // return, they would be added as leases of an earlier owner and occupy slots that nobody uses.
     const auto holder = m_holders.find(from);
     if (holder != m_holders.end())
         holder->second.sequence = std::max(holder->second.sequence, message.sequence);
@@ -267,8 +268,8 @@
 void PoolOwner::onRemoteUsage(const PoolUsage &message)
 {
     auto &[epoch, known] = m_remoteUsage[message.pool];
-    // From an owner that was not heard before, only what comes from now on counts: flows were level
-    // within the bound at any time, so what was before may be forgotten.
+    // For an owner that was unknown before, only service from now on counts. The flows were
+    // balanced within the bound at any time, so earlier service may be ignored.
     const bool isNew = epoch != message.epoch;
     if (isNew) {
         epoch = message.epoch;
@@ -299,31 +300,32 @@
     m_accounting.expire(now);
 }
 
-/// Whether a lease is free although its holder did not return it.
+/// Returns whether a lease is free although its holder did not return it.
 bool PoolOwner::isReclaimable(const Lease &lease, TimePoint now) const
 {
     if (now <= lease.startDeadline + clockDriftMargin)
         return false;
     const auto holder = m_holders.find(lease.node);
     const bool isKnown = holder != m_holders.end();
-    // The holder was heard after the term and does not have it: the grant was lost on its way. One
-    // of which nothing was heard may have begun a request and been cut off before it could tell.
+    // The holder reported its leases after the term and does not have this one: the grant was lost.
+    // A holder that has reported nothing since may have started a request and been partitioned
+    // before it could report.
     if (!lease.isConfirmed && isKnown && holder->second.leasesReportedAt > lease.startDeadline)
         return true;
     const bool isHeard = isKnown && now - holder->second.heardAt <= holderSilenceTimeout;
     if (isHeard)
         return false;
-    // The holder is silent: paused, cut off from here, or lost with its VM. Its request may still
-    // run at the target. The target's own report tells, when it was made after the holder was last
-    // heard.
+    // The holder is silent: paused, partitioned, or lost with its VM. Its request may still run on
+    // the target. The target's own report shows this if it was made after the holder was last heard
+    // from.
     const auto target = m_targets.find(lease.target);
     if (target == m_targets.end())
         return true;
     const TargetCapacity &capacity = target->second.capacity;
     const bool isReportNewer = capacity.reportedAt() > lease.confirmedAt + holderSilenceTimeout;
-    // Another holder may be between two requests at the moment of the report: fewer running than
-    // leases proves nothing about this one. A warm target bears the one too many, a cold one falls
-    // over.
+    // Another holder may be between two requests at the moment of the report, so fewer running
+    // requests than leases prove nothing about this lease. A warm target can run one request too
+    // many, a cold one crashes.
     const std::uint32_t maxReportedRunning = capacity.isCold() ? 1 : target->second.occupied;
     if (isReportNewer && capacity.reportedRunning() < maxReportedRunning)
         return true;
@@ -382,7 +384,7 @@
     const Lease &value = lease->second;
     const auto target = m_targets.find(value.target);
     if (target != m_targets.end()) {
-        assert(target->second.occupied > 0 && "a lease ends at a target that has none");
+        assert(target->second.occupied > 0 && "a lease ended at a target without occupied slots");
         --target->second.occupied;
     }
     markDelivered(lease->second);
--- a/lib/Policy/PoolOwnerGrants.cpp
+++ b/lib/Policy/PoolOwnerGrants.cpp
@@ -1,4 +1,5 @@
-// The choices of a pool's owner: which flow gets the next free slot, and at which target.
+// The scheduling decisions of a pool's owner: which flow gets the next free slot, and on which
+// target.
 #include "berylridge/Policy/PoolOwner.h"
 
 #include <algorithm>
@@ -7,18 +8,17 @@
 
 namespace {
 
-/// A holder repeats its demand each demand period; without a word for this long its demands are
-/// void.
+/// A holder repeats its demand each demand period; demand older than this is ignored.
 constexpr Duration demandLifetime = std::chrono::milliseconds(1500);
-/// Within it a granted lease's request has reached its target, so that a report holds it.
+/// Within this time a granted lease's request has reached its target, so that a load report
+/// includes it.
 constexpr Duration maxStartDelay = std::chrono::milliseconds(100);
-/// Slot time that a flow's short requests may use on one lease before the slot goes back. Without
-/// it a slot stands idle for a round trip after each request: 3 ms of 20 ms for a lookup across
-/// zones.
+/// Slot time that a flow's short requests may use on one lease before the slot is returned. Without
+/// it a slot idles for a round trip after each request: 3 ms of 20 ms for a lookup across zones.
 constexpr Duration leaseQuantum = std::chrono::milliseconds(250);
 
-/// What a lease is expected to cost: at least its first request, at most the leaseQuantum in short
-/// ones.
+/// Returns the expected cost of a lease: at least its first request, at most the quantum if
+/// requests are short.
 Duration leaseCostEstimate(const FlowDemand &demand)
 {
     const Duration one = fromMilliseconds(std::max(demand.costMs, 1U));
@@ -46,7 +46,8 @@
         Holder &holder = m_holders[choice->node];
         auto [entry, isNew] = grants.try_emplace(choice->node);
         if (isNew) {
-            // Above every earlier number, those of an earlier reign of this node included.
+            // Higher than every earlier number, including those of an earlier ownership period of
+            // this node.
             holder.lastGrantNumber
                 = std::max(holder.lastGrantNumber + 1,
                            static_cast<std::uint64_t>(now.time_since_epoch().count()));
@@ -91,9 +92,10 @@
     return limit > occupied ? limit - occupied : 0;
 }
 
-/// Work that an earlier or another owner put there is not in our leases, but the target reports it:
-/// what runs beyond the leases that the report can hold. Only while it is cold: later some overlap
-/// does no harm, and a report that lags would idle slots.
+/// Returns the requests that the target reports beyond the leases that the report can include:
+/// requests of an earlier or another owner, for which there are no leases here. Applies only while
+/// the target is cold. Later, some overlap does no harm, and an outdated report would leave slots
+/// idle.
 std::uint32_t PoolOwner::untrackedRequests(const Target &target, TimePoint now) const
 {
     const TargetCapacity &capacity = target.capacity;
@@ -169,7 +171,7 @@
     return best;
 }
 
-/// Requests that wait and for which no grant is on its way.
+/// Returns the number of waiting requests for which no grant is in flight.
 std::uint32_t PoolOwner::ungrantedRequests(const NodeId &node, const FlowDemand &want) const
 {
     const auto inFlight = m_inFlightGrants.find({node, want.flow});
--- a/lib/Policy/PromptCacheDirectory.cpp
+++ b/lib/Policy/PromptCacheDirectory.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-/// Part of a target's cache that unused parts outlive: the rest is in use by running requests, and
-/// other parts that are used again count as new here.
+/// Fraction of a target's cache that is available to unused parts: the rest is in use by running
+/// requests, and parts that are used again are counted as new ones here.
 constexpr double usableCacheFraction = 0.7;
 
 PrefixKey extendKey(PrefixKey before, std::uint64_t part)
--- a/lib/Policy/ServiceQueue.cpp
+++ b/lib/Policy/ServiceQueue.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/// Weight of the newest value in the smoothed ones: about the last ten count.
+/// Weight of the latest sample; about the last ten samples determine the smoothed value.
 constexpr double smoothingWeight = 0.2;
-/// What a request is taken to cost before one was measured.
+/// Cost that is assumed for a request before one was measured.
 constexpr Duration initialCostEstimate = std::chrono::milliseconds(200);
 
 double smoothed(double old, double sample)
@@ -29,7 +29,8 @@
 {
     if (m_interval == 0 || !m_lastDequeuedAt)
         return 0;
-    // A flow that has stopped draining gets slower with each moment, before the next one leaves.
+    // A flow that has stopped draining gets a lower rate with each moment, even before its next
+    // request leaves.
     return 1 / std::max(m_interval, toSeconds(now - *m_lastDequeuedAt) / 2);
 }
 
@@ -45,9 +46,9 @@
     ++m_size;
 }
 
-/// The queue of a flow that is about to get a waiting request. Time in which nothing waited says
-/// nothing about how fast it drains: counted in, the second request after an idle minute was
-/// refused as if it had to wait for half a minute.
+/// Returns the queue of a flow to which a request is about to be added. Time in which nothing
+/// waited carries no information about the drain rate: if it counted, the second request after an
+/// idle minute would be rejected as if it had to wait for half a minute.
 ServiceQueue::Queue &ServiceQueue::activeQueue(FlowId flow, TimePoint now)
 {
     const auto [entry, isNew] = m_waiting.try_emplace(flow);
--- a/lib/Policy/TargetCapacity.cpp
+++ b/lib/Policy/TargetCapacity.cpp
@@ -10,9 +10,9 @@
 constexpr Duration coldPollPeriod = std::chrono::milliseconds(250);
 constexpr std::size_t maxEndedBoots = 8;
 
-/// A target may restart unseen while nothing runs there. The next requests would all reach the new
-/// boot at once and it would fall over. Without word of the boot for this long, the owner gives out
-/// only cold slots; a poll or an answer opens the rest again.
+/// A target may restart unnoticed while nothing runs there. The next requests would all reach the
+/// new boot at once and crash it. If the boot was not confirmed for this long, the owner grants
+/// only cold slots until a poll or a response confirms it.
 constexpr Duration bootEvidenceLifetime = std::chrono::milliseconds(2500);
 
 } // namespace
@@ -43,13 +43,14 @@
     if (isLeaving == (m_state == TargetState::Leaving))
         return;
     step(isLeaving ? TargetSignal::LeaveOrdered : TargetSignal::ReturnOrdered);
-    // It may have been restarted while it was out: only cold slots until its boot is heard again.
+    // The target may have been restarted while it was out of service: only cold slots are granted
+    // until its boot is confirmed again.
     m_bootConfirmedAt.reset();
 }
 
 bool TargetCapacity::onSignal(TargetSignal signal, std::string_view bootId, TimePoint now)
 {
-    // News of a boot that has already ended says nothing about the present one.
+    // A report about a boot that has already ended says nothing about the present one.
     const bool isLate
         = hasEnded(bootId) || (!bootId.empty() && !m_bootId.empty() && bootId != m_bootId);
     switch (signal) {
@@ -61,7 +62,7 @@
         if (isLate)
             return false;
         step(signal);
-        // Whether the boot has ended or only a connection broke, the next poll tells.
+        // The next poll shows whether the boot has ended or only a connection broke.
         m_isDown = true;
         return true;
     default:
@@ -73,12 +74,12 @@
 
 void TargetCapacity::onCompleted(std::uint32_t count, std::string_view bootId, TimePoint now)
 {
-    // A return that was on its way while its boot crashed proves nothing about what runs now.
+    // A return that was in flight while its boot crashed does not show that the boot still runs.
     const bool isOfDeadBoot = m_isDown && (bootId.empty() || bootId == m_bootId);
     if (count == 0 || isOfDeadBoot || hasEnded(bootId))
         return;
     confirmBoot(bootId, now);
-    // The target's report counts the same answers, so the two are never added up.
+    // The target's report counts the same responses, so the two are never added up.
     m_reportedByHolders += count;
     m_completed = std::max(m_completed, m_reportedByHolders);
     step(TargetSignal::FirstAnswer);
@@ -119,8 +120,8 @@
         = m_bootConfirmedAt && now - *m_bootConfirmedAt <= bootEvidenceLifetime;
     if (isCold() || !isEvidenceFresh)
         return allottedSlots(m_coldSlots, agreement);
-    // Beyond warmAfter the limit doubles with each round of answers, so that a target whose
-    // document is too hopeful is found out by one more request at a time and not by all of them.
+    // Beyond warmAfter the limit doubles with each round of responses. A target whose document
+    // states too many slots then fails with one more request at a time and not with all of them.
     std::uint64_t ramped = m_coldSlots;
     std::uint64_t left = m_completed - m_warmAfter;
     while (ramped < m_slots && left >= ramped) {
@@ -143,10 +144,11 @@
         && std::find(m_endedBoots.begin(), m_endedBoots.end(), bootId) != m_endedBoots.end();
 }
 
-/// Takes in that the boot runs. Returns whether it is another one than was known.
+/// Records that the boot runs. Returns whether it differs from the one known before.
 bool TargetCapacity::confirmBoot(std::string_view bootId, TimePoint now)
 {
-    // Late word of a boot that has ended: it would make its successor cold, or worse, pass for it.
+    // A late message about a boot that has ended would make its successor cold, or count as
+    // evidence that the successor runs.
     if (hasEnded(bootId))
         return false;
 
--- a/lib/Policy/TargetHealth.cpp
+++ b/lib/Policy/TargetHealth.cpp
@@ -7,15 +7,16 @@
 
 namespace {
 
-/// After the first failure. A restart takes seconds, a full queue of new connections milliseconds.
+/// Backoff after the first failure. A restart takes seconds, a full queue of new connections clears
+/// within milliseconds.
 constexpr Duration initialBackoff = std::chrono::milliseconds(250);
-/// So long a target that is back may stay unused.
+/// Upper bound for how long a recovered target may stay unused.
 constexpr Duration maxBackoff = std::chrono::milliseconds(2000);
 /// Longer than a connection takes to fail.
 constexpr Duration probeTimeout = std::chrono::milliseconds(600);
-/// Half of what is remembered of attempts fades in this time.
+/// The weight of past attempts halves in this time.
 constexpr double halfLifeSeconds = 3;
-/// Attempts without a failure that every target is credited with.
+/// Successful attempts that are added to every target's count.
 constexpr double priorAttempts = 4;
 
 } // namespace
--- a/lib/Policy/TargetLoads.cpp
+++ b/lib/Policy/TargetLoads.cpp
@@ -16,14 +16,15 @@
 void TargetLoads::onPromptRead(TargetKey target, std::uint32_t tokens)
 {
     TargetLoad &load = m_own[target];
-    assert(load.tokens >= tokens && "tokens that were never begun");
+    assert(load.tokens >= tokens && "more tokens read than were begun");
     load.tokens -= tokens;
 }
 
 void TargetLoads::end(TargetKey target)
 {
     const auto found = m_own.find(target);
-    assert(found != m_own.end() && found->second.running > 0 && "a request that was never begun");
+    assert(found != m_own.end() && found->second.running > 0
+           && "a request ended that was not begun");
     if (--found->second.running == 0)
         m_own.erase(found);
 }
--- a/lib/Policy/WorkspaceShares.cpp
+++ b/lib/Policy/WorkspaceShares.cpp
@@ -8,22 +8,24 @@
 
 namespace {
 
-/// Longest time for which unused share is kept, in seconds of the share.
+/// Maximum unused share that is kept as credit, in seconds of the share.
 constexpr double maxCreditSeconds = 1.0;
-/// What a workspace got beyond its share is held against it so far, in seconds of the share: a
-/// flood that took what was idle must not go without for long once others come.
+/// Maximum debt for what a workspace received over its share, in seconds of the share. A flood that
+/// used idle capacity must not be shut out for long once other workspaces send requests.
 constexpr double maxDebtSeconds = 3.0;
-/// A node's demands count so long after its last digest.
+/// A node's demands count this long after its last digest.
 constexpr Duration digestLifetime = std::chrono::milliseconds(1500);
-/// Shares add up to a little more than was served, so that they find out when the fleet bears more.
+/// The shares add up to slightly more than what was served, so that they grow when the capacity of
+/// the fleet does.
 constexpr double capacityGrowth = 1.05;
-/// Beyond this part of what is served, what is turned away shows that the fleet is full.
+/// The fleet is overloaded if it rejects more than this fraction of what it serves.
 constexpr double overloadRejectFraction = 0.05;
-/// Nodes at which a workspace's callers must be for a sample of nodes to tell of the others.
+/// Minimum number of nodes with callers of a workspace for these nodes to be extrapolated to the
+/// others.
 constexpr std::size_t minSampledNodes = 3;
-/// Below this a workspace is idle.
+/// A workspace below this rate is idle.
 constexpr double idleTokensPerSecond = 1.0;
-/// Bounds of the correction of a node's part of a share.
+/// Bounds for the correction of a node's part of a share.
 constexpr double minCorrection = 0.25;
 constexpr double maxCorrection = 2.0;
 
@@ -66,9 +68,9 @@
         served += remote.digest.servedPerSecond;
         turnedAway += remote.digest.rejectedPerSecond;
     }
-    // Targets that have to read most parts anew bear a third of what operators name. Shares of the
-    // named figure hold nobody back then: a flood takes what room there is, and its neighbours get
-    // a third of what it gets.
+    // Targets that have to read most parts anew have a third of the configured capacity. Shares of
+    // the configured capacity would limit nobody then: a flood takes all free capacity, and other
+    // workspaces get a third of what it gets.
     m_fleet.servedPerSecond = served;
     m_fleet.rejectedPerSecond = turnedAway;
     m_isOverloaded = turnedAway > overloadRejectFraction * served;
@@ -99,8 +101,8 @@
             ++sample.nodes;
         }
     }
-    // The other nodes' last digests are of before a flood that has begun since. Where it comes to
-    // many nodes, those that were heard in this period stand for all.
+    // The other nodes' last digests may be older than a flood. If it reaches many nodes, the
+    // digests received in this period are extrapolated to all nodes.
     for (const auto &[workspace, sample] : samples) {
         if (sample.nodes < minSampledNodes)
             continue;
@@ -155,9 +157,9 @@
 double WorkspaceShares::limitedRate(const Own &own, const Flow &fleet, double meanRatio,
                                     TimePoint now) const
 {
-    // Nodes know each other's demand late, so that their parts add up to more or less than the
-    // share. What the fleet admitted tells by how much. The others are the measure, not the
-    // fairRate: held to it by its own count, a fleet that admits too little would never find out.
+    // Nodes learn each other's demand with a delay, so that their parts add up to more or less than
+    // the share. The admitted rate shows by how much. It is compared with the other workspaces and
+    // not with the fair rate: otherwise a fleet that admits too little would never correct itself.
     const double admittedRatio = fleet.admitted / m_fleet.fairRate;
     const double correction
         = std::clamp(1 + meanRatio - admittedRatio, minCorrection, maxCorrection);
@@ -166,7 +168,7 @@
 
 void WorkspaceShares::startLimiting(Own &own, TimePoint now)
 {
-    // What it got while the fleet was full and nobody knew yet of its demand counts.
+    // What it received while the fleet was overloaded and its demand was not known yet counts.
     const double initialCredit
         = (own.allowedRate - own.admittedUnlimited.at(now)) * Rate::defaultSmoothingSeconds;
     own.credit = std::clamp(initialCredit, -own.allowedRate * maxDebtSeconds,
@@ -183,7 +185,7 @@
     const double earned = own.allowedRate * toSeconds(now - own.creditedAt);
     own.credit = std::min(own.credit + earned, own.allowedRate * maxCreditSeconds);
     own.creditedAt = now;
-    // Credit may go below zero by one request, so that a large request is served in its turn.
+    // One request may make the credit negative, so that a large request is served in its turn.
     if (own.credit > 0 || own.allowedRate <= 0)
         return 0;
     return -own.credit / own.allowedRate;
--- a/unittests/Policy/CrashRecordTest.cpp
+++ b/unittests/Policy/CrashRecordTest.cpp
@@ -5,9 +5,9 @@
 using namespace berylridge;
 using namespace std::chrono_literals;
 
-// A request crashes each target that runs it, and its caller sends it again through other routers.
-// Each router hears of the same crash from several sides; counted twice, one crash would block a
-// request that only happened to run beside the guilty one.
+// Guards against one crash being counted twice. Each router receives several reports of the same
+// crash; counted twice, it would block a request that only happened to run beside the one that
+// caused it.
 TEST(CrashRecord, CountsEachBootOnce)
 {
     ManualClock clock;
@@ -32,8 +32,8 @@
     EXPECT_EQ(record.crashes(1), 0U);
 }
 
-// A request crashed one target and its caller has sent it through other routers too. Were two of
-// its sendings run at the same time, they would crash two targets more before anybody knows.
+// Guards against two concurrent attempts of a request that crashed a target and that its caller
+// resent through other routers. They would crash two more targets before the first result is known.
 TEST(CrashRecord, HoldsOtherRequestsDuringTheRerun)
 {
     ManualClock clock;
@@ -46,9 +46,8 @@
     EXPECT_FALSE(record.isHeld(1, clock.now()));
 }
 
-// Two targets lose their power while a common lookup runs on both. It has nothing to do with it,
-// and the next whole answer shows so; otherwise everybody's lookup would be refused for ten
-// minutes.
+// Guards against a common request being rejected for ten minutes because two targets lost their
+// power while it ran on both. The next complete response shows that it did not cause the crashes.
 TEST(CrashRecord, CompleteAnswerClearsTheRecord)
 {
     ManualClock clock;
--- a/unittests/Policy/FleetLimitsTest.cpp
+++ b/unittests/Policy/FleetLimitsTest.cpp
@@ -7,8 +7,9 @@
 using namespace berylridge;
 using namespace std::chrono_literals;
 
-// A zone's targets come back cold while all nodes have requests for them. In each second the nodes
-// together must stay below what a cold target bears, or it falls over and comes back cold again.
+// Guards against a zone's targets crashing again when they return cold and all nodes have requests
+// for them. In each second the nodes together must stay below the rate that a cold target can
+// handle.
 TEST(ColdTargetLimiter, FleetStaysBelowTheRate)
 {
     constexpr double rate = 19;
@@ -27,8 +28,8 @@
     }
 }
 
-// 70 nodes keep connections to a target that takes 680 of them. Idle ones must leave room for new
-// ones, or the target resets these.
+// Guards against 70 nodes using up the 680 connections of a target with idle ones. Without room for
+// new connections, the target resets these.
 TEST(IdleConnectionLimit, FleetLeavesRoomForNewConnections)
 {
     for (const std::size_t nodes : {2U, 6U, 70U}) {
@@ -36,11 +37,11 @@
         EXPECT_LE(idleConnectionLimit(limit, nodes) * nodes, limit * 3 / 4);
         EXPECT_GE(idleConnectionLimit(limit, nodes), 2U);
     }
-    EXPECT_GT(idleConnectionLimit(0, 70), 2U) << "no limit is known";
+    EXPECT_GT(idleConnectionLimit(0, 70), 2U) << "no limit is known for the target";
 }
 
-// Every attempt fails. Further attempts end at the fleet's budget in any window, however many nodes
-// take part.
+// Guards against retries exceeding the fleet's budget in any window when every attempt fails, for
+// any number of nodes.
 TEST(FleetRetryBudget, FleetStaysWithinTheBudget)
 {
     const FleetRetryBudget::Limits limits {0.2, 54, 10s};
@@ -73,8 +74,8 @@
     EXPECT_TRUE(share.tryTake(limits, 2, clock.now()));
 }
 
-// A target's port is closed: it is left alone for a moment, then one request tries it, and only its
-// answer brings the others back.
+// A target's port is closed. After a backoff one request probes it, and the other requests follow
+// only after its response.
 TEST(TargetHealth, OneRequestProbesAFailedTarget)
 {
     ManualClock clock;
@@ -91,7 +92,7 @@
     EXPECT_FALSE(health.isProbeNeeded());
 }
 
-// A target fails half of its requests while its health check is good.
+// A target fails half of its requests while its health check succeeds.
 TEST(TargetHealth, FailuresDecay)
 {
     ManualClock clock;
--- a/unittests/Policy/FlowAccountingTest.cpp
+++ b/unittests/Policy/FlowAccountingTest.cpp
@@ -26,9 +26,8 @@
     EXPECT_DOUBLE_EQ(accounting.virtualTime(large, clock.now()), 0.25);
 }
 
-// A workspace's long drafts take far longer than guessed. Its charge must grow while they run: if
-// it were settled only at the end, the workspace would be given slot after slot meanwhile and the
-// others would see their queues stand still.
+// Guards against long requests being charged only when they end. The workspace would be granted one
+// slot after another in the meantime, and the others would get no service.
 TEST(FlowAccounting, OverrunIsChargedWhileTheRequestRuns)
 {
     ManualClock clock;
@@ -44,8 +43,8 @@
     EXPECT_EQ(accounting.served(large, clock.now()), Duration(30s));
 }
 
-// A workspace comes back after a night without requests. Were its old account used, it would hold
-// every slot until it had caught up with a night's work of the others, who would starve meanwhile.
+// Guards against a workspace that returns after a night without requests occupying every slot until
+// its service has caught up, while the others starve.
 TEST(FlowAccounting, IdleFlowGainsNoCredit)
 {
     ManualClock clock;
@@ -63,8 +62,8 @@
     EXPECT_DOUBLE_EQ(accounting.virtualTime(small, clock.now()), 99.0);
 }
 
-// One datagram with demand is lost, and the flow seems idle for one period. It never ceased to
-// wait, so what it was owed must not be taken from it.
+// Guards against one lost demand datagram making a flow look idle. It never ceased to wait, so it
+// must not lose the service that it is owed.
 TEST(FlowAccounting, OneLostDemandMessageKeepsTheAccount)
 {
     ManualClock clock;
--- a/unittests/Policy/LeaseHolderTest.cpp
+++ b/unittests/Policy/LeaseHolderTest.cpp
@@ -26,9 +26,9 @@
 
 } // namespace
 
-// A grant is held up in the network for longer than its term. The owner has waited the term out and
-// given the slot to another node; were the late grant used, a cold target would get one request too
-// many.
+// Guards against a grant that the network delayed for longer than its term. The owner has granted
+// the slot to another node after the term; if the late grant were used, a cold target would get one
+// request too many.
 TEST(LeaseHolder, GrantReceivedAfterItsTermIsUnusable)
 {
     ManualClock clock;
@@ -39,8 +39,8 @@
         EXPECT_FALSE(holder.canStartRequest(lease, clock.now()));
 }
 
-// Two grants cross in the network. The owner sees a demand that speaks of the later one and takes
-// the earlier for lost; when it comes after all it must be ignored.
+// Two grants are reordered by the network. The owner receives a demand that acknowledges the later
+// one and considers the earlier one lost, so the holder must ignore it when it arrives.
 TEST(LeaseHolder, ReorderedGrantIsIgnored)
 {
     ManualClock clock;
@@ -67,8 +67,8 @@
     EXPECT_EQ(returned.usedMs, 260U);
 }
 
-// The process was paused and wakes with leases in hand. Their terms may seem to run by its clock,
-// but the owner may have been replaced meanwhile: none is used again.
+// The process resumes after a pause and holds leases. Their terms may still run by its clock, but
+// the owner may have been replaced in the meantime, so none may be used again.
 TEST(LeaseHolder, NoRequestStartsOnOldLeasesAfterAPause)
 {
     ManualClock clock;
--- a/unittests/Policy/LoadShedderTest.cpp
+++ b/unittests/Policy/LoadShedderTest.cpp
@@ -1,4 +1,4 @@
-// What a node turns away when its own processor bears no more.
+// Tests which requests a node sheds when its processor is saturated.
 #include "berylridge/Policy/LoadShedder.h"
 
 #include <algorithm>
@@ -9,7 +9,8 @@
 
 namespace {
 
-/// A node's processor: requests that were accepted wait for it, the others cost a part of one.
+/// Models a node's processor: accepted requests queue for it, and rejected ones cost a fraction of
+/// one.
 class Processor
 {
 public:
@@ -32,9 +33,9 @@
 
 } // namespace
 
-// All callers of a large workspace are sent to one node: 900 requests a second where it bears 400.
-// Served as they come, all its callers wait until they give up, those of a small one too. The flood
-// is turned away as far as it must be; the small workspace sees nothing of it.
+// Guards against a flood of one workspace at one node delaying all its callers until they give up:
+// 900 requests per second where the node can handle 400. Only as much of the flood as needed is
+// shed, and nothing of the small workspace.
 TEST(LoadShedder, ShedsAFloodAndServesOtherCredentials)
 {
     constexpr CredentialKey flood = 1;
@@ -65,10 +66,10 @@
     }
     EXPECT_EQ(smallShed, 0);
     EXPECT_LT(worstLag, 200ms);
-    EXPECT_GT(floodAccepted / 6, 270); // Of the 333 a second that the refusals leave room for.
+    EXPECT_GT(floodAccepted / 6, 270); // The rejections leave capacity for 333 per second.
 }
 
-// A short hiccup of the machine is no flood.
+// Guards against a short stall of the machine being treated as a flood.
 TEST(LoadShedder, OneLateReportDoesNotKeepShedding)
 {
     ManualClock clock;
@@ -86,7 +87,8 @@
     EXPECT_EQ(shed, 0);
 }
 
-// Guards against a thread that is late by seconds and sheds nothing, as its reports are late too.
+// Guards against a thread that is late by seconds and sheds nothing, since its reports are late
+// too.
 TEST(LoadShedder, ShedsAFloodWhenReportsAreDelayed)
 {
     ManualClock clock;
@@ -100,7 +102,7 @@
             shedder.onLag(lag, clock.now());
             nextReport += 50 + static_cast<int>(lag / 1ms);
         }
-        // From the first moment on: the thread is late before the first report can tell.
+        // The flood starts in the first ms: the thread is late before the first report.
         for (int i = 0; i < (ms % 10 == 0 ? 9 : 0); ++i)
             processor.take(!shedder.sheds(1, clock.now()));
         if (ms == 0)
@@ -113,7 +115,7 @@
     EXPECT_LT(worstLag, 200ms);
 }
 
-// Guards against memory that grows with each credential that a caller makes up.
+// Guards against memory growing with each credential that a caller invents.
 TEST(LoadShedder, ForgetsIdleCredentials)
 {
     ManualClock clock;
@@ -125,13 +127,13 @@
     EXPECT_LT(shedder.credentialCount(), 5000U);
 }
 
-// Guards against a thread that keeps a fixed part of any flood, and is late by all that it keeps
-// beyond what it bears.
+// Guards against a thread that accepts a fixed fraction of any flood, and is late by all that it
+// accepts beyond its capacity.
 TEST(LoadShedder, LimitsAFloodOfManyTimesTheCapacity)
 {
     ManualClock clock;
     LoadShedder shedder;
-    Processor processor(0.4, 0.02); // Refusals of the flood leave room for 200 a second.
+    Processor processor(0.4, 0.02); // The flood's rejections leave capacity for 200 per second.
     int accepted = 0;
     int nextReport = 0;
     Duration worstLag {0};
@@ -154,7 +156,7 @@
     EXPECT_GT(accepted / 6, 180);
 }
 
-// Guards against a node that goes on to turn callers away when a flood has ended.
+// Guards against a node that continues to reject callers after a flood has ended.
 TEST(LoadShedder, StopsSheddingAfterAFlood)
 {
     ManualClock clock;
@@ -167,7 +169,7 @@
         const int requests = ms < 4000 ? 2 : 0;
         for (int i = 0; i < requests; ++i)
             processor.take(!shedder.sheds(1, clock.now()));
-        if (ms % 10 == 0) { // The usual.
+        if (ms % 10 == 0) { // The usual load.
             const bool isAccepted = !shedder.sheds(2, clock.now());
             shedAfter += isAccepted || ms < 4500 ? 0 : 1;
             processor.take(isAccepted);
@@ -178,8 +180,8 @@
     EXPECT_EQ(shedAfter, 0);
 }
 
-// Guards against a pause of the process that is taken for shedder, and closes the node for a
-// second.
+// Guards against a pause of the process being treated as load, so that the node rejects requests
+// for a second.
 TEST(LoadShedder, ProcessPauseDoesNotKeepShedding)
 {
     ManualClock clock;
@@ -196,12 +198,12 @@
     EXPECT_LT(shed, 10);
 }
 
-// Guards against refusals alone making a node late, and so leaving next to none of its requests.
+// Guards against rejections alone making a node late, so that almost no requests are accepted.
 TEST(LoadShedder, ServesAMinimumWhenRefusalsExhaustTheProcessor)
 {
     ManualClock clock;
     LoadShedder shedder;
-    Processor processor(0.4, 0.05); // Refusals alone take more than all of it.
+    Processor processor(0.4, 0.05); // Rejections alone exceed the capacity.
     int accepted = 0;
     for (int ms = 0; ms < 10000; ++ms) {
         if (ms % 50 == 0)
@@ -217,7 +219,7 @@
     EXPECT_GT(accepted / 6, 80);
 }
 
-// Guards against short bursts that a node bears being taken for a flood.
+// Guards against short bursts within a node's capacity being treated as a flood.
 TEST(LoadShedder, ShortBurstShedsAlmostNothing)
 {
     ManualClock clock;
--- a/unittests/Policy/PlacementTest.cpp
+++ b/unittests/Policy/PlacementTest.cpp
@@ -28,7 +28,7 @@
     return candidate;
 }
 
-/// A prompt whose shared part is used so often, and cachedTokens by so many targets.
+/// Returns a request with one shared part of 13,000 tokens.
 PlacementRequest requestOf(double usesPerSecond, std::size_t copies)
 {
     PlacementRequest request;
@@ -39,8 +39,8 @@
 
 } // namespace
 
-// A request whose shared part lies at a busy target waits there: reading the part again elsewhere
-// takes longer, and takes that target's time from others.
+// Guards against a cached shared part being read again on another target just because its target is
+// busy. Reading takes longer than waiting, and takes the other target's time from its own requests.
 TEST(Placement, PrefersWaitingForACachedPart)
 {
     const std::vector<PlacementCandidate> candidates {candidateWith(20000, 13000),
@@ -51,8 +51,8 @@
     EXPECT_EQ(choice->tokens, 4000U);
 }
 
-// One book gets a fifth of the traffic. Its target's queue grows until reading the book once more
-// elsewhere is cheaper, and the load spreads.
+// Guards against a single hot part overloading its target. A fifth of the traffic uses the part, so
+// the queue grows until reading it once more elsewhere is cheaper.
 TEST(Placement, CopiesAHotPartWhenItsTargetIsFull)
 {
     const std::vector<PlacementCandidate> candidates {candidateWith(100000, 13000),
@@ -62,20 +62,20 @@
     EXPECT_EQ(choice->index, 1U);
 }
 
-// Hundreds of long parts, each used once in some seconds, and a memory that turns over as fast. The
-// holder has a queue for a moment. A copy elsewhere would be given up before it is used again: it
-// would only take reading time and memory from the other parts, which then are read again too.
+// Guards against useless copies. With hundreds of long parts, each used once in several seconds,
+// and a cache that is replaced as fast, a copy would be evicted before its next use. It would only
+// take time and cache from other parts, which then are read again too.
 TEST(Placement, DoesNotCopyARarelyUsedPart)
 {
     std::vector<PlacementCandidate> candidates {candidateWith(100000, 13000), candidateWith(0, 0)};
     EXPECT_EQ(choosePlacement(candidates, requestOf(0.1, 1))->index, 0U);
-    // A memory that keeps the copy for a minute makes up for it.
+    // A cache that holds the copy for a minute justifies it.
     candidates[1].cacheLifetimeSeconds = 60;
     EXPECT_EQ(choosePlacement(candidates, requestOf(0.5, 1))->index, 1U);
 }
 
-// A target has long prompts to read and is slower than its tokens say. The next long prompt goes
-// where reading has been faster of late; a short one doesn't wait for that.
+// A target with long prompts to read is slower than its token count shows. The next long prompt
+// goes to the target that has read faster lately; a short one does not wait for that.
 TEST(Placement, SendsLongPromptsToFasterTargets)
 {
     std::vector<PlacementCandidate> candidates {candidateWith(0, 0), candidateWith(10000, 0)};
@@ -88,7 +88,8 @@
     EXPECT_EQ(choosePlacement(candidates, request)->index, 0U);
 }
 
-// With each copy the next one has to pay more: copies of hot parts would else push all others out.
+// Guards against copies of hot parts evicting all other parts: each copy raises the cost of the
+// next.
 TEST(Placement, EachCopyRaisesTheCostOfTheNext)
 {
     const std::vector<PlacementCandidate> candidates {candidateWith(90000, 13000),
@@ -97,7 +98,8 @@
     EXPECT_EQ(choosePlacement(candidates, requestOf(2, 4))->index, 0U);
 }
 
-// Two nodes place the same new part at once. Both must choose the same target, or two read it.
+// Two nodes place the same new part at the same time. Both must select the same target, otherwise
+// two targets read it.
 TEST(Placement, SendsANewPartToTheRendezvousTarget)
 {
     std::vector<PlacementCandidate> candidates {candidateWith(1000, 0), candidateWith(0, 0)};
@@ -106,7 +108,7 @@
     EXPECT_EQ(choosePlacement(candidates, requestOf(0, 0))->index, 0U);
 }
 
-// A target answers its health check and fails half of its requests.
+// A target passes its health check and fails half of its requests.
 TEST(Placement, AvoidsAFailingTarget)
 {
     std::vector<PlacementCandidate> candidates {candidateWith(0, 0), candidateWith(0, 0)};
@@ -115,8 +117,8 @@
     EXPECT_EQ(choosePlacement(candidates, {})->index, 1U);
 }
 
-// All nodes of a zone fell silent at once: its targets are behind a partition, and each request
-// sent there would wait for a time limit. They are used only where nothing else is left.
+// All nodes of a zone stopped responding at once, so its targets are behind a partition and each
+// request sent there would wait for a timeout. They are used only if nothing else is left.
 TEST(Placement, UsesASilentZoneOnlyAsLastResort)
 {
     std::vector<PlacementCandidate> candidates {candidateWith(0, 13000), candidateWith(50000, 0)};
@@ -131,8 +133,8 @@
     EXPECT_FALSE(choosePlacement({}, {}));
 }
 
-// Replays a busy minute: 180 books over nine targets, with a choice by the directory against one by
-// the fewest waiting tokens. The tokens that are read again show what placement by prompt saves.
+// Replays a busy minute: 180 shared parts over nine targets, placed by the directory or by the
+// fewest waiting tokens. The tokens that are read show what cache-aware placement saves.
 TEST(Placement, CacheAwarePlacementRereadsFewerTokens)
 {
     const auto readWith = [](bool byPrompt) {
@@ -176,7 +178,7 @@
     EXPECT_LT(readWith(true) * 3, readWith(false) * 2);
 }
 
-// A part that lies behind another one is of use only where the first is cachedTokens too.
+// A cached part is useful only if all parts before it are cached too.
 TEST(PromptCacheDirectory, CountsCachedPartsFromTheStart)
 {
     ManualClock clock;
@@ -191,8 +193,9 @@
     EXPECT_EQ(prompts.cachedTokens(otherModel, first), 0U);
 }
 
-// Under load an engine's memory turns over in seconds. A node that took parts as cachedTokens for a
-// minute sent requests to targets that read them anew: a third of all reading.
+// Guards against parts being considered cached for a minute while the target's cache is replaced
+// within seconds. Requests were then sent to targets that read the parts anew, a third of all
+// reading.
 TEST(PromptCacheDirectory, EvictsAPartWhenOtherTokensFillTheCache)
 {
     ManualClock clock;
@@ -207,7 +210,8 @@
     EXPECT_EQ(prompts.sharedParts(chain, clock.now()).at(0).copies, 0U);
 }
 
-// What a copy is worth follows from how often its part is used and how fast its memory fills.
+// The value of a copy depends on how often its part is used and on how fast its target's cache
+// fills.
 TEST(PromptCacheDirectory, ReportsUseRateAndCacheLifetime)
 {
     ManualClock clock;
@@ -220,14 +224,14 @@
         clock.advance(100ms);
     }
     const std::vector<SharedPart> parts = prompts.sharedParts(chain, clock.now());
-    ASSERT_EQ(parts.size(), 1U) << "the last part is the request's own";
+    ASSERT_EQ(parts.size(), 1U) << "the last part is unique to the request";
     EXPECT_EQ(parts[0].tokens, 13000U);
     EXPECT_EQ(parts[0].copies, 2U);
     EXPECT_NEAR(parts[0].usesPerSecond, 10, 1);
     EXPECT_NEAR(prompts.cacheLifetimeSeconds(first, clock.now()), 14, 2)
-        << "0.7 of the memory at 50,000/s";
+        << "0.7 of the cache at 50,000 tokens/s";
     EXPECT_EQ(prompts.cacheLifetimeSeconds(second, clock.now()), 60)
-        << "nobody says how large its memory is";
+        << "the size of its cache is unknown";
 }
 
 TEST(PromptCacheDirectory, ForgetsTheCacheOfARestartedTarget)
@@ -245,8 +249,7 @@
     EXPECT_EQ(prompts.sharedParts(chain, clock.now()).at(0).copies, 0U);
 }
 
-// A node dies with requests at a target. Its last word on them must not hold the target's room for
-// ever.
+// Guards against the last digest of a node that died reserving a target's capacity forever.
 TEST(TargetLoads, DropsTheLoadOfASilentNode)
 {
     ManualClock clock;
--- a/unittests/Policy/PoolOwnerTest.cpp
+++ b/unittests/Policy/PoolOwnerTest.cpp
@@ -13,7 +13,7 @@
 constexpr Incarnation ownerRun = 77;
 constexpr Incarnation holderRun = 5;
 
-/// An owner of one pool with one warm target of four slots, and what holders would say to it.
+/// Sets up an owner of one pool that has one target of four slots, and the messages of its holders.
 class PoolOwnerTest : public testing::Test
 {
 protected:
@@ -74,8 +74,8 @@
 
 } // namespace
 
-// The earlier owner is paused and its grants are still good for a while. A new owner that granted
-// at once would put a second full load on the target.
+// Guards against a new owner that grants at once while the grants of a paused earlier owner are
+// still valid. The target would get twice its load.
 TEST_F(PoolOwnerTest, NewOwnerWaitsOneTermBeforeGranting)
 {
     warmUp();
@@ -87,8 +87,8 @@
     EXPECT_EQ(grants().size(), 3U);
 }
 
-// A holder goes on with a lease of the earlier owner. The new owner learns of it from the holder's
-// demand and counts it, otherwise the target would get its slots twice.
+// Guards against a target's slots being granted twice when a holder continues to use a lease of the
+// earlier owner. The new owner learns of the lease from the holder's demand.
 TEST_F(PoolOwnerTest, CountsLeasesOfAnEarlierOwner)
 {
     PoolDemand message = m_holderA.demandMessage({{1, 9, 0, 500}}, m_clock.now());
@@ -129,24 +129,23 @@
     EXPECT_EQ(ofStudio, 3);
 }
 
-// A grant is lost on its way. The holder's next demand speaks of a later grant and doesn't list the
-// lease: it can't be taken up any more, so its slot must come free, or the target would idle for
-// ever.
+// Guards against a slot that idles forever after a grant was lost. The holder's next demand
+// acknowledges a later grant and does not list the lease, so it cannot be used any more.
 TEST_F(PoolOwnerTest, ReclaimsALostGrant)
 {
     waitOutTakeover();
     warmUp();
     demand(nodeA, m_holderA, {{1, 2, 0, 500}});
-    EXPECT_EQ(grants().size(), 2U); // Lost.
+    EXPECT_EQ(grants().size(), 2U); // The messages are lost.
     demand(nodeA, m_holderA, {{1, 4, 0, 500}});
     EXPECT_EQ(grants().size(), 2U);
     m_holderA.onGrant(nodeB, ownerRun, m_lastGrant, m_clock.now());
     demand(nodeA, m_holderA, {{1, 9, 0, 500}});
-    EXPECT_EQ(grants().size(), 2U) << "the two lost leases are free again";
+    EXPECT_EQ(grants().size(), 2U) << "the two lost leases must be reclaimed";
 }
 
-// A return overtakes the demand that was sent before it. That demand still lists the lease; taken
-// at its word the owner would hold the slot for nobody.
+// Guards against a slot that nobody uses when a return overtakes a demand that was sent before it
+// and still lists the lease.
 TEST_F(PoolOwnerTest, IgnoresDemandOvertakenByAReturn)
 {
     waitOutTakeover();
@@ -165,8 +164,8 @@
     EXPECT_EQ(grants().size(), 4U);
 }
 
-// A holder's process ends: what it held is free at once, and what it wanted is void. Of a silent
-// holder the requests may still run; its slots come free only by the target's own newer report.
+// When a holder's process ends, its leases are released at once and its demand is dropped. Requests
+// of a silent holder may still run, so its slots are released only by a later report of the target.
 TEST_F(PoolOwnerTest, EndedHolderFreesItsSlotsButSilentOneDoesNot)
 {
     waitOutTakeover();
@@ -197,7 +196,7 @@
     EXPECT_EQ(grants().size(), 1U);
 }
 
-// Another owner, unknown to this one, put a request on a cold target. Only the target's report
+// Another owner, unknown to this one, started a request on a cold target. Only the target's report
 // shows it.
 TEST_F(PoolOwnerTest, CountsRequestsReportedByAColdTarget)
 {
@@ -207,8 +206,8 @@
     EXPECT_TRUE(grants().empty());
 }
 
-// Other pools of the service served one flow. This pool's owner hears of it and lets the other flow
-// go first, so that the gap is bounded over all pools and not in each alone.
+// Other pools of the service served one flow. The owner prefers the other flow, so that the
+// difference is bounded over all pools and not in each one alone.
 TEST_F(PoolOwnerTest, CountsServiceOfOtherPools)
 {
     waitOutTakeover();
@@ -218,16 +217,15 @@
     report.pool = 99;
     report.epoch = 1;
     report.flows = {{1, 5000}};
-    m_owner.onRemoteUsage(report); // The first word of an owner sets the mark alone.
+    m_owner.onRemoteUsage(report); // The first report of an owner only sets the baseline.
     report.flows = {{1, 9000}};
     m_owner.onRemoteUsage(report);
     for (const GrantedLease &lease : grants())
         EXPECT_EQ(lease.flow, 2U);
 }
 
-// A node stops by plan and its pool moves to another one. The successor is told what was given out;
-// if it waited out a lease term instead, the target would idle for two seconds at each planned
-// stop.
+// Guards against a target that idles for two seconds at each planned stop of a node. The successor
+// receives the granted leases, so it need not wait for a lease term.
 TEST_F(PoolOwnerTest, SuccessorWithHandoverGrantsAtOnce)
 {
     waitOutTakeover();
@@ -245,7 +243,7 @@
     std::size_t count = 0;
     for (const OwnerMessage &message : successor.grant(m_clock.now()))
         count += message.grant.leases.size();
-    EXPECT_EQ(count, 1U) << "three of the four slots were given out before";
+    EXPECT_EQ(count, 1U) << "three of the four slots were leased out before";
 }
 
 TEST_F(PoolOwnerTest, SuccessorWithHandoverWaitsForColdTargets)
@@ -260,9 +258,9 @@
     EXPECT_TRUE(successor.grant(m_clock.now()).empty());
 }
 
-// A request waits that avoids the only free target, since that target failed it before. The holder
-// gives the slot back at once, the owner grants it again at once, and neither does anything else:
-// the node hangs. The flow that could use the slot gets it instead.
+// Guards against a livelock between owner and holder. A request avoids the only free target, which
+// failed it before: the holder returns the slot, the owner grants it again, and neither does
+// anything else. The slot goes to a flow that can use it.
 TEST_F(PoolOwnerTest, RejectedSlotIsNotRegrantedAtOnce)
 {
     waitOutTakeover();
@@ -282,34 +280,34 @@
     returnLease();
     EXPECT_TRUE(grants().empty());
     demand(nodeB, m_holderB, {{8, 1, 0, 100}});
-    EXPECT_EQ(grants().size(), 1U) << "another flow is not held up";
+    EXPECT_EQ(grants().size(), 1U) << "another flow must not be blocked";
     m_clock.advance(300ms);
-    EXPECT_EQ(grants().size(), 1U) << "the target may fit again";
+    EXPECT_EQ(grants().size(), 1U) << "the rejection of the target has expired";
 }
 
-// A holder gets a grant, begins a request on a cold target and is cut off before it can tell. The
-// owner hears nothing of the grant. If it took the grant for lost once the term was over, it would
-// give the slot away and the target would fall over under one request too many.
+// Guards against a grant being considered lost only because nothing was heard about it after its
+// term. Its holder may have started a request on a cold target and been partitioned before it could
+// report; one more request would crash the target.
 TEST_F(PoolOwnerTest, UnconfirmedGrantMayBeInUse)
 {
     waitWithTwoColdSlots();
     m_owner.onLoadReport(targetHash(TargetId("engine")), "boot1", 0, 0, 0ms, m_clock.now());
     demand(nodeA, m_holderA, {{7, 1, 0, 100}});
     ASSERT_EQ(grants().size(), 1U);
-    m_clock.advance(4500ms); // Past the term and the time after which a holder is silent.
+    m_clock.advance(4500ms); // Longer than the term and the timeout after which a holder is silent.
     m_owner.onLoadReport(targetHash(TargetId("engine")), "boot1", 1, 0, 0ms, m_clock.now());
     m_owner.tick(m_clock.now());
     demand(nodeB, m_holderB, {{8, 3, 0, 100}});
-    EXPECT_EQ(grants().size(), 1U) << "the target says that something runs";
+    EXPECT_EQ(grants().size(), 1U) << "the target reports a running request";
 
     m_owner.onLoadReport(targetHash(TargetId("engine")), "boot1", 0, 0, 0ms, m_clock.now());
     m_owner.tick(m_clock.now());
-    EXPECT_EQ(grants().size(), 1U) << "the target says that nothing runs";
+    EXPECT_EQ(grants().size(), 1U) << "the target reports no running requests";
 }
 
-// A cold target bears two. One holder runs a long request there and is cut off; the other's request
-// has just ended when the target reports that one runs. Were the silent holder's slot given away
-// for it, a third request would bring the target down.
+// Guards against a report of one running request releasing the slot of a silent holder. A cold
+// target can run two: the silent holder's request still runs and another holder's has just ended,
+// so a third one would crash the target.
 TEST_F(PoolOwnerTest, PartialLoadReportDoesNotFreeTheSilentHolder)
 {
     waitWithTwoColdSlots();
@@ -328,9 +326,9 @@
     EXPECT_EQ(grants().size(), 1U) << "holder B's lost grant is free, holder A's slot is not";
 }
 
-// A cold target bears two. A node that is cut off still runs a long request there, which the new
-// owner of the pool knows from the target's report alone. Its own grants come on top of that one:
-// taken for the same, they were two, and the target fell over under the third.
+// Guards against a request of a partitioned node being taken for one of this owner's own. A cold
+// target can run two, and the new owner knows the request from the target's report only; if it
+// granted two slots, a third request would crash the target.
 TEST_F(PoolOwnerTest, UntrackedRequestsAddToOwnLeases)
 {
     waitWithTwoColdSlots();
--- a/unittests/Policy/ServiceQueueTest.cpp
+++ b/unittests/Policy/ServiceQueueTest.cpp
@@ -39,14 +39,13 @@
     }
     EXPECT_EQ(queue.expectedWait(flow, clock.now()), Duration(1s));
 
-    // All slots are lost: nothing drains, and the wait that callers are told must grow with it.
+    // All slots are lost and nothing drains, so the wait that callers are told must grow.
     clock.advance(10s);
     EXPECT_EQ(queue.expectedWait(flow, clock.now()), Duration(50s));
 }
 
-// A workspace sends two requests after half a minute without any. The first is about to get its
-// slot; the second was refused as one that would wait too long, though every slot was free: the
-// idle time had been taken for a slow drain.
+// Guards against idle time being counted as a low drain rate. The second of two requests after half
+// a minute without any was rejected as if it had to wait too long, although every slot was free.
 TEST(ServiceQueue, IdleTimeDoesNotLowerTheDrainRate)
 {
     ManualClock clock;
--- a/unittests/Policy/TargetCapacityTest.cpp
+++ b/unittests/Policy/TargetCapacityTest.cpp
@@ -57,9 +57,9 @@
     EXPECT_EQ(m_capacity.state(), TargetState::Warm);
 }
 
-// A cold engine completes three answers. Its load report tells so, then the holders' returns tell
-// of the same three. Added up they pass for six, the target counts as warm, and the full load
-// brings it down while it still warms up.
+// Guards against responses being counted twice, once by the target's load report and once by the
+// holders' returns. A cold engine with three responses would count as warm with six, and crash
+// under full load.
 TEST_F(TargetCapacityTest, AnswersInTheLoadReportAreNotCountedTwice)
 {
     m_capacity.onLoadReport("boot1", 1, 3, 0ms, m_clock.now());
@@ -70,9 +70,8 @@
     EXPECT_EQ(limit(), 4U);
 }
 
-// A warm engine restarts between two requests and nobody saw a broken connection. Its next answer
-// or load report carries another boot id. Were it still taken for warm, a full load would bring it
-// down again.
+// Guards against a warm engine that restarts unnoticed between two requests and still counts as
+// warm: a full load would crash it again. Its next response or load report carries another boot id.
 TEST_F(TargetCapacityTest, NewBootIdMakesTheTargetCold)
 {
     warmUp("boot1");
@@ -82,13 +81,13 @@
     EXPECT_EQ(m_capacity.state(), TargetState::Cold);
 }
 
-// The engine crashes; holders' news of broken connections comes in any order, some after its new
-// boot was heard. Late news of the old boot must not close the new one.
+// Guards against late reports of the old boot closing the new one. After a crash, holders report
+// broken connections in any order, some after the new boot was confirmed.
 TEST_F(TargetCapacityTest, LateReportsOfAnEndedBootAreIgnored)
 {
     warmUp("boot1");
     EXPECT_TRUE(m_capacity.onSignal(TargetSignal::Crash, "boot1", m_clock.now()));
-    EXPECT_EQ(limit(), 0U) << "nothing is sent before the new boot was heard";
+    EXPECT_EQ(limit(), 0U) << "nothing may be sent before the new boot was heard";
     m_capacity.onLoadReport("boot2", 0, 0, 0ms, m_clock.now());
     EXPECT_EQ(limit(), 2U);
     EXPECT_FALSE(m_capacity.onSignal(TargetSignal::Crash, "boot1", m_clock.now()));
@@ -96,8 +95,8 @@
     EXPECT_EQ(limit(), 2U);
 }
 
-// Nobody has heard of a warm, idle target for seconds. It may have restarted unseen; a burst would
-// then hit a cold boot with all slots at once.
+// Guards against a burst on a cold boot. A warm, idle target that nobody heard from for seconds may
+// have restarted unnoticed.
 TEST_F(TargetCapacityTest, StaleBootEvidenceAllowsOnlyColdSlots)
 {
     warmUp("boot1");
@@ -107,8 +106,8 @@
     EXPECT_EQ(limit(), 8U);
 }
 
-// A zone of three is cut in two, and each side has an owner. Together they must not give a cold
-// target more than it bears.
+// Guards against two owners overloading a cold target. A zone of three nodes is partitioned in two,
+// and each side has an owner.
 TEST(AllottedSlots, DisjointOwnersStayWithinTheSlots)
 {
     for (std::uint32_t slots = 0; slots <= 9; ++slots) {
@@ -121,11 +120,12 @@
             EXPECT_EQ(allottedSlots(slots, {listed, listed}), slots);
         }
     }
-    EXPECT_EQ(allottedSlots(1, {2, 3}), 1U) << "one crash of three must not idle a cold target";
+    EXPECT_EQ(allottedSlots(1, {2, 3}), 1U)
+        << "the crash of one node of three must not idle a cold target";
 }
 
-// An engine that was taken out may have been restarted meanwhile: on its return it gets cold slots
-// until its boot is heard, and all of them when it is the same boot.
+// An engine that was out of service may have been restarted. On its return it gets cold slots until
+// its boot is confirmed, and all slots if the boot is the same.
 TEST_F(TargetCapacityTest, ReturningTargetIsColdUntilItsBootIsConfirmed)
 {
     warmUp("boot1");
@@ -137,15 +137,14 @@
     EXPECT_EQ(limit(), 8U);
 }
 
-// A connection breaks, but the engine lives: a network fault, or a stream that the engine cut. Its
-// boot is heard again by the next poll; were it taken for ended for ever, a healthy engine would
-// stand idle.
+// Guards against a healthy engine that idles forever because a connection broke, by a network fault
+// or since the engine closed a stream. The next poll confirms its boot.
 TEST_F(TargetCapacityTest, BrokenConnectionBlocksARunningBootUntilTheNextPoll)
 {
     warmUp("boot1");
     m_capacity.onSignal(TargetSignal::Crash, "boot1", m_clock.now());
     m_capacity.onCompleted(1, "boot1", m_clock.now());
-    EXPECT_EQ(limit(), 0U) << "an answer that was on its way proves nothing";
+    EXPECT_EQ(limit(), 0U) << "an answer on the way does not confirm the boot";
     m_capacity.onLoadReport("boot1", 0, 44, 0ms, m_clock.now());
     EXPECT_EQ(limit(), 8U);
 }
--- a/unittests/Policy/WorkspaceSharesFleetTest.cpp
+++ b/unittests/Policy/WorkspaceSharesFleetTest.cpp
@@ -1,4 +1,5 @@
-// Shares over a fleet of many nodes, each of which knows the others' demands and loads with a lag.
+// Simulates the shares over a fleet of many nodes. Each node knows the other nodes' demands and
+// loads with a delay.
 #include "berylridge/Policy/Admission.h"
 #include "berylridge/Policy/WorkspaceShares.h"
 
@@ -18,16 +19,16 @@
 
 constexpr std::size_t nodeCount = 60;
 constexpr std::size_t targetCount = 50;
-constexpr double tokensPerMs = 100; ///< Of each target.
+constexpr double tokensPerMs = 100; ///< Read rate of each target.
 constexpr double latencyTargetMs = 600;
-constexpr double meanTokens = 12000; ///< Of a request.
+constexpr double meanTokens = 12000; ///< Mean size of a request.
 constexpr int digestPeriodMs = 100;
 constexpr std::size_t periodsPerRound = 6;
 constexpr int updatePeriodMs = 100;
 constexpr double configuredCapacity = 20e6;
 
-/// Nodes before targets that read at a fixed rate. Each node tells a sixth of the others each
-/// tenth of a second what its callers sendRequest and what it has at each target.
+/// Models nodes that send requests to targets with a fixed read rate. Every tenth of a second each
+/// node sends a sixth of the others its callers' demand and its queued tokens on each target.
 class ModelFleet
 {
 public:
@@ -41,7 +42,7 @@
         }
     }
 
-    /// A request of the workspace comes to one of the nodes from first to last.
+    /// Sends a request of the workspace to one of the nodes from `first` to `last`.
     void sendRequest(WorkspaceKey workspace, std::size_t first, std::size_t last)
     {
         const auto nodes = static_cast<double>(last - first + 1);
@@ -64,7 +65,7 @@
         node.ownTokens[target] += tokens;
     }
 
-    /// From now on only so many targets read; what was queued at the others is lost.
+    /// Stops all targets but the first ones. The requests that were queued on them are lost.
     void setRunning(std::size_t targets)
     {
         for (std::size_t i = targets; i < m_running; ++i) {
@@ -95,8 +96,8 @@
     struct Node
     {
         WorkspaceShares shares;
-        std::vector<double> ownTokens;                 ///< Tokens of its requests, by target.
-        std::vector<std::vector<double>> remoteTokens; ///< The same of other nodes.
+        std::vector<double> ownTokens; ///< Queued tokens of its own requests, by target.
+        std::vector<std::vector<double>> remoteTokens; ///< The same, reported by other nodes.
         std::vector<double> remoteTokenSum;
 
         double knownTokens(std::size_t target) const
@@ -142,7 +143,7 @@
     int m_ms = 0;
 };
 
-/// What workspaces admittedTokens and requestedTokens from one moment on.
+/// Measures what workspaces received and requested since its construction.
 class Window
 {
 public:
@@ -152,7 +153,8 @@
     {
     }
 
-    /// Each gets at least half of what it requestedTokens or the best served one admittedTokens.
+    /// Expects each workspace to get at least half of what it requested, or half of what the best
+    /// served one got.
     void expectFairShares(const ModelFleet &fleet)
     {
         double most = 0;
@@ -163,8 +165,8 @@
             const double requestedTokens
                 = fleet.requestedTokens.at(workspace) - m_requestedBefore[workspace];
             EXPECT_GE(admittedTokens, std::min(requestedTokens, most) / 2)
-                << "workspace " << workspace << " asked " << requestedTokens << ", the best got "
-                << most;
+                << "workspace " << workspace << " requested " << requestedTokens
+                << ", the best got " << most;
         }
     }
 
@@ -173,7 +175,7 @@
     std::map<WorkspaceKey, double> m_admittedBefore;
 };
 
-/// Looks once a second at the last six.
+/// Checks the last six seconds, once a second.
 class WindowPerSecond
 {
 public:
@@ -197,7 +199,7 @@
 constexpr WorkspaceKey firstSmall = 5; ///< Ten of them, each at two nodes.
 constexpr WorkspaceKey secondFlood = 15;
 
-/// Twice what the targets read, without the flood.
+/// Sends the usual load without the flood, twice what the targets can read.
 void sendUsualRequests(ModelFleet &fleet, int ms)
 {
     if (ms % 5 == 0) {
@@ -212,8 +214,8 @@
 
 } // namespace
 
-// Guards against a flood that comes to all nodes getting several times what others get, while
-// small workspaces find the targets full.
+// Guards against a flood at all nodes getting several times what others get, while small workspaces
+// find the targets full.
 TEST(WorkspaceSharesFleet, FloodAtAllNodesLeavesOthersTheirShares)
 {
     ModelFleet fleet;
@@ -231,14 +233,14 @@
     window.expectFairShares(fleet);
 }
 
-// Guards against a flood that begins at all nodes at once and takes the room of several seconds
-// before nodes have remoteTokens of each other's demand.
+// Guards against a flood that starts at all nodes at once and takes the capacity of several seconds
+// before the nodes have received each other's demand.
 TEST(WorkspaceSharesFleet, SuddenFloodAtAllNodesLeavesOthersTheirShares)
 {
     ModelFleet fleet;
     for (int ms = 0; ms < 8000; ++ms) {
         if (ms % 50 == 0)
-            fleet.sendRequest(flood, 0, nodeCount - 1); // Its usual.
+            fleet.sendRequest(flood, 0, nodeCount - 1); // Its usual load.
         sendUsualRequests(fleet, ms);
         fleet.advanceOneMs();
     }
@@ -252,8 +254,8 @@
     window.expectFairShares(fleet);
 }
 
-// Guards against a flood at all nodes paying at a low level for what it admittedTokens at a high
-// one, and against one at few nodes owing nothing for it.
+// Guards against a flood at all nodes being charged at a low fair rate for what it received at a
+// high one, and against one at few nodes not being charged for it.
 TEST(WorkspaceSharesFleet, SharesStayFairWhileTargetsFail)
 {
     ModelFleet fleet;
--- a/unittests/Policy/WorkspaceSharesTest.cpp
+++ b/unittests/Policy/WorkspaceSharesTest.cpp
@@ -1,5 +1,5 @@
-// Shares of workspaces and what they admit, under loads that sendRequest for more than the fleet
-// bears.
+// Tests the shares of workspaces, and the requests that they admit, under loads beyond the fleet's
+// capacity.
 #include "berylridge/Policy/WorkspaceShares.h"
 #include "berylridge/Policy/Admission.h"
 
@@ -13,8 +13,8 @@
 
 namespace {
 
-/// A target that reads at a fixed rate, whose queue is all that requests wait for. What nodes know
-/// of the queue is up to a digest's period old.
+/// Models a target with a fixed read rate and one queue. A node's view of the queue is up to one
+/// digest period old.
 class ReadingTarget
 {
 public:
@@ -34,7 +34,7 @@
     double m_knownQueued = 0;
 };
 
-/// One node before one target, as the balancer asks them.
+/// Models one node that sends requests to one target, with the calls that the balancer makes.
 class OneTarget
 {
 public:
@@ -93,29 +93,29 @@
     EXPECT_TRUE(std::isinf(maxMinFairRate({}, 0)));
 }
 
-// One workspace floods the fleet while it is full. The small one's requests all stay within its
-// share; the flood gets what is left and no more.
+// One workspace floods the fleet at its capacity. The small one's requests all stay within its
+// share, and the flood gets the rest and no more.
 TEST(WorkspaceShares, LimitsOnlyTheWorkspaceOverItsShare)
 {
     constexpr WorkspaceKey flood = 1;
     constexpr WorkspaceKey small = 2;
-    constexpr double capacity = 100000; // tokens a second
+    constexpr double capacity = 100000; // In tokens per second.
     OneTarget fleet(capacity / 1000, 1);
     for (int ms = 0; ms < 6000; ++ms) {
         if (ms == 2000)
             fleet.admittedTokens.clear();
-        fleet.sendRequest(flood, 500); // 500,000 a second
+        fleet.sendRequest(flood, 500); // 500,000 tokens per second.
         if (ms % 100 == 50)
-            fleet.sendRequest(small, 2000); // 20,000 a second
+            fleet.sendRequest(small, 2000); // 20,000 tokens per second.
         fleet.advanceOneMs(capacity);
     }
     EXPECT_DOUBLE_EQ(fleet.admittedTokens[small], 4 * 20000);
     EXPECT_NEAR(fleet.admittedTokens[flood] / 4, 80000, 8000);
 }
 
-// Two workspaces flood the fleet, one twice as hard, each through its own node. Operators name a
-// capacity of a third of what the fleet serves. Both must get the same, not by what they
-// sendRequest.
+// Two workspaces flood the fleet, one twice as hard, each through its own node. The configured
+// capacity is a third of what the fleet serves. Both must get the same, regardless of what they
+// request.
 TEST(WorkspaceShares, SharesFollowTheServedRate)
 {
     constexpr WorkspaceKey hard = 1;
@@ -133,15 +133,15 @@
     EXPECT_NEAR(shares.fleet().fairRate, 150000, 20000);
 }
 
-// Targets that have lost their memory read every shared part anew and bear a third of the capacity
-// that operators name. A flood and a small workspace together sendRequest for less than the named
-// figure, so by that figure nobody is beyond its share, though most of both is turned away. The
-// caller of the small one sees refusals while the flood gets three times as much.
+// Guards against shares of a configured capacity that the targets do not have. Targets that lost
+// their cache read every shared part anew and have a third of the configured capacity. A flood and
+// a small workspace request less than the configured capacity, so neither would be over its share
+// although most requests are rejected; the flood would get three times as much as the small one.
 TEST(WorkspaceShares, SharesFollowTheServedRateBelowTheConfiguredCapacity)
 {
     constexpr WorkspaceKey flood = 1;
     constexpr WorkspaceKey small = 2;
-    constexpr double configuredCapacity = 700000; // tokens a second
+    constexpr double configuredCapacity = 700000; // In tokens per second.
     ManualClock clock;
     WorkspaceShares shares;
     int smallRefused = 0;
@@ -149,15 +149,15 @@
     for (int ms = 0; ms < 6000; ++ms) {
         if (ms % 100 == 0)
             shares.update(configuredCapacity, clock.now());
-        shares.onRequested(flood, 450, clock.now()); // 450,000 a second
+        shares.onRequested(flood, 450, clock.now()); // 450,000 tokens per second.
         const bool isFloodWithin = shares.secondsOverShare(flood, clock.now()) <= 0;
         floodRefused += isFloodWithin ? 0 : 1;
         if (ms % 2 == 0)
-            shares.onAdmitted(flood, 450, clock.now()); // Half of the flood finds room.
+            shares.onAdmitted(flood, 450, clock.now()); // Half of the flood is admitted.
         else
             shares.onRejected(450, clock.now());
         if (ms % 100 == 50) {
-            shares.onRequested(small, 8000, clock.now()); // 80,000 a second
+            shares.onRequested(small, 8000, clock.now()); // 80,000 tokens per second.
             smallRefused += shares.secondsOverShare(small, clock.now()) <= 0 ? 0 : 1;
             shares.onAdmitted(small, 8000, clock.now());
         }
@@ -167,10 +167,10 @@
     EXPECT_GT(floodRefused, 1500);
 }
 
-// Two large workspaces sendRequest for more than their shares, one six times as often as the other,
-// beside a small one. What a node knows of the queue is 100 ms old, so whoever asks most often
-// overfills it each time that it looks short. Callers of the small one then find no room for half
-// of what they sendRequest, though it is a seventh of their share.
+// Guards against the workspace that sends requests most often filling the queue whenever it looks
+// short, since a node's view of it is 100 ms old. Two large workspaces request more than their
+// shares, one six times as often as the other; the small one would be rejected for half of its
+// requests, which are a seventh of its share.
 TEST(WorkspaceShares, MaxWaitShrinksWithTheExcessOverTheShare)
 {
     constexpr WorkspaceKey fast = 1;
@@ -191,8 +191,8 @@
               0.95 * 8 * 400000);
 }
 
-// Guards against a debt made at a high fairRate shutting a workspace out for long once the fairRate
-// is low.
+// Guards against a debt from a time with a high fair rate shutting a workspace out for a long time
+// when the fair rate is low.
 TEST(WorkspaceShares, ADebtGetsNoLongerWhenTheShareFalls)
 {
     constexpr WorkspaceKey own = 1;
