--- a/lib/Router/RequestAttempts.cpp
+++ b/lib/Router/RequestAttempts.cpp
@@ -97,9 +97,9 @@
     Request *request = find(event.handle, event.attempt);
     if (!request)
         return;
-    static constexpr const char *names[] = {
-        "refused connection", "connect timeout", "reset",        "timeout",     "invalid response",
-        "truncated response", "not run",         "other target", "target error"};
+    static constexpr const char *names[]
+        = {"refused connection", "connect timeout", "reset",        "timeout",     "bad answer",
+           "cut short",          "not run",         "other target", "target error"};
     const char *name = names[static_cast<std::size_t>(event.failure)];
     addTrace(*request, "attempt failed:", name);
     m_context.log(LogEventId::AttemptFailed,
