--- a/include/berylridge/Net/RouterNode.h
+++ b/include/berylridge/Net/RouterNode.h
@@ -115,7 +115,7 @@
     CoreHandle m_core;
     RpcHandler m_rpc;
     AuditHandler m_audit;
-    WireProtocolHandle m_protocol = ownProtocol();
+    WireProtocolHandle m_protocol = nativeProtocol();
     std::function<void(bool)> m_platformReader;
     std::function<void()> m_reload;
     bool m_handlesSignals = false;
--- a/lib/Net/CallerListener.cpp
+++ b/lib/Net/CallerListener.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 /// Out of file descriptors: accepting at once again would only spin.
-constexpr std::chrono::milliseconds acceptRetry {100};
+constexpr std::chrono::milliseconds acceptRetryDelay {100};
 
 /// Connections that wait to be taken. A thread without processor time answers so many within the
 /// second that callers wait; of a longer queue it would only take connections of callers who have
@@ -52,13 +52,13 @@
         if (error == asio::error::operation_aborted || !m_acceptor.is_open())
             return;
         if (!error)
-            error = acceptWaiting();
+            error = acceptPending();
         if (!error) {
             accept();
             return;
         }
-        onFailed(error);
-        m_retryTimer.expires_after(acceptRetry);
+        onAcceptError(error);
+        m_retryTimer.expires_after(acceptRetryDelay);
         m_retryTimer.async_wait([this](error_code waitError) {
             if (!waitError)
                 accept();
@@ -66,22 +66,22 @@
     });
 }
 
-void CallerListener::onFailed(const error_code &error)
+void CallerListener::onAcceptError(const error_code &error)
 {
     ++m_threads.front()->metrics().acceptFailures;
     m_log({LogEventId::AcceptFailed, error.message()});
 }
 
-error_code CallerListener::acceptWaiting()
+error_code CallerListener::acceptPending()
 {
     // Whatever waits: no measure of the thread's load sees what stays in the system's queue. Not by
     // Asio, which registers each connection with the event loop before anybody has looked at it.
     // Bounded, so that a flood doesn't hold up what else the thread has to do.
     for (int i = 0; i < queueLimit; ++i) {
-        Descriptor connection(
+        FileDescriptor connection(
             ::accept4(m_acceptor.native_handle(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
         if (connection.isOpen()) {
-            m_threads[m_next++ % m_threads.size()]->adopt(std::move(connection), m_protocol);
+            m_threads[m_nextThread++ % m_threads.size()]->adopt(std::move(connection), m_protocol);
             continue;
         }
         if (errno == EAGAIN || errno == EWOULDBLOCK)
--- a/lib/Net/CallerListener.h
+++ b/lib/Net/CallerListener.h
@@ -32,8 +32,8 @@
 private:
     void accept();
     /// Takes the connections that wait; the error that ended it, if any.
-    error_code acceptWaiting();
-    void onFailed(const error_code &error);
+    error_code acceptPending();
+    void onAcceptError(const error_code &error);
 
     std::vector<std::unique_ptr<TrafficThread>> &m_threads;
     std::function<void(const LogRecord &)> m_log;
@@ -41,7 +41,7 @@
     tcp m_protocol = tcp::v4();
     asio::steady_timer m_retryTimer;
     Endpoint m_endpoint;
-    std::size_t m_next = 0;
+    std::size_t m_nextThread = 0;
 };
 
 } // namespace berylridge
--- a/lib/Net/CallerRequest.cpp
+++ b/lib/Net/CallerRequest.cpp
@@ -15,20 +15,20 @@
 
 constexpr std::string_view pathPrefix = "/v1/services/";
 constexpr std::string_view keysPath = "/v1/idempotency-keys";
-constexpr std::size_t requestIdLimit = 128;
-constexpr std::size_t keyLimit = 255;
+constexpr std::size_t maxRequestIdLength = 128;
+constexpr std::size_t maxIdempotencyKeyLength = 255;
 /// Hints and waits beyond these say nothing of use and are left out.
-constexpr double costHintLimit = 86400;
-constexpr std::uint64_t patienceLimit = 86400;
+constexpr double maxCostHint = 86400;
+constexpr std::uint64_t maxQueueWaitSeconds = 86400;
 
-bool isVisible(std::string_view text)
+bool isVisibleAscii(std::string_view text)
 {
     return std::all_of(text.begin(), text.end(), [](char c) { return c > ' ' && c < 0x7f; });
 }
 
-bool isUsableId(std::string_view text, std::size_t limit)
+bool isValidId(std::string_view text, std::size_t limit)
 {
-    return !text.empty() && text.size() <= limit && isVisible(text);
+    return !text.empty() && text.size() <= limit && isVisibleAscii(text);
 }
 
 /// The text without a given prefix, compared without regard to case; nothing where it has another.
@@ -46,13 +46,13 @@
     double hint = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), hint);
     const bool isWhole = error == std::errc() && end == text.data() + text.size();
-    if (!isWhole || !std::isfinite(hint) || hint < 0 || hint > costHintLimit)
+    if (!isWhole || !std::isfinite(hint) || hint < 0 || hint > maxCostHint)
         return std::nullopt;
     return hint;
 }
 
 /// Of `Prefer: wait=N` (RFC 7240); other preferences are passed over.
-std::optional<Duration> patienceOf(const StringRequest &request)
+std::optional<Duration> maxQueueWaitOf(const StringRequest &request)
 {
     std::string_view rest = view(request["Prefer"]);
     while (!rest.empty()) {
@@ -65,7 +65,7 @@
         if (value
             && std::from_chars(value->data(), value->data() + value->size(), seconds).ec
                 == std::errc()
-            && seconds <= patienceLimit)
+            && seconds <= maxQueueWaitSeconds)
             return std::chrono::seconds(seconds);
     }
     return std::nullopt;
@@ -77,7 +77,7 @@
 }
 
 /// Splits "/v1/services/{service}/{path...}"; false where the target has another shape.
-bool readTarget(std::string_view target, RequestArrived &arrived)
+bool parseRequestTarget(std::string_view target, RequestArrived &arrived)
 {
     if (!target.starts_with(pathPrefix))
         return false;
@@ -102,37 +102,37 @@
 }
 
 std::variant<RequestArrived, Problem> readCallerRequest(const StringRequest &request,
-                                                        std::string_view freshId)
+                                                        std::string_view generatedId)
 {
     RequestArrived arrived;
-    const bool asksForKey
+    const bool isKeyRequest
         = request.method() == http::verb::post && view(request.target()) == keysPath;
-    if (!asksForKey && !readTarget(view(request.target()), arrived))
+    if (!isKeyRequest && !parseRequestTarget(view(request.target()), arrived))
         return Problem {404, "unknown-path", "the path is not /v1/services/{service}/{path}",
                         Verdict::NotRun, std::nullopt};
     const std::string_view id = view(request[beastView(fields::requestId)]);
-    if (!id.empty() && !isUsableId(id, requestIdLimit))
+    if (!id.empty() && !isValidId(id, maxRequestIdLength))
         return badRequest("bad-request-id", "X-Request-Id must be 1 to 128 visible characters");
     if (request.count(beastView(fields::idempotencyKey)) > 1)
         return badRequest("bad-idempotency-key", "Idempotency-Key is given more than once");
     if (request.count(beastView(fields::idempotencyKey)) == 1) {
         const std::string_view key = view(request[beastView(fields::idempotencyKey)]);
-        if (!isUsableId(key, keyLimit))
+        if (!isValidId(key, maxIdempotencyKeyLength))
             return badRequest("bad-idempotency-key",
                               "Idempotency-Key must be 1 to 255 visible characters");
         arrived.idempotencyKey = std::string(key);
     }
-    arrived.requestId = std::string(id.empty() ? freshId : id);
+    arrived.requestId = std::string(id.empty() ? generatedId : id);
     arrived.credential = credentialOf(request);
     arrived.method = std::string(view(request.method_string()));
     arrived.bodyHash = hash64(request.body());
     arrived.bodyBytes = request.body().size();
     arrived.costHint = costHintOf(request);
-    arrived.maxQueueWait = patienceOf(request);
+    arrived.maxQueueWait = maxQueueWaitOf(request);
     return arrived;
 }
 
-std::optional<Problem> problemOfParser(const error_code &error)
+std::optional<Problem> problemOfParserError(const error_code &error)
 {
     if (error == http::error::header_limit || error == http::error::buffer_overflow)
         return Problem {431, "head-too-large", "the request head is too large", Verdict::NotRun,
--- a/lib/Net/CallerRequest.h
+++ b/lib/Net/CallerRequest.h
@@ -28,13 +28,13 @@
 /// service is empty where the caller asks for an idempotency key instead (POST
 /// /v1/idempotency-keys). The id is used where the caller gave none.
 std::variant<RequestArrived, Problem> readCallerRequest(const StringRequest &request,
-                                                        std::string_view freshId);
+                                                        std::string_view generatedId);
 
 /// The workspace's key in the request's head; empty where there is none.
 std::string credentialOf(const StringRequest &request);
 
 /// The problem that stands for an error of the HTTP parser; nothing where the connection broke.
-std::optional<Problem> problemOfParser(const error_code &error);
+std::optional<Problem> problemOfParserError(const error_code &error);
 
 /// Whether a field is meant for one connection only (RFC 9110, section 7.6.1).
 bool isHopByHop(std::string_view field, std::string_view connection);
--- a/lib/Net/CallerSession.cpp
+++ b/lib/Net/CallerSession.cpp
@@ -2,8 +2,8 @@
 
 #include "CallerRequest.h"
 #include "Exchange.h"
+#include "HttpSerialization.h"
 #include "TrafficThread.h"
-#include "WireText.h"
 
 #include <algorithm>
 #include <array>
@@ -16,16 +16,17 @@
 namespace {
 
 /// Between two requests on a connection.
-constexpr std::chrono::seconds idleLimit {75};
-/// For a caller that reads nothing at all; its answer holds a target's slot as long as it streams.
-constexpr std::chrono::seconds stallLimit {30};
-/// For the caller to take in an answer that makes the router close.
-constexpr std::chrono::seconds lingerLimit {2};
+constexpr std::chrono::seconds keepAliveTimeout {75};
+/// For a caller that reads nothing at all; its immediateResponse holds a target's slot as long as
+/// it streams.
+constexpr std::chrono::seconds writeStallTimeout {30};
+/// For the caller to take in an immediateResponse that makes the router close.
+constexpr std::chrono::seconds lingerTimeout {2};
 constexpr std::size_t headReadBytes = 2 << 10;
 constexpr std::size_t bodyReadBytes = 64 << 10;
 /// Room beyond the head limit, so that the parser can say which limit was passed.
-constexpr std::size_t bufferSlack = 128 << 10;
-constexpr std::string_view continueAnswer = "HTTP/1.1 100 Continue\r\n\r\n";
+constexpr std::size_t bufferSlackBytes = 128 << 10;
+constexpr std::string_view continueResponse = "HTTP/1.1 100 Continue\r\n\r\n";
 
 } // namespace
 
@@ -33,7 +34,7 @@
     : m_thread(thread)
     , m_socket(std::move(socket))
     , m_deadline(std::make_shared<Deadline>(thread.context()))
-    , m_buffer(thread.options().headerLimit + bufferSlack)
+    , m_buffer(thread.options().headerLimit + bufferSlackBytes)
 {
     ++m_thread.metrics().connectionsOpen;
 }
@@ -41,7 +42,7 @@
 CallerSession::~CallerSession()
 {
     --m_thread.metrics().connectionsOpen;
-    m_thread.forget(this);
+    m_thread.removeSession(this);
 }
 
 void CallerSession::start(std::string_view received, ShedDecision decision)
@@ -51,12 +52,12 @@
     m_socket.non_blocking(true, ignored);
     if (m_thread.metrics().connectionsOpen > m_thread.options().connectionLimit) {
         ++m_thread.metrics().connectionsRefused;
-        answerProblem({503, "too-many-connections", "the router has too many connections open",
-                       Verdict::NotRun, std::chrono::seconds(1)},
-                      false);
+        sendProblem({503, "too-many-connections", "the router has too many connections open",
+                     Verdict::NotRun, std::chrono::seconds(1)},
+                    false);
         return;
     }
-    m_decision = decision;
+    m_shedDecision = decision;
     m_buffer.commit(asio::buffer_copy(m_buffer.prepare(received.size()), asio::buffer(received)));
     awaitRequest();
 }
@@ -69,24 +70,24 @@
         return;
     }
     m_buffer.shrink_to_fit(); // An idle connection holds no buffer.
-    keepIdle();
+    waitIdle();
 }
 
-void CallerSession::keepIdle()
+void CallerSession::waitIdle()
 {
-    m_deadline->set(Deadline::Clock::now() + idleLimit, [weak = weak_from_this()] {
+    m_deadline->set(Deadline::Clock::now() + keepAliveTimeout, [weak = weak_from_this()] {
         if (const auto self = weak.lock())
             self->close();
     });
-    watch();
+    waitReadable();
 }
 
-void CallerSession::watch()
+void CallerSession::waitReadable()
 {
-    if (std::exchange(m_isWatching, true))
+    if (std::exchange(m_isWaitingReadable, true))
         return;
     m_socket.async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code error) {
-        self->m_isWatching = false;
+        self->m_isWaitingReadable = false;
         self->onReadable(error);
     });
 }
@@ -96,20 +97,20 @@
     if (error == asio::error::operation_aborted)
         return;
     if (m_state == State::Idle && m_thread.isShedding())
-        readScreened();
+        readAndScreen();
     else if (m_state == State::Idle)
         readHead();
     else if (m_state == State::Waiting)
-        lookForEnd();
+        checkForDisconnect();
 }
 
-void CallerSession::readScreened()
+void CallerSession::readAndScreen()
 {
     const asio::mutable_buffer scratch = m_thread.scratch();
     error_code error;
     const std::size_t size = m_socket.read_some(scratch, error);
     if (error == asio::error::would_block) {
-        watch();
+        waitReadable();
         return;
     }
     if (error) {
@@ -117,44 +118,44 @@
         return;
     }
     const std::string_view bytes(static_cast<const char *>(scratch.data()), size);
-    const Screening screening = m_thread.screen(bytes, m_thread.keepsConnections());
-    if (screening.answer) {
-        answerAtOnce(screening);
+    const Screening screening = m_thread.screen(bytes, m_thread.allowsKeepAlive());
+    if (screening.immediateResponse) {
+        writeImmediateResponse(screening);
         return;
     }
-    m_decision = screening.decision;
+    m_shedDecision = screening.decision;
     m_buffer.commit(asio::buffer_copy(m_buffer.prepare(size), asio::buffer(bytes)));
     awaitRequest();
 }
 
-void CallerSession::answerAtOnce(const Screening &screening)
+void CallerSession::writeImmediateResponse(const Screening &screening)
 {
     error_code error;
-    const std::size_t size = m_socket.write_some(asio::buffer(*screening.answer), error);
+    const std::size_t size = m_socket.write_some(asio::buffer(*screening.immediateResponse), error);
     if (error && error != asio::error::would_block) {
         close();
         return;
     }
-    const bool isKept = screening.isConnectionKept;
-    if (size == screening.answer->size() && isKept) {
-        keepIdle();
+    const bool keepAlive = screening.isKeepAlive;
+    if (size == screening.immediateResponse->size() && keepAlive) {
+        waitIdle();
         return;
     }
     m_state = State::Waiting;
-    m_isRequestWhole = true;
-    write(screening.answer->substr(size),
-          [self = shared_from_this(), isKept] { self->endExchange(isKept); });
+    m_isRequestComplete = true;
+    write(screening.immediateResponse->substr(size),
+          [self = shared_from_this(), keepAlive] { self->endExchange(keepAlive); });
 }
 
-void CallerSession::lookForEnd()
+void CallerSession::checkForDisconnect()
 {
     error_code error = peek();
     if (error == asio::error::would_block) {
-        watch();
+        waitReadable();
         return;
     }
     if (error) {
-        callerGone();
+        onCallerDisconnected();
         return;
     }
     // A pipelined request: kept up to the head limit, read when its turn comes. Beyond that the
@@ -164,14 +165,14 @@
         return;
     const std::size_t room = std::min(limit - m_buffer.size(), headReadBytes);
     m_buffer.commit(m_socket.read_some(m_buffer.prepare(room), error));
-    watch();
+    waitReadable();
 }
 
 void CallerSession::readHead()
 {
     m_state = State::Reading;
-    m_isOverdue = false;
-    m_isRequestWhole = false;
+    m_isReadTimedOut = false;
+    m_isRequestComplete = false;
     const TrafficOptions &options = m_thread.options();
     m_parser = std::make_unique<http::request_parser<http::string_body>>();
     m_parser->header_limit(static_cast<std::uint32_t>(options.headerLimit));
@@ -180,7 +181,7 @@
     // longer.
     m_deadline->set(Deadline::Clock::now() + options.readTimeout, [weak = weak_from_this()] {
         if (const auto self = weak.lock()) {
-            self->m_isOverdue = true;
+            self->m_isReadTimedOut = true;
             error_code ignored;
             self->m_socket.cancel(ignored);
         }
@@ -201,23 +202,24 @@
     }
     const auto &request = m_parser->get();
     if (request.version() != 11) {
-        // Without chunks an older caller couldn't tell a cut answer from a whole one.
-        answerProblem({505, "http-version", "the router speaks HTTP/1.1", Verdict::NotRun, {}},
-                      false);
+        // Without chunks an older caller couldn't tell a abortConnection immediateResponse from a
+        // whole one.
+        sendProblem({505, "http-version", "the router speaks HTTP/1.1", Verdict::NotRun, {}},
+                    false);
         return;
     }
     const auto coding = request.find(http::field::transfer_encoding);
     if (coding != request.end() && !beast::iequals(coding->value(), "chunked")) {
-        answerProblem({501, "transfer-coding", "chunked is the only transfer coding known",
-                       Verdict::NotRun, std::nullopt},
-                      false);
+        sendProblem({501, "transfer-coding", "chunked is the only transfer coding known",
+                     Verdict::NotRun, std::nullopt},
+                    false);
         return;
     }
-    const CallerNames caller = m_thread.protocol().readCaller(request);
-    const ShedDecision decision = std::exchange(m_decision, ShedDecision::Open);
+    const CallerIdentity caller = m_thread.protocol().readCaller(request);
+    const ShedDecision decision = std::exchange(m_shedDecision, ShedDecision::Undecided);
     if (decision == ShedDecision::Shed
-        || (decision == ShedDecision::Open && m_thread.sheds(caller.credential))) {
-        refuseBusy(caller.requestId);
+        || (decision == ShedDecision::Undecided && m_thread.sheds(caller.credential))) {
+        rejectOverloaded(caller.requestId);
         return;
     }
     if (m_parser->is_done()) {
@@ -225,21 +227,21 @@
         return;
     }
     if (beast::iequals(request[http::field::expect], "100-continue") && m_buffer.size() == 0)
-        write(std::string(continueAnswer), [] {});
+        write(std::string(continueResponse), [] {});
     readRest();
 }
 
-void CallerSession::refuseBusy(std::string_view requestId)
+void CallerSession::rejectOverloaded(std::string_view requestId)
 {
-    const std::uint64_t left
+    const std::uint64_t remainingBytes
         = m_parser->is_done() ? 0 : m_parser->content_length_remaining().value_or(~0ULL);
     // A connection whose request is here to its end can go on, or be closed without a reset.
-    m_isRequestWhole = left <= m_buffer.size();
-    if (m_isRequestWhole)
-        m_buffer.consume(left);
-    const bool isKept
-        = m_isRequestWhole && m_parser->get().keep_alive() && m_thread.keepsConnections();
-    answerProblem(m_thread.busyProblem(), isKept, requestId);
+    m_isRequestComplete = remainingBytes <= m_buffer.size();
+    if (m_isRequestComplete)
+        m_buffer.consume(remainingBytes);
+    const bool keepAlive
+        = m_isRequestComplete && m_parser->get().keep_alive() && m_thread.allowsKeepAlive();
+    sendProblem(m_thread.overloadProblem(), keepAlive, requestId);
 }
 
 void CallerSession::readRest()
@@ -260,14 +262,14 @@
 
 void CallerSession::onReadError(error_code error)
 {
-    if (m_isOverdue) {
-        answerProblem({408, "read-timeout", "the request did not arrive in time", Verdict::NotRun,
-                       std::nullopt},
-                      false);
+    if (m_isReadTimedOut) {
+        sendProblem({408, "read-timeout", "the request did not arrive in time", Verdict::NotRun,
+                     std::nullopt},
+                    false);
         return;
     }
-    if (const auto problem = problemOfParser(error)) {
-        answerProblem(*problem, false);
+    if (const auto problem = problemOfParserError(error)) {
+        sendProblem(*problem, false);
         return;
     }
     close();
@@ -280,8 +282,8 @@
     if (m_buffer.size() == 0)
         m_buffer.shrink_to_fit(); // A waiting request may wait for long.
     ++m_thread.metrics().requestsReceived;
-    if (hasCallerLeft()) {
-        m_thread.countLeftUnread();
+    if (hasCallerDisconnected()) {
+        m_thread.countAbandonedRequest();
         close();
         return;
     }
@@ -296,7 +298,7 @@
     return error;
 }
 
-bool CallerSession::hasCallerLeft()
+bool CallerSession::hasCallerDisconnected()
 {
     const error_code error = peek();
     return error && error != asio::error::would_block;
@@ -305,12 +307,12 @@
 void CallerSession::beginExchange()
 {
     const RequestHandle handle = m_thread.nextHandle();
-    const std::string freshId = m_thread.options().idPrefix + std::to_string(handle);
+    const std::string generatedId = m_thread.options().idPrefix + std::to_string(handle);
     StringRequest request = m_parser->release();
     m_parser.reset();
-    auto read = m_thread.protocol().readRequest(request, freshId);
+    auto read = m_thread.protocol().readRequest(request, generatedId);
     if (const auto *problem = std::get_if<Problem>(&read)) {
-        answerProblem(*problem, request.keep_alive() && m_thread.keepsConnections());
+        sendProblem(*problem, request.keep_alive() && m_thread.allowsKeepAlive());
         return;
     }
     auto arrived = std::get<RequestArrived>(std::move(read));
@@ -322,27 +324,28 @@
         m_thread.report(KeyIssueRequested {handle, arrived.requestId, arrived.credential});
     else
         m_thread.report(std::move(arrived));
-    watch();
+    waitReadable();
 }
 
-void CallerSession::answerProblem(const Problem &problem, bool isKept, std::string_view requestId)
+void CallerSession::sendProblem(const Problem &problem, bool keepAlive, std::string_view requestId)
 {
     m_state = State::Waiting;
     m_deadline->clear();
     ++m_thread.metrics().requestsByVerdict[static_cast<std::size_t>(problem.verdict)];
     m_thread.metrics().addRefusal(problem.type);
-    const std::string unknownId = m_thread.options().unknownId();
-    auto response = m_thread.protocol().problemAnswer(
-        problem, requestId.empty() ? std::string_view(unknownId) : requestId);
-    response.keep_alive(isKept);
-    write(wireText(response), [self = shared_from_this(), isKept] { self->endExchange(isKept); });
+    const std::string placeholderRequestId = m_thread.options().placeholderRequestId();
+    auto response = m_thread.protocol().buildProblemResponse(
+        problem, requestId.empty() ? std::string_view(placeholderRequestId) : requestId);
+    response.keep_alive(keepAlive);
+    write(serializeHttp(response),
+          [self = shared_from_this(), keepAlive] { self->endExchange(keepAlive); });
 }
 
 void CallerSession::write(std::string bytes, std::function<void()> written)
 {
     if (m_state == State::Closing)
         return;
-    m_out.push_back({std::move(bytes), std::move(written)});
+    m_writeQueue.push_back({std::move(bytes), std::move(written)});
     if (!m_isWriteActive)
         writeFront();
 }
@@ -351,12 +354,12 @@
 {
     m_isWriteActive = true;
     if (m_state == State::Waiting) {
-        m_deadline->set(Deadline::Clock::now() + stallLimit, [weak = weak_from_this()] {
+        m_deadline->set(Deadline::Clock::now() + writeStallTimeout, [weak = weak_from_this()] {
             if (const auto self = weak.lock())
-                self->cut();
+                self->abortConnection();
         });
     }
-    asio::async_write(m_socket, asio::buffer(m_out.front().bytes),
+    asio::async_write(m_socket, asio::buffer(m_writeQueue.front().bytes),
                       [self = shared_from_this()](error_code error, std::size_t) {
                           self->m_isWriteActive = false;
                           self->onWritten(error);
@@ -368,46 +371,46 @@
     if (m_state == State::Closing)
         return;
     if (error) {
-        callerGone();
+        onCallerDisconnected();
         return;
     }
-    const auto written = std::move(m_out.front().written);
-    m_out.pop_front();
+    const auto written = std::move(m_writeQueue.front().written);
+    m_writeQueue.pop_front();
     if (m_state == State::Waiting)
         m_deadline->clear();
-    if (!m_out.empty())
+    if (!m_writeQueue.empty())
         writeFront();
     written();
 }
 
-void CallerSession::endExchange(bool isKept)
+void CallerSession::endExchange(bool keepAlive)
 {
     if (m_state == State::Closing)
         return;
     m_exchange.reset();
-    if (isKept)
+    if (keepAlive)
         awaitRequest();
-    else if (m_isRequestWhole)
+    else if (m_isRequestComplete)
         close();
     else
         linger();
 }
 
-void CallerSession::callerGone()
+void CallerSession::onCallerDisconnected()
 {
     if (m_state == State::Closing)
         return;
     const auto exchange = std::move(m_exchange);
     close();
     if (exchange)
-        exchange->callerGone();
+        exchange->onCallerDisconnected();
 }
 
 void CallerSession::linger()
 {
-    // Closing with unread bytes would make the system send a reset, which can destroy the answer
-    // before the caller has read it. So the caller is told the end, and its bytes are dropped for a
-    // short while.
+    // Closing with unread bytes would make the system send a reset, which can destroy the
+    // immediateResponse before the caller has read it. So the caller is told the end, and its bytes
+    // are dropped for a short while.
     m_state = State::Closing;
     m_buffer.clear();
     m_buffer.shrink_to_fit();
@@ -417,27 +420,27 @@
         close();
         return;
     }
-    m_deadline->set(Deadline::Clock::now() + lingerLimit, [weak = weak_from_this()] {
+    m_deadline->set(Deadline::Clock::now() + lingerTimeout, [weak = weak_from_this()] {
         if (const auto self = weak.lock())
             self->close();
     });
-    discard();
+    discardInput();
 }
 
-void CallerSession::discard()
+void CallerSession::discardInput()
 {
     m_socket.async_read_some(m_thread.scratch(),
                              [self = shared_from_this()](error_code error, std::size_t) {
                                  if (error)
                                      self->close();
                                  else
-                                     self->discard();
+                                     self->discardInput();
                              });
 }
 
-void CallerSession::cut()
+void CallerSession::abortConnection()
 {
-    callerGone();
+    onCallerDisconnected();
     close();
 }
 
@@ -445,7 +448,7 @@
 {
     m_state = State::Closing;
     m_deadline->stop();
-    m_out.clear();
+    m_writeQueue.clear();
     error_code ignored;
     m_socket.close(ignored);
 }
--- a/lib/Net/CallerSession.h
+++ b/lib/Net/CallerSession.h
@@ -33,12 +33,12 @@
     void write(std::string bytes, std::function<void()> written);
 
     /// The request's answer is written: goes on to the next request, or closes.
-    void endExchange(bool isKept);
+    void endExchange(bool keepAlive);
 
     /// Closes at once, so that the caller sees that its answer is incomplete.
-    void cut();
+    void abortConnection();
 
-    bool isWriting() const { return !m_out.empty(); }
+    bool hasPendingWrite() const { return !m_writeQueue.empty(); }
 
 private:
     enum class State : std::uint8_t {
@@ -49,36 +49,36 @@
     };
 
     /// Bytes of an answer on their way out.
-    struct Outgoing
+    struct PendingWrite
     {
         std::string bytes;
         std::function<void()> written;
     };
 
     void awaitRequest();
-    void watch();
+    void waitReadable();
     void onReadable(error_code error);
     /// Reads a request's first bytes, and refuses it where it is shed.
-    void readScreened();
-    void answerAtOnce(const Screening &screening);
-    void keepIdle();
-    void lookForEnd();
+    void readAndScreen();
+    void writeImmediateResponse(const Screening &screening);
+    void waitIdle();
+    void checkForDisconnect();
     void readHead();
     void onHead(error_code error);
-    void refuseBusy(std::string_view requestId);
+    void rejectOverloaded(std::string_view requestId);
     void readRest();
     void onRequest();
     /// Whether bytes or the end wait to be read, without taking them.
     error_code peek();
-    bool hasCallerLeft();
+    bool hasCallerDisconnected();
     void onReadError(error_code error);
     void beginExchange();
-    void answerProblem(const Problem &problem, bool isKept, std::string_view requestId = {});
+    void sendProblem(const Problem &problem, bool keepAlive, std::string_view requestId = {});
     void writeFront();
     void onWritten(error_code error);
-    void callerGone();
+    void onCallerDisconnected();
     void linger();
-    void discard();
+    void discardInput();
     void close();
 
     TrafficThread &m_thread;
@@ -87,12 +87,12 @@
     beast::flat_buffer m_buffer;
     std::unique_ptr<http::request_parser<http::string_body>> m_parser;
     std::shared_ptr<Exchange> m_exchange;
-    std::deque<Outgoing> m_out;
+    std::deque<PendingWrite> m_writeQueue;
     State m_state = State::Idle;
-    ShedDecision m_decision = ShedDecision::Open; ///< On the request that is being read.
-    bool m_isWatching = false;
-    bool m_isOverdue = false;
-    bool m_isRequestWhole = false; ///< Refused, with all its bytes here.
+    ShedDecision m_shedDecision = ShedDecision::Undecided; ///< On the request that is being read.
+    bool m_isWaitingReadable = false;
+    bool m_isReadTimedOut = false;
+    bool m_isRequestComplete = false; ///< Refused, with all its bytes here.
     bool m_isWriteActive = false;
 };
 
--- a/lib/Net/ConnectionPool.cpp
+++ b/lib/Net/ConnectionPool.cpp
@@ -1,6 +1,6 @@
 #include "ConnectionPool.h"
 
-#include "WireText.h"
+#include "HttpSerialization.h"
 
 #include <algorithm>
 #include <array>
@@ -12,7 +12,7 @@
 namespace {
 
 /// A byte or an end that waits on an idle connection is something unexpected.
-bool isClean(tcp::socket &socket)
+bool hasNoPendingInput(tcp::socket &socket)
 {
     std::array<char, 1> byte {};
     error_code error;
@@ -20,14 +20,14 @@
     return error == asio::error::would_block;
 }
 
-ConnectionPool::Clock::duration part(std::chrono::seconds whole, double share)
+ConnectionPool::Clock::duration fractionOf(std::chrono::seconds whole, double fraction)
 {
-    return std::chrono::duration_cast<ConnectionPool::Clock::duration>(whole * share);
+    return std::chrono::duration_cast<ConnectionPool::Clock::duration>(whole * fraction);
 }
 
 } // namespace
 
-std::optional<std::chrono::seconds> toldIdleLimit(const http::fields &head)
+std::optional<std::chrono::seconds> announcedIdleTimeout(const http::fields &head)
 {
     constexpr std::string_view name = "timeout=";
     const std::string_view text = view(head[http::field::keep_alive]);
@@ -52,18 +52,19 @@
     auto &idle = found->second;
     while (!idle.empty()) {
         const Idle &last = idle.back();
-        if (now > (resendPolicy == ResendPolicy::Allowed ? last.usableUntil : last.onceUntil))
+        if (now > (resendPolicy == ResendPolicy::Allowed ? last.usableWithResendUntil
+                                                         : last.usableWithoutResendUntil))
             return std::nullopt; // The others have been idle for longer.
         tcp::socket socket = std::move(idle.back().socket);
         idle.pop_back();
-        if (isClean(socket))
+        if (hasNoPendingInput(socket))
             return socket;
     }
     return std::nullopt;
 }
 
 void ConnectionPool::put(const Endpoint &endpoint, tcp::socket socket,
-                         std::optional<std::chrono::seconds> told, std::size_t limit,
+                         std::optional<std::chrono::seconds> announced, std::size_t limit,
                          Clock::time_point now)
 {
     error_code error;
@@ -72,19 +73,20 @@
     auto &idle = m_idle[endpoint];
     if (error || idle.size() >= limit)
         return;
-    Clock::duration usable = idleLimit;
-    Clock::duration once = onceIdleLimit;
-    if (told) {
-        usable = std::min(usable, part(*told, repeatablePart));
-        once = std::min<Clock::duration>(idleLimit, part(*told, oncePart));
+    Clock::duration withResend = maxIdleTime;
+    Clock::duration withoutResend = maxIdleTimeWithoutResend;
+    if (announced) {
+        withResend = std::min(withResend, fractionOf(*announced, idleFractionWithResend));
+        withoutResend = std::min<Clock::duration>(
+            maxIdleTime, fractionOf(*announced, idleFractionWithoutResend));
     }
-    idle.push_back({std::move(socket), now + usable, now + once});
+    idle.push_back({std::move(socket), now + withResend, now + withoutResend});
 }
 
 void ConnectionPool::closeIdle(Clock::time_point now)
 {
     for (auto &[endpoint, idle] : m_idle)
-        std::erase_if(idle, [&](const Idle &entry) { return entry.usableUntil < now; });
+        std::erase_if(idle, [&](const Idle &entry) { return entry.usableWithResendUntil < now; });
     std::erase_if(m_idle, [](const auto &entry) { return entry.second.empty(); });
 }
 
--- a/lib/Net/EventStream.cpp
+++ b/lib/Net/EventStream.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-constexpr std::string_view endOfStream = "[DONE]";
+constexpr std::string_view doneMarker = "[DONE]";
 
-std::optional<std::uint64_t> numberIn(std::string_view text)
+std::optional<std::uint64_t> parseEventNumber(std::string_view text)
 {
     std::uint64_t number = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
@@ -63,7 +63,7 @@
 void EventStream::setLastId(std::string_view id)
 {
     m_lastId = id;
-    m_lastNumber = numberIn(id);
+    m_lastEventNumber = parseEventNumber(id);
 }
 
 bool EventStream::feed(std::string_view bytes, std::string &out)
@@ -77,16 +77,16 @@
         const std::size_t end = endOfEvent(rest, searchFrom);
         if (end == std::string_view::npos)
             break;
-        if (!takeEvent(rest.substr(0, end), out))
+        if (!processEvent(rest.substr(0, end), out))
             return false;
         rest.remove_prefix(end);
         searchFrom = 0;
     }
     m_pending.erase(0, m_pending.size() - rest.size());
-    return m_pending.size() <= eventLimit;
+    return m_pending.size() <= maxEventBytes;
 }
 
-bool EventStream::takeEvent(std::string_view event, std::string &out)
+bool EventStream::processEvent(std::string_view event, std::string &out)
 {
     std::optional<std::string_view> id;
     std::string_view data;
@@ -103,16 +103,16 @@
         return true;
     if (m_isDone)
         return false;
-    const std::optional<std::uint64_t> number = id ? numberIn(*id) : std::nullopt;
+    const std::optional<std::uint64_t> number = id ? parseEventNumber(*id) : std::nullopt;
     // A replica that resumes may repeat events: ids rise, so what isn't higher was passed on
     // before.
-    if (number && m_lastNumber && *number <= *m_lastNumber)
+    if (number && m_lastEventNumber && *number <= *m_lastEventNumber)
         return true;
     if (id) {
         m_lastId = *id;
-        m_lastNumber = number;
+        m_lastEventNumber = number;
     }
-    m_isDone = m_endsWithMark && data == endOfStream;
+    m_isDone = m_endsWithDoneEvent && data == doneMarker;
     out.append(event);
     return true;
 }
--- a/lib/Net/EventStream.h
+++ b/lib/Net/EventStream.h
@@ -16,11 +16,11 @@
 {
 public:
     /// Longest event that is held back until it is whole.
-    static constexpr std::size_t eventLimit = 1 << 20;
+    static constexpr std::size_t maxEventBytes = 1 << 20;
 
     /// Whether only `data: [DONE]` makes a stream whole; else the end of the answer does.
-    explicit EventStream(bool endsWithMark = true)
-        : m_endsWithMark(endsWithMark)
+    explicit EventStream(bool endsWithDoneEvent = true)
+        : m_endsWithDoneEvent(endsWithDoneEvent)
     {
     }
 
@@ -38,15 +38,15 @@
     const std::string &lastId() const { return m_lastId; }
 
     /// Whether the stream is whole if its answer ends here.
-    bool isDone() const { return m_endsWithMark ? m_isDone : m_pending.empty(); }
+    bool isDone() const { return m_endsWithDoneEvent ? m_isDone : m_pending.empty(); }
 
 private:
-    bool takeEvent(std::string_view event, std::string &out);
+    bool processEvent(std::string_view event, std::string &out);
 
-    const bool m_endsWithMark;
+    const bool m_endsWithDoneEvent;
     std::string m_pending;
     std::string m_lastId;
-    std::optional<std::uint64_t> m_lastNumber;
+    std::optional<std::uint64_t> m_lastEventNumber;
     bool m_isDone = false;
 };
 
--- a/lib/Net/Exchange.cpp
+++ b/lib/Net/Exchange.cpp
@@ -2,8 +2,8 @@
 
 #include "CallerRequest.h"
 #include "CallerSession.h"
+#include "HttpSerialization.h"
 #include "TrafficThread.h"
-#include "WireText.h"
 
 #include <boost/beast/http/chunk_encode.hpp>
 #include <utility>
@@ -14,7 +14,7 @@
 
 constexpr std::string_view eventStreamType = "text/event-stream";
 
-bool isEventStream(const AnswerHead &head, bool hasBody)
+bool isEventStream(const ResponseHead &head, bool hasBody)
 {
     const std::string_view type = view(head[http::field::content_type]);
     return hasBody && head.result_int() == 200 && type.size() >= eventStreamType.size()
@@ -23,13 +23,14 @@
         && head.count(http::field::content_encoding) == 0;
 }
 
-/// Whether an answer may be held until it is whole; one without a length ends with its connection.
-bool isSmall(const AnswerHead &head)
+/// Whether an sendResponse may be heldBody until it is whole; one without a length ends with its
+/// connection.
+bool isBufferable(const ResponseHead &head)
 {
     const auto length = head.find(http::field::content_length);
     if (length == head.end())
         return true;
-    return length->value().size() < std::to_string(Exchange::keptLimit).size();
+    return length->value().size() < std::to_string(Exchange::maxStoredResponseBytes).size();
 }
 
 template <typename Buffers>
@@ -48,30 +49,30 @@
     , m_handle(arrived.handle)
     , m_requestId(arrived.requestId)
     , m_path(arrived.path)
-    , m_callersLastId(std::string(view(request[beastView(fields::lastEventId)])))
+    , m_callerLastEventId(std::string(view(request[beastView(fields::lastEventId)])))
     , m_request(std::move(request))
-    , m_keepsConnection(m_request.keep_alive() && thread.keepsConnections())
+    , m_isKeepAliveAllowed(m_request.keep_alive() && thread.allowsKeepAlive())
     , m_arrival(std::chrono::steady_clock::now())
 {
 }
 
-void Exchange::dispatch(const Dispatch &order)
+void Exchange::dispatch(const Dispatch &command)
 {
     if (m_attempt)
         m_attempt->abort();
     m_attempt.reset();
-    m_held.reset();
-    m_order = order;
-    if (m_isBegun && !m_stream) {
+    m_heldResponse.reset();
+    m_dispatch = command;
+    if (m_isResponseStarted && !m_stream) {
         // Only an event stream can go on elsewhere; anything else would be glued from two answers.
-        attemptFailed(AttemptFailure::InvalidResponse, false);
+        onAttemptFailed(AttemptFailure::InvalidResponse, false);
         return;
     }
     if (m_stream)
         m_stream->beginAttempt();
-    m_attempt = std::make_shared<TargetAttempt>(m_thread.context(), m_thread.pool(),
-                                                m_thread.metrics(), m_thread.protocol().rules,
-                                                shared_from_this(), order, targetRequest(order));
+    m_attempt = std::make_shared<TargetAttempt>(
+        m_thread.context(), m_thread.pool(), m_thread.metrics(), m_thread.protocol().traits,
+        shared_from_this(), command, targetRequest(command));
     const auto attempt = m_attempt; // start() may fail at once and let go of it.
     attempt->start();
 }
@@ -79,10 +80,10 @@
 std::string Exchange::attemptId() const
 {
     return m_thread.options().idPrefix + std::to_string(m_handle) + "."
-        + std::to_string(m_order.attempt);
+        + std::to_string(m_dispatch.attempt);
 }
 
-TargetRequest Exchange::targetRequest(const Dispatch &order) const
+TargetRequest Exchange::targetRequest(const Dispatch &command) const
 {
     const WireProtocolHandle &protocol = m_thread.protocol();
     RequestHead head;
@@ -93,60 +94,60 @@
     for (const auto &field : m_request) {
         const std::string_view name = view(field.name_string());
         const bool isLength = field.name() == http::field::content_length;
-        if (!isLength && !isHopByHop(name, connection) && protocol.passesRequestField(name))
+        if (!isLength && !isHopByHop(name, connection) && protocol.forwardsRequestField(name))
             head.insert(field.name_string(), field.value());
     }
     TargetRequest request;
     request.isHead = m_request.method() == http::verb::head;
     request.body = m_request.body();
     const std::string id = attemptId();
-    const std::string &lastId = m_isBegun ? m_stream->lastId() : m_callersLastId;
-    protocol.completeRequestHead(m_request, order, {m_requestId, id, lastId}, head);
+    const std::string &lastId = m_isResponseStarted ? m_stream->lastId() : m_callerLastEventId;
+    protocol.completeRequestHead(m_request, command, {m_requestId, id, lastId}, head);
     const bool hasLength = m_request.has_content_length() || !m_request.body().empty();
     if (hasLength)
         head.set(http::field::content_length, std::to_string(m_request.body().size()));
-    appendWireText(head, true, request.head);
+    appendSerializedHttp(head, true, request.head);
     return request;
 }
 
-AnswerFacts Exchange::inspect(const AnswerHead &head) const
+ResponseInfo Exchange::inspect(const ResponseHead &head) const
 {
     const std::string id = attemptId();
-    return m_thread.protocol().readAnswer(head, {m_requestId, id, {}});
+    return m_thread.protocol().readResponseHead(head, {m_requestId, id, {}});
 }
 
-std::optional<AttemptFailure> Exchange::acceptHead(const AnswerHead &head, bool hasBody)
+std::optional<AttemptFailure> Exchange::onResponseHead(const ResponseHead &head, bool hasBody)
 {
-    AnswerFacts facts = inspect(head);
+    ResponseInfo facts = inspect(head);
     m_bootId = std::move(facts.bootId);
     m_coldFor = facts.coldFor;
     const bool isStream = isEventStream(head, hasBody);
     if (facts.failure) {
-        m_held.emplace().failure = facts.failure;
-        m_held->isPassable = facts.isPassable;
-        if (!m_isBegun)
-            buildHead(head, hasBody);
+        m_heldResponse.emplace().failure = facts.failure;
+        m_heldResponse->isRelayable = facts.isRelayable;
+        if (!m_isResponseStarted)
+            buildResponseHead(head, hasBody);
         return std::nullopt;
     }
-    if (m_isBegun && !isStream)
+    if (m_isResponseStarted && !isStream)
         return AttemptFailure::InvalidResponse;
-    if (!m_isBegun) {
+    if (!m_isResponseStarted) {
         m_stream.reset();
         m_bodyBytes = 0;
-        const WireRules &rules = m_thread.protocol().rules;
+        const WireProtocolTraits &traits = m_thread.protocol().traits;
         if (isStream)
-            m_stream.emplace(rules.streamsEndWithMark).setLastId(m_callersLastId);
-        if (!isStream && rules.buffersSmallAnswers && isSmall(head))
-            m_held.emplace();
-        if (m_order.storesResponse)
-            m_kept.emplace();
-        buildHead(head, hasBody);
+            m_stream.emplace(traits.streamsEndWithDoneEvent).setLastId(m_callerLastEventId);
+        if (!isStream && traits.buffersSmallResponses && isBufferable(head))
+            m_heldResponse.emplace();
+        if (m_dispatch.storesResponse)
+            m_storedBody.emplace();
+        buildResponseHead(head, hasBody);
     }
-    m_thread.report(AttemptHead {m_handle, m_order.attempt, m_head.result_int(), m_bootId});
+    m_thread.report(AttemptHead {m_handle, m_dispatch.attempt, m_head.result_int(), m_bootId});
     return std::nullopt;
 }
 
-void Exchange::buildHead(const AnswerHead &head, bool hasBody)
+void Exchange::buildResponseHead(const ResponseHead &head, bool hasBody)
 {
     m_head = {};
     m_head.version(11);
@@ -157,38 +158,38 @@
         const std::string_view name = view(field.name_string());
         const bool isLength = field.name() == http::field::content_length;
         // A stream that is resumed elsewhere has another length than the first replica announced.
-        if (isHopByHop(name, connection) || !m_thread.protocol().passesAnswerField(name)
+        if (isHopByHop(name, connection) || !m_thread.protocol().forwardsResponseField(name)
             || (isLength && m_stream))
             continue;
         m_head.insert(field.name_string(), field.value());
     }
-    m_thread.protocol().completeAnswerHead(m_requestId, m_head);
+    m_thread.protocol().completeResponseHead(m_requestId, m_head);
     const bool isChunked = hasBody && m_head.count(http::field::content_length) == 0;
     if (isChunked)
         m_head.set(http::field::transfer_encoding, "chunked");
-    if (!isKept())
+    if (!shouldKeepAlive())
         m_head.set(http::field::connection, "close");
 }
 
-void Exchange::hold(std::string_view bytes, bool isEnd)
+void Exchange::bufferHeldBody(std::string_view bytes, bool isEnd)
 {
     const auto attempt = m_attempt;
-    m_held->body.append(bytes);
-    m_held->isWhole = isEnd;
-    if (m_held->body.size() > keptLimit && !m_held->failure) {
-        const std::string held = std::move(m_held->body);
-        m_held.reset();
-        passOn(held, isEnd);
+    m_heldResponse->body.append(bytes);
+    m_heldResponse->isComplete = isEnd;
+    if (m_heldResponse->body.size() > maxStoredResponseBytes && !m_heldResponse->failure) {
+        const std::string heldBody = std::move(m_heldResponse->body);
+        m_heldResponse.reset();
+        relayBody(heldBody, isEnd);
         return;
     }
     if (!isEnd) {
         attempt->resume();
         return;
     }
-    if (!m_held->failure) {
-        const std::string held = std::move(m_held->body);
-        m_held.reset();
-        passOn(held, true);
+    if (!m_heldResponse->failure) {
+        const std::string heldBody = std::move(m_heldResponse->body);
+        m_heldResponse.reset();
+        relayBody(heldBody, true);
         return;
     }
     m_attempt.reset();
@@ -198,71 +199,72 @@
 
 void Exchange::reportHeldFailure()
 {
-    // A failure that is too large to be kept, or was itself cut short, can't be passed on.
-    const bool hasHeldResponse
-        = m_held->isWhole && m_held->isPassable && !m_isBegun && m_held->body.size() <= keptLimit;
-    m_thread.report(AttemptFailed {m_handle, m_order.attempt, *m_held->failure, true, m_isBegun,
-                                   hasHeldResponse, m_coldFor});
+    // A failure that is too large to be kept, or was itself abortConnection short, can't be passed
+    // on.
+    const bool hasHeldResponse = m_heldResponse->isComplete && m_heldResponse->isRelayable
+        && !m_isResponseStarted && m_heldResponse->body.size() <= maxStoredResponseBytes;
+    m_thread.report(AttemptFailed {m_handle, m_dispatch.attempt, *m_heldResponse->failure, true,
+                                   m_isResponseStarted, hasHeldResponse, m_coldFor});
     if (!m_session)
         m_thread.end(m_handle);
 }
 
-void Exchange::passAnswer(const RelayHeldResponse &order)
+void Exchange::relayHeldResponse(const RelayHeldResponse &command)
 {
-    if (!m_held || m_order.attempt != order.attempt)
+    if (!m_heldResponse || m_dispatch.attempt != command.attempt)
         return;
-    const std::string body = std::move(m_held->body);
-    m_held.reset();
+    const std::string body = std::move(m_heldResponse->body);
+    m_heldResponse.reset();
     m_stream.reset();
-    finish(takeIn(body, true));
+    finish(encodeForCaller(body, true));
 }
 
-std::optional<AttemptFailure> Exchange::acceptBody(std::string_view bytes, bool isEnd)
+std::optional<AttemptFailure> Exchange::onResponseBody(std::string_view bytes, bool isEnd)
 {
-    if (m_held) {
-        hold(bytes, isEnd);
+    if (m_heldResponse) {
+        bufferHeldBody(bytes, isEnd);
         return std::nullopt;
     }
     if (!m_stream) {
-        passOn(bytes, isEnd);
+        relayBody(bytes, isEnd);
         return std::nullopt;
     }
     std::string events;
     const bool isUsable = m_stream->feed(bytes, events);
     const bool isCut = isEnd && !m_stream->isDone();
     if (isUsable && !isCut) {
-        passOn(events, isEnd);
+        relayBody(events, isEnd);
         return std::nullopt;
     }
     // Whole events before the fault are passed on: a resumed stream begins after them.
     if (m_session && !events.empty())
-        m_session->write(takeIn(events, false), [] {});
+        m_session->write(encodeForCaller(events, false), [] {});
     return isUsable ? AttemptFailure::TruncatedResponse : AttemptFailure::InvalidResponse;
 }
 
-std::string Exchange::takeIn(std::string_view bytes, bool isEnd)
+std::string Exchange::encodeForCaller(std::string_view bytes, bool isEnd)
 {
-    keep(bytes);
+    storeBody(bytes);
     m_bodyBytes += bytes.size();
     std::string out;
     if (!m_session)
         return out;
-    if (!std::exchange(m_isBegun, true)) {
-        countFirstByte();
-        appendWireText(m_head, true, out);
+    if (!std::exchange(m_isResponseStarted, true)) {
+        recordFirstByteLatency();
+        appendSerializedHttp(m_head, true, out);
     }
     appendBody(bytes, isEnd, out);
     return out;
 }
 
-void Exchange::passOn(std::string_view bytes, bool isEnd)
+void Exchange::relayBody(std::string_view bytes, bool isEnd)
 {
     const auto attempt = m_attempt;
     if (bytes.empty() && !isEnd) {
         attempt->resume();
         return;
     }
-    std::string out = takeIn(bytes, isEnd);
+    std::string out = encodeForCaller(bytes, isEnd);
     if (isEnd) {
         finish(std::move(out));
         attempt->resume();
@@ -272,11 +274,11 @@
         attempt->resume();
         return;
     }
-    m_awaitsWrite = true;
+    m_isAwaitingWrite = true;
     m_session->write(std::move(out), [self = shared_from_this(), attempt] {
         if (self->m_attempt != attempt)
             return;
-        self->m_awaitsWrite = false;
+        self->m_isAwaitingWrite = false;
         attempt->resume();
     });
 }
@@ -284,12 +286,12 @@
 void Exchange::finish(std::string lastBytes)
 {
     const auto session = m_session;
-    const bool isConnectionKept = isKept() && m_head.keep_alive();
-    reportDone();
+    const bool isKeepAlive = shouldKeepAlive() && m_head.keep_alive();
+    reportAttemptDone();
     end(Verdict::Ran);
     if (session)
         session->write(std::move(lastBytes),
-                       [session, isConnectionKept] { session->endExchange(isConnectionKept); });
+                       [session, isKeepAlive] { session->endExchange(isKeepAlive); });
 }
 
 void Exchange::appendBody(std::string_view bytes, bool isEnd, std::string &out)
@@ -304,43 +306,45 @@
         appendBuffers(http::make_chunk_last(), out);
 }
 
-void Exchange::keep(std::string_view bytes)
+void Exchange::storeBody(std::string_view bytes)
 {
-    if (!m_kept)
+    if (!m_storedBody)
         return;
-    if (m_kept->size() + bytes.size() > keptLimit)
-        m_kept.reset();
+    if (m_storedBody->size() + bytes.size() > maxStoredResponseBytes)
+        m_storedBody.reset();
     else
-        m_kept->append(bytes);
+        m_storedBody->append(bytes);
 }
 
-void Exchange::reportDone()
+void Exchange::reportAttemptDone()
 {
-    AttemptDone done {m_handle, m_order.attempt, m_head.result_int(), m_bootId, m_bodyBytes, {},
+    AttemptDone done {m_handle, m_dispatch.attempt, m_head.result_int(), m_bootId, m_bodyBytes, {},
                       {}};
-    if (m_kept) {
+    if (m_storedBody) {
         for (const auto &field : m_head) {
             const std::string_view name = view(field.name_string());
-            const bool isOwn = !m_thread.protocol().passesAnswerField(name) || isHopByHop(name, {});
-            if (!isOwn && field.name() != http::field::content_length)
+            const bool isRouterField
+                = !m_thread.protocol().forwardsResponseField(name) || isHopByHop(name, {});
+            if (!isRouterField && field.name() != http::field::content_length)
                 done.storedHeaders.push_back({std::string(name), std::string(view(field.value()))});
         }
-        done.storedBody = std::move(m_kept);
-        m_kept.reset();
+        done.storedBody = std::move(m_storedBody);
+        m_storedBody.reset();
     }
     m_thread.report(std::move(done));
 }
 
-void Exchange::attemptFailed(AttemptFailure failure, bool sentAny)
+void Exchange::onAttemptFailed(AttemptFailure failure, bool sentAny)
 {
     m_attempt.reset();
-    m_awaitsWrite = false;
-    if (m_held && m_held->failure) {
+    m_isAwaitingWrite = false;
+    if (m_heldResponse && m_heldResponse->failure) {
         reportHeldFailure(); // The head said enough, though its body never came.
         return;
     }
-    m_held.reset();
-    m_thread.report(AttemptFailed {m_handle, m_order.attempt, failure, sentAny, m_isBegun});
+    m_heldResponse.reset();
+    m_thread.report(
+        AttemptFailed {m_handle, m_dispatch.attempt, failure, sentAny, m_isResponseStarted});
     if (!m_session)
         m_thread.end(m_handle);
 }
@@ -355,50 +359,51 @@
         m_thread.end(m_handle);
 }
 
-void Exchange::refuse(const Refuse &order)
+void Exchange::refuse(const Refuse &command)
 {
-    m_thread.metrics().addRefusal(order.type);
-    if (m_session && m_isBegun) {
+    m_thread.metrics().addRefusal(command.type);
+    if (m_session && m_isResponseStarted) {
         const auto session = std::exchange(m_session, nullptr);
-        end(order.verdict);
-        session->cut();
+        end(command.verdict);
+        session->abortConnection();
         return;
     }
-    answer(m_thread.protocol().problemAnswer(problemOf(order), m_requestId), order.verdict);
+    sendResponse(m_thread.protocol().buildProblemResponse(problemOf(command), m_requestId),
+                 command.verdict);
 }
 
-void Exchange::answerKept(const SendStoredResponse &order)
+void Exchange::sendStoredResponse(const SendStoredResponse &command)
 {
     StringResponse response;
     response.version(11);
-    response.result(order.status);
-    for (const KeyHeader &header : order.headers)
+    response.result(command.status);
+    for (const KeyHeader &header : command.headers)
         response.insert(header.name, header.value);
-    CallerAnswerHead own;
-    m_thread.protocol().completeAnswerHead(m_requestId, own);
+    CallerResponseHead own;
+    m_thread.protocol().completeResponseHead(m_requestId, own);
     for (const auto &field : own)
         response.set(field.name_string(), field.value());
-    response.body() = order.body;
+    response.body() = command.body;
     response.prepare_payload();
-    answer(std::move(response), Verdict::Ran);
+    sendResponse(std::move(response), Verdict::Ran);
 }
 
-void Exchange::answer(StringResponse response, Verdict verdict)
+void Exchange::sendResponse(StringResponse response, Verdict verdict)
 {
     const auto session = m_session;
-    const bool isConnectionKept = isKept();
+    const bool isKeepAlive = shouldKeepAlive();
     end(verdict);
     if (!session)
         return;
-    countFirstByte();
-    response.keep_alive(isConnectionKept);
+    recordFirstByteLatency();
+    response.keep_alive(isKeepAlive);
     if (m_request.method() == http::verb::head)
         response.body().clear();
-    session->write(wireText(response),
-                   [session, isConnectionKept] { session->endExchange(isConnectionKept); });
+    session->write(serializeHttp(response),
+                   [session, isKeepAlive] { session->endExchange(isKeepAlive); });
 }
 
-void Exchange::callerGone()
+void Exchange::onCallerDisconnected()
 {
     if (!m_session)
         return;
@@ -409,11 +414,11 @@
         m_thread.end(m_handle);
         return;
     }
-    if (std::exchange(m_awaitsWrite, false))
+    if (std::exchange(m_isAwaitingWrite, false))
         m_attempt->resume();
 }
 
-void Exchange::countFirstByte()
+void Exchange::recordFirstByteLatency()
 {
     m_thread.metrics().firstByte.add(
         std::chrono::duration_cast<Duration>(std::chrono::steady_clock::now() - m_arrival));
@@ -431,9 +436,9 @@
     m_thread.end(m_handle);
 }
 
-bool Exchange::isKept() const
+bool Exchange::shouldKeepAlive() const
 {
-    return m_keepsConnection && !m_thread.isLeaving();
+    return m_isKeepAliveAllowed && !m_thread.isLeaving();
 }
 
 } // namespace berylridge
--- a/lib/Net/Exchange.h
+++ b/lib/Net/Exchange.h
@@ -1,4 +1,5 @@
-// One caller's request from its arrival to the end of its answer, over all attempts at targets.
+// One caller's request from its arrival to the end of its sendResponse, over all attempts at
+// targets.
 #pragma once
 
 #include "EventStream.h"
@@ -19,78 +20,79 @@
 class CallerSession;
 class TrafficThread;
 
-/// A target's answer that is held back: a failure until the core has decided, and a small one until
-/// it is whole.
-struct HeldAnswer
+/// A target's sendResponse that is held back: a failure until the core has decided, and a small one
+/// until it is whole.
+struct HeldResponse
 {
     std::optional<AttemptFailure> failure;
     std::string body;
-    bool isWhole = false;
-    bool isPassable = false; ///< A failure that may reach the caller as it is.
+    bool isComplete = false;
+    bool isRelayable = false; ///< A failure that may reach the caller as it is.
 };
 
 /// Lives on its traffic thread. Where the caller leaves while an attempt runs, the attempt goes on
-/// until the core aborts it: the answer may have to be kept for repeats of its key.
+/// until the core aborts it: the sendResponse may have to be kept for repeats of its key.
 class Exchange : public AttemptOwner, public std::enable_shared_from_this<Exchange>
 {
 public:
     /// Larger answers are not kept for repeats.
-    static constexpr std::size_t keptLimit = 64 << 10;
+    static constexpr std::size_t maxStoredResponseBytes = 64 << 10;
 
     Exchange(TrafficThread &thread, std::shared_ptr<CallerSession> session,
              const RequestArrived &arrived, StringRequest request);
 
-    void dispatch(const Dispatch &order);
+    void dispatch(const Dispatch &command);
     void abort(AttemptNumber attempt);
-    void refuse(const Refuse &order);
-    void answerKept(const SendStoredResponse &order);
-    void passAnswer(const RelayHeldResponse &order);
-    void callerGone();
+    void refuse(const Refuse &command);
+    void sendStoredResponse(const SendStoredResponse &command);
+    void relayHeldResponse(const RelayHeldResponse &command);
+    void onCallerDisconnected();
 
-    AnswerFacts inspect(const AnswerHead &head) const override;
-    std::optional<AttemptFailure> acceptHead(const AnswerHead &head, bool hasBody) override;
-    std::optional<AttemptFailure> acceptBody(std::string_view bytes, bool isEnd) override;
-    void attemptFailed(AttemptFailure failure, bool sentAny) override;
+    ResponseInfo inspect(const ResponseHead &head) const override;
+    std::optional<AttemptFailure> onResponseHead(const ResponseHead &head, bool hasBody) override;
+    std::optional<AttemptFailure> onResponseBody(std::string_view bytes, bool isEnd) override;
+    void onAttemptFailed(AttemptFailure failure, bool sentAny) override;
 
 private:
-    TargetRequest targetRequest(const Dispatch &order) const;
+    TargetRequest targetRequest(const Dispatch &command) const;
     std::string attemptId() const;
-    void hold(std::string_view bytes, bool isEnd);
+    void bufferHeldBody(std::string_view bytes, bool isEnd);
     void reportHeldFailure();
-    void buildHead(const AnswerHead &head, bool hasBody);
+    void buildResponseHead(const ResponseHead &head, bool hasBody);
     void appendBody(std::string_view bytes, bool isEnd, std::string &out);
-    std::string takeIn(std::string_view bytes, bool isEnd);
-    void passOn(std::string_view bytes, bool isEnd);
+    std::string encodeForCaller(std::string_view bytes, bool isEnd);
+    void relayBody(std::string_view bytes, bool isEnd);
     void finish(std::string lastBytes);
-    void reportDone();
-    void keep(std::string_view bytes);
-    void answer(StringResponse response, Verdict verdict);
-    void countFirstByte();
+    void reportAttemptDone();
+    void storeBody(std::string_view bytes);
+    void sendResponse(StringResponse response, Verdict verdict);
+    void recordFirstByteLatency();
     void end(Verdict verdict);
-    bool isKept() const;
+    bool shouldKeepAlive() const;
 
     TrafficThread &m_thread;
     std::shared_ptr<CallerSession> m_session; ///< Empty once the caller has gone.
     const RequestHandle m_handle;
     const std::string m_requestId;
     const std::string m_path;
-    const std::string m_callersLastId; ///< Of the last event that the caller had before.
+    const std::string m_callerLastEventId; ///< Of the last event that the caller had before.
     const StringRequest m_request;
-    /// Decided once: an answer whose head keeps the connection must not be followed by its end,
-    /// which would meet the caller's next request.
-    const bool m_keepsConnection;
+    /// Decided once: an sendResponse whose head keeps the connection must not be followed by its
+    /// end, which would meet the caller's next request.
+    const bool m_isKeepAliveAllowed;
     const std::chrono::steady_clock::time_point m_arrival;
     std::shared_ptr<TargetAttempt> m_attempt;
-    Dispatch m_order;
+    Dispatch m_dispatch;
     http::response<http::empty_body> m_head; ///< As the caller gets it.
     std::string m_bootId;
     std::optional<EventStream> m_stream;
-    std::optional<std::string> m_kept;
-    std::optional<HeldAnswer> m_held;
-    std::optional<Duration> m_coldFor; ///< As the last answer said.
+    std::optional<std::string> m_storedBody;
+    std::optional<HeldResponse> m_heldResponse;
+    std::optional<Duration> m_coldFor; ///< As the last sendResponse said.
     std::uint64_t m_bodyBytes = 0;
-    bool m_isBegun = false; ///< Part of an answer was handed to the caller's connection.
-    bool m_awaitsWrite = false;
+    bool m_isResponseStarted
+        = false; ///< Part of an sendResponse was handed to the caller's connection.
+    bool m_isAwaitingWrite = false;
 };
 
 } // namespace berylridge
--- a/lib/Net/Descriptor.h
+++ b/lib/Net/FileDescriptor.h
@@ -6,24 +6,24 @@
 
 namespace berylridge {
 
-class Descriptor
+class FileDescriptor
 {
 public:
-    explicit Descriptor(int number = none)
+    explicit FileDescriptor(int number = none)
         : m_number(number)
     {
     }
-    ~Descriptor()
+    ~FileDescriptor()
     {
         if (isOpen())
             ::close(m_number);
     }
-    Descriptor(Descriptor &&other) noexcept
+    FileDescriptor(FileDescriptor &&other) noexcept
         : m_number(other.release())
     {
     }
-    Descriptor(const Descriptor &) = delete;
-    Descriptor &operator=(const Descriptor &) = delete;
+    FileDescriptor(const FileDescriptor &) = delete;
+    FileDescriptor &operator=(const FileDescriptor &) = delete;
 
     bool isOpen() const { return m_number != none; }
     int number() const { return m_number; }
--- a/lib/Net/HttpListener.cpp
+++ b/lib/Net/HttpListener.cpp
@@ -13,14 +13,14 @@
 namespace {
 
 /// Out of file descriptors: accepting at once again would only spin.
-constexpr std::chrono::milliseconds acceptRetry {100};
+constexpr std::chrono::milliseconds acceptRetryDelay {100};
 
 } // namespace
 
 struct HttpListener::Shared
 {
     ListenerLimits limits;
-    Answer answer;
+    Handler handler;
     std::uint32_t connections = 0;
     bool isOpen = true; ///< False once the listener is gone; sessions then end.
 };
@@ -54,7 +54,7 @@
     void respond()
     {
         const StringRequest &request = m_parser->get();
-        m_response = m_shared->answer(request);
+        m_response = m_shared->handler(request);
         m_response.version(11);
         m_response.keep_alive(request.keep_alive());
         m_response.prepare_payload();
@@ -72,19 +72,19 @@
     StringResponse m_response;
 };
 
-HttpListener::HttpListener(asio::io_context &context, ListenerLimits limits, Answer answer)
+HttpListener::HttpListener(asio::io_context &context, ListenerLimits limits, Handler handler)
     : m_acceptor(context)
     , m_retryTimer(context)
     , m_shared(std::make_shared<Shared>())
 {
     m_shared->limits = limits;
-    m_shared->answer = std::move(answer);
+    m_shared->handler = std::move(handler);
 }
 
 HttpListener::~HttpListener()
 {
     m_shared->isOpen = false;
-    m_shared->answer = nullptr;
+    m_shared->handler = nullptr;
 }
 
 std::string HttpListener::listen(const Endpoint &endpoint)
@@ -106,7 +106,7 @@
         if (error == asio::error::operation_aborted)
             return;
         if (error) {
-            m_retryTimer.expires_after(acceptRetry);
+            m_retryTimer.expires_after(acceptRetryDelay);
             m_retryTimer.async_wait([this](error_code waitError) {
                 if (!waitError)
                     accept();
@@ -121,15 +121,15 @@
 
 std::string openAcceptor(tcp::acceptor &acceptor, const Endpoint &endpoint, int backlog)
 {
-    const auto place = asioEndpoint<tcp>(endpoint);
-    if (!place)
-        return place.failureReason();
+    const auto tcpEndpoint = asioEndpoint<tcp>(endpoint);
+    if (!tcpEndpoint)
+        return tcpEndpoint.failureReason();
     error_code error;
-    acceptor.open(place->protocol(), error);
+    acceptor.open(tcpEndpoint->protocol(), error);
     if (!error)
         acceptor.set_option(tcp::acceptor::reuse_address(true), error);
     if (!error)
-        acceptor.bind(*place, error);
+        acceptor.bind(*tcpEndpoint, error);
     if (!error)
         acceptor.listen(backlog, error);
     if (!error)
@@ -141,8 +141,8 @@
 Endpoint boundEndpoint(const tcp::acceptor &acceptor)
 {
     error_code error;
-    const auto place = acceptor.local_endpoint(error);
-    return {place.address().to_string(), place.port()};
+    const auto tcpEndpoint = acceptor.local_endpoint(error);
+    return {tcpEndpoint.address().to_string(), tcpEndpoint.port()};
 }
 
 } // namespace berylridge
--- a/lib/Net/HttpListener.h
+++ b/lib/Net/HttpListener.h
@@ -24,9 +24,9 @@
 class HttpListener
 {
 public:
-    using Answer = std::function<StringResponse(const StringRequest &)>;
+    using Handler = std::function<StringResponse(const StringRequest &)>;
 
-    HttpListener(asio::io_context &context, ListenerLimits limits, Answer answer);
+    HttpListener(asio::io_context &context, ListenerLimits limits, Handler handler);
     ~HttpListener();
     HttpListener(const HttpListener &) = delete;
     HttpListener &operator=(const HttpListener &) = delete;
--- a/lib/Net/WireText.h
+++ b/lib/Net/HttpSerialization.h
@@ -11,8 +11,8 @@
 
 /// Appends what Beast's serializer gives out for the message: all of it, or its head alone.
 template <bool isRequest, typename Body, typename Fields>
-void appendWireText(const http::message<isRequest, Body, Fields> &message, bool isHeadOnly,
-                    std::string &out)
+void appendSerializedHttp(const http::message<isRequest, Body, Fields> &message, bool isHeadOnly,
+                          std::string &out)
 {
     http::serializer<isRequest, Body, Fields> serializer(message);
     serializer.split(isHeadOnly);
@@ -30,10 +30,10 @@
 }
 
 template <bool isRequest, typename Body, typename Fields>
-std::string wireText(const http::message<isRequest, Body, Fields> &message)
+std::string serializeHttp(const http::message<isRequest, Body, Fields> &message)
 {
     std::string out;
-    appendWireText(message, false, out);
+    appendSerializedHttp(message, false, out);
     return out;
 }
 
--- a/lib/Net/LogSink.cpp
+++ b/lib/Net/LogSink.cpp
@@ -123,7 +123,7 @@
 {
     m_shared->write = std::move(write);
     m_writer = std::thread([shared = m_shared] {
-        nameThread("log");
+        setThreadName("log");
         const AlternateSignalStack stack;
         shared->writeAll();
         const std::lock_guard lock(shared->mutex);
--- a/lib/Net/Mailbox.h
+++ b/lib/Net/Mailbox.h
@@ -17,11 +17,11 @@
 class Mailbox
 {
 public:
-    using Take = std::function<void(std::vector<T> &)>;
+    using Handler = std::function<void(std::vector<T> &)>;
 
-    Mailbox(asio::io_context &context, Take take)
+    Mailbox(asio::io_context &context, Handler handler)
         : m_context(context)
-        , m_take(std::move(take))
+        , m_handler(std::move(handler))
     {
     }
 
@@ -55,26 +55,26 @@
 private:
     void schedule()
     {
-        asio::post(m_context, [this] { drain(); });
+        asio::post(m_context, [this] { deliver(); });
     }
 
-    void drain()
+    void deliver()
     {
         {
             const std::lock_guard lock(m_mutex);
-            m_taken.swap(m_items);
+            m_batch.swap(m_items);
             m_isScheduled = false;
         }
-        m_take(m_taken);
-        m_taken.clear();
+        m_handler(m_batch);
+        m_batch.clear();
     }
 
     asio::io_context &m_context;
-    Take m_take;
+    Handler m_handler;
     std::mutex m_mutex;
     std::vector<T> m_items;
     bool m_isScheduled = false;
-    std::vector<T> m_taken;
+    std::vector<T> m_batch;
 };
 
 } // namespace berylridge
--- a/lib/Net/RouterNode.cpp
+++ b/lib/Net/RouterNode.cpp
@@ -113,7 +113,7 @@
     void awaitSignal();
     std::string printMetrics();
 
-    // The order matters: what stands below uses what stands above while it is destroyed.
+    // The sendCommand matters: what stands below uses what stands above while it is destroyed.
     asio::io_context m_context {1};
     LogSink &m_log;
     AuditHandler m_audit;
@@ -223,7 +223,7 @@
 
 void RouterNode::Impl::run()
 {
-    nameThread("control");
+    setThreadName("control");
     const AlternateSignalStack stack;
     for (const auto &thread : m_threads)
         thread->start();
@@ -246,29 +246,29 @@
 void RouterNode::Impl::operator()(Dispatch &action)
 {
     TrafficThread &thread = threadOf(action.handle);
-    thread.order(std::move(action));
+    thread.sendCommand(std::move(action));
 }
 
 void RouterNode::Impl::operator()(AbortAttempt &action)
 {
-    threadOf(action.handle).order(action);
+    threadOf(action.handle).sendCommand(action);
 }
 
 void RouterNode::Impl::operator()(Refuse &action)
 {
     TrafficThread &thread = threadOf(action.handle);
-    thread.order(std::move(action));
+    thread.sendCommand(std::move(action));
 }
 
 void RouterNode::Impl::operator()(SendStoredResponse &action)
 {
     TrafficThread &thread = threadOf(action.handle);
-    thread.order(std::move(action));
+    thread.sendCommand(std::move(action));
 }
 
 void RouterNode::Impl::operator()(RelayHeldResponse &action)
 {
-    threadOf(action.handle).order(action);
+    threadOf(action.handle).sendCommand(action);
 }
 
 void RouterNode::Impl::operator()(const Readiness &action)
--- a/lib/Net/Screening.cpp
+++ b/lib/Net/Screening.cpp
@@ -1,12 +1,12 @@
 #include "Screening.h"
 
-#include "WireText.h"
+#include "HttpSerialization.h"
 
 #include <boost/beast/http/parser.hpp>
 
 namespace berylridge {
 
-Screening screenRequest(std::string_view bytes, const ScreeningRules &rules)
+Screening screenRequest(std::string_view bytes, const ScreeningOptions &options)
 {
     http::request_parser<http::string_body> parser;
     error_code error;
@@ -16,20 +16,22 @@
         || request.method() == http::verb::head
         || request.count(http::field::transfer_encoding) > 0)
         return {};
-    const CallerNames caller = rules.protocol.readCaller(request);
-    if (!rules.sheds(caller.credential))
-        return {ShedDecision::Kept};
+    const CallerIdentity caller = options.protocol.readCaller(request);
+    if (!options.sheds(caller.credential))
+        return {ShedDecision::Admitted};
     Screening screening {ShedDecision::Shed};
     const std::uint64_t bodySize = parser.content_length().value_or(0);
-    // More bytes are of the next request, and fewer would be cut off by a reset with the answer.
+    // More bytes are of the next request, and fewer would be cut off by a reset with the
+    // immediateResponse.
     if (bytes.size() - headSize != bodySize)
         return screening;
-    screening.isConnectionKept = rules.keepsConnection && request.keep_alive();
-    StringResponse response = rules.protocol.problemAnswer(
-        rules.problem(),
-        caller.requestId.empty() ? rules.unknownId : std::string_view(caller.requestId));
-    response.keep_alive(screening.isConnectionKept);
-    screening.answer = wireText(response);
+    screening.isKeepAlive = options.isKeepAliveAllowed && request.keep_alive();
+    StringResponse response = options.protocol.buildProblemResponse(
+        options.problem(),
+        caller.requestId.empty() ? options.placeholderRequestId
+                                 : std::string_view(caller.requestId));
+    response.keep_alive(screening.isKeepAlive);
+    screening.immediateResponse = serializeHttp(response);
     return screening;
 }
 
--- a/lib/Net/Screening.h
+++ b/lib/Net/Screening.h
@@ -16,29 +16,30 @@
 namespace berylridge {
 
 enum class ShedDecision : std::uint8_t {
-    Open, ///< Not taken: the head isn't here to its end, or needs a closer look.
-    Kept,
+    Undecided, ///< Not taken: the head isn't here to its end, or needs a closer look.
+    Admitted,
     Shed,
 };
 
 struct Screening
 {
-    ShedDecision decision = ShedDecision::Open;
-    /// The whole answer, where the request is shed and here to its end with nothing behind it.
-    std::optional<std::string> answer {};
-    bool isConnectionKept = false; ///< After the answer.
+    ShedDecision decision = ShedDecision::Undecided;
+    /// The whole immediateResponse, where the request is shed and here to its end with nothing
+    /// behind it.
+    std::optional<std::string> immediateResponse {};
+    bool isKeepAlive = false; ///< After the immediateResponse.
 };
 
-struct ScreeningRules
+struct ScreeningOptions
 {
     const WireProtocolHandle &protocol;
     /// Counts a request with the credential, and says whether it is shed.
     std::function<bool(std::string_view credential)> sheds;
-    std::function<Problem()> problem; ///< Of a shed request.
-    std::string_view unknownId;       ///< Stands for an id that the caller didn't give.
-    bool keepsConnection = false;     ///< If the caller wants that too.
+    std::function<Problem()> problem;      ///< Of a shed request.
+    std::string_view placeholderRequestId; ///< Stands for an id that the caller didn't give.
+    bool isKeepAliveAllowed = false;       ///< If the caller wants that too.
 };
 
-Screening screenRequest(std::string_view bytes, const ScreeningRules &rules);
+Screening screenRequest(std::string_view bytes, const ScreeningOptions &options);
 
 } // namespace berylridge
--- a/lib/Net/TargetPoller.cpp
+++ b/lib/Net/TargetPoller.cpp
@@ -8,12 +8,12 @@
 namespace {
 
 constexpr Duration pollTimeout = std::chrono::seconds(1);
-constexpr std::chrono::seconds unusedLimit {30};
+constexpr std::chrono::seconds unusedClientTimeout {30};
 constexpr unsigned okStatus = 200;
 
 } // namespace
 
-std::optional<TargetLoadReport> readLoadAnswer(const TargetId &target, const std::string &body)
+std::optional<TargetLoadReport> parseLoadReport(const TargetId &target, const std::string &body)
 {
     Json::CharReaderBuilder builder;
     const std::unique_ptr<Json::CharReader> reader(builder.newCharReader());
@@ -34,10 +34,10 @@
 }
 
 TargetPoller::TargetPoller(asio::io_context &context, Metrics &metrics,
-                           std::function<void(Event)> take)
+                           std::function<void(Event)> onEvent)
     : m_context(context)
     , m_metrics(metrics)
-    , m_take(std::move(take))
+    , m_onEvent(std::move(onEvent))
 {
 }
 
@@ -47,40 +47,40 @@
         client.http->close();
 }
 
-void TargetPoller::poll(const PollTarget &order)
+void TargetPoller::poll(const PollTarget &command)
 {
-    closeUnused();
+    closeUnusedClients();
     ++m_metrics.targetPolls;
-    Client &client = m_clients[order.endpoint];
+    Client &client = m_clients[command.endpoint];
     if (!client.http)
-        client.http = std::make_shared<HttpClient>(m_context, order.endpoint);
+        client.http = std::make_shared<HttpClient>(m_context, command.endpoint);
     client.lastUse = std::chrono::steady_clock::now();
     client.http->get(
         "/load", pollTimeout,
-        [this, target = order.target, poll = order.poll](const HttpReply &reply) {
+        [this, target = command.target, poll = command.poll](const HttpReply &reply) {
             if (reply.failure) {
-                m_take(TargetPollFailed {target, *reply.failure, poll});
+                m_onEvent(TargetPollFailed {target, *reply.failure, poll});
                 return;
             }
-            auto report = readLoadAnswer(target, reply.body);
+            auto report = parseLoadReport(target, reply.body);
             if (!report || reply.status != okStatus) {
-                m_take(TargetPollFailed {target, AttemptFailure::InvalidResponse, poll});
+                m_onEvent(TargetPollFailed {target, AttemptFailure::InvalidResponse, poll});
                 return;
             }
             report->poll = poll;
-            m_take(std::move(*report));
+            m_onEvent(std::move(*report));
         });
 }
 
-void TargetPoller::closeUnused()
+void TargetPoller::closeUnusedClients()
 {
     const auto now = std::chrono::steady_clock::now();
-    if (now - m_lastSweep < unusedLimit)
+    if (now - m_lastSweep < unusedClientTimeout)
         return;
     m_lastSweep = now;
     std::erase_if(m_clients, [&](auto &entry) {
         const bool isUnused
-            = now - entry.second.lastUse > unusedLimit && entry.second.http->pending() == 0;
+            = now - entry.second.lastUse > unusedClientTimeout && entry.second.http->pending() == 0;
         if (isUnused)
             entry.second.http->close();
         return isUnused;
--- a/lib/Net/TargetPoller.h
+++ b/lib/Net/TargetPoller.h
@@ -16,18 +16,18 @@
 namespace berylridge {
 
 /// Reads the answer to GET /load; nothing where it is not one.
-std::optional<TargetLoadReport> readLoadAnswer(const TargetId &target, const std::string &body);
+std::optional<TargetLoadReport> parseLoadReport(const TargetId &target, const std::string &body);
 
 /// Lives on the control thread.
 class TargetPoller
 {
 public:
-    TargetPoller(asio::io_context &context, Metrics &metrics, std::function<void(Event)> take);
+    TargetPoller(asio::io_context &context, Metrics &metrics, std::function<void(Event)> onEvent);
     ~TargetPoller();
     TargetPoller(const TargetPoller &) = delete;
     TargetPoller &operator=(const TargetPoller &) = delete;
 
-    void poll(const PollTarget &order);
+    void poll(const PollTarget &command);
 
 private:
     struct Client
@@ -36,11 +36,11 @@
         std::chrono::steady_clock::time_point lastUse;
     };
 
-    void closeUnused();
+    void closeUnusedClients();
 
     asio::io_context &m_context;
     Metrics &m_metrics;
-    std::function<void(Event)> m_take;
+    std::function<void(Event)> m_onEvent;
     std::map<Endpoint, Client> m_clients;
     std::chrono::steady_clock::time_point m_lastSweep {};
 };
--- a/lib/Net/ThreadName.h
+++ b/lib/Net/ThreadName.h
@@ -7,7 +7,7 @@
 namespace berylridge {
 
 /// Names the calling thread; at most 15 characters.
-inline void nameThread(const std::string &name)
+inline void setThreadName(const std::string &name)
 {
     pthread_setname_np(pthread_self(), name.c_str());
 }
--- a/lib/Net/TrafficThread.cpp
+++ b/lib/Net/TrafficThread.cpp
@@ -17,28 +17,28 @@
 
 constexpr std::chrono::seconds idleSweepPeriod {1};
 /// Below this a late timer says nothing of the load.
-constexpr std::chrono::milliseconds leastLag {15};
+constexpr std::chrono::milliseconds minReportedLag {15};
 /// The next connection of the caller may reach another node, which is likely to have room.
-constexpr Duration busyRetryAfter = std::chrono::milliseconds(30);
-constexpr const char *busyType = "busy";
+constexpr Duration overloadRetryAfter = std::chrono::milliseconds(30);
+constexpr const char *overloadProblemType = "busy";
 constexpr std::chrono::milliseconds drainPeriod {10};
-constexpr int drainRounds = 500; ///< Five seconds for callers to take the last bytes.
+constexpr int maxDrainRounds = 500; ///< Five seconds for callers to startSession the last bytes.
 
-RequestHandle handleOf(const TrafficOrder &order)
+RequestHandle handleOf(const TrafficCommand &command)
 {
-    return std::visit([](const auto &each) { return each.handle; }, order);
+    return std::visit([](const auto &each) { return each.handle; }, command);
 }
 
-/// Carries out one order on the request that it is for.
-struct CarryOut
+/// Carries out one command on the request that it is for.
+struct CommandExecutor
 {
     Exchange &exchange;
 
-    void operator()(Dispatch &order) const { exchange.dispatch(order); }
-    void operator()(AbortAttempt &order) const { exchange.abort(order.attempt); }
-    void operator()(Refuse &order) const { exchange.refuse(order); }
-    void operator()(SendStoredResponse &order) const { exchange.answerKept(order); }
-    void operator()(RelayHeldResponse &order) const { exchange.passAnswer(order); }
+    void operator()(Dispatch &command) const { exchange.dispatch(command); }
+    void operator()(AbortAttempt &command) const { exchange.abort(command.attempt); }
+    void operator()(Refuse &command) const { exchange.refuse(command); }
+    void operator()(SendStoredResponse &command) const { exchange.sendStoredResponse(command); }
+    void operator()(RelayHeldResponse &command) const { exchange.relayHeldResponse(command); }
 };
 
 } // namespace
@@ -47,13 +47,14 @@
     : m_index(index)
     , m_options(options)
     , m_metrics(metrics)
-    , m_work(m_context.get_executor())
+    , m_workGuard(m_context.get_executor())
     , m_idleTimer(m_context)
     , m_drainTimer(m_context)
     , m_lagTimer(m_context)
-    , m_load(options.acceptedLag)
+    , m_loadShedder(options.acceptedLag)
     , m_random(index)
-    , m_orders(m_context, [this](std::vector<TrafficOrder> &orders) { carryOut(orders); })
+    , m_commands(m_context,
+                 [this](std::vector<TrafficCommand> &commands) { executeCommands(commands); })
 {
 }
 
@@ -67,14 +68,14 @@
 
 void TrafficThread::start()
 {
-    closeIdleTargets();
+    closeIdleConnections();
     measureLag();
     m_thread = std::thread([this] { run(); });
 }
 
 void TrafficThread::run()
 {
-    nameThread("traffic-" + std::to_string(m_index));
+    setThreadName("traffic-" + std::to_string(m_index));
     const AlternateSignalStack stack;
     m_context.run();
 }
@@ -86,17 +87,17 @@
         m_thread.join();
 }
 
-void TrafficThread::adopt(Descriptor connection, tcp protocol)
+void TrafficThread::adopt(FileDescriptor connection, tcp protocol)
 {
     ++m_metrics.connectionsAccepted;
     asio::dispatch(m_context, [this, connection = std::move(connection), protocol]() mutable {
-        take(std::move(connection), protocol);
+        startSession(std::move(connection), protocol);
     });
 }
 
-void TrafficThread::take(Descriptor connection, tcp protocol)
+void TrafficThread::startSession(FileDescriptor connection, tcp protocol)
 {
-    ++m_accepted;
+    ++m_acceptedConnections;
     // Callers send their request as soon as they are connected: it is mostly there when the
     // connection is taken, and waiting for it would cost two system calls and a turn.
     const ssize_t size = ::recv(connection.number(), m_scratch.data(), m_scratch.size(), 0);
@@ -106,11 +107,12 @@
     Screening screening;
     if (isShedding() && !bytes.empty())
         screening = screen(bytes, false);
-    if (screening.answer) {
+    if (screening.immediateResponse) {
         // A connection that is refused is never registered with the event loop. Its buffer is empty
-        // and takes the answer whole.
-        const std::string &answer = *screening.answer;
-        ::send(connection.number(), answer.data(), answer.size(), MSG_NOSIGNAL);
+        // and takes the immediateResponse whole.
+        const std::string &immediateResponse = *screening.immediateResponse;
+        ::send(connection.number(), immediateResponse.data(), immediateResponse.size(),
+               MSG_NOSIGNAL);
         return;
     }
     tcp::socket socket(m_context);
@@ -126,7 +128,7 @@
 
 RequestHandle TrafficThread::nextHandle()
 {
-    return ++m_lastNumber * m_options.threads + m_index;
+    return ++m_lastHandleNumber * m_options.threads + m_index;
 }
 
 void TrafficThread::begin(RequestHandle handle, std::shared_ptr<Exchange> exchange)
@@ -134,17 +136,17 @@
     m_exchanges.emplace(handle, std::move(exchange));
 }
 
-void TrafficThread::carryOut(std::vector<TrafficOrder> &orders)
+void TrafficThread::executeCommands(std::vector<TrafficCommand> &commands)
 {
-    for (TrafficOrder &order : orders) {
-        const auto found = m_exchanges.find(handleOf(order));
+    for (TrafficCommand &command : commands) {
+        const auto found = m_exchanges.find(handleOf(command));
         if (found != m_exchanges.end()) {
             const auto exchange = found->second; // Carrying out may end it.
-            std::visit(CarryOut {*exchange}, order);
+            std::visit(CommandExecutor {*exchange}, command);
             continue;
         }
-        // The caller left while the order was on its way; the core must get its slot back.
-        if (const auto *dispatch = std::get_if<Dispatch>(&order))
+        // The caller left while the command was on its way; the core must get its slot back.
+        if (const auto *dispatch = std::get_if<Dispatch>(&command))
             report(AttemptFailed {dispatch->handle, dispatch->attempt, AttemptFailure::Reset, false,
                                   false});
     }
@@ -165,13 +167,13 @@
     m_reports.clear();
 }
 
-void TrafficThread::closeIdleTargets()
+void TrafficThread::closeIdleConnections()
 {
     m_pool.closeIdle(ConnectionPool::Clock::now());
     m_idleTimer.expires_after(idleSweepPeriod);
     m_idleTimer.async_wait([this](error_code error) {
         if (!error)
-            closeIdleTargets();
+            closeIdleConnections();
     });
 }
 
@@ -190,14 +192,15 @@
 void TrafficThread::onLag(Duration lag)
 {
     if (m_options.acceptedLag > Duration(0))
-        m_load.onLag(lag, m_options.now());
+        m_loadShedder.onLag(lag, m_options.now());
     m_metrics.trafficLagMicroseconds
         = static_cast<std::uint64_t>(std::max(lag, Duration(0)).count());
-    const bool isLate = lag > leastLag;
+    const bool isLate = lag > minReportedLag;
     // Once more after the last late turn, so that the core learns of its end.
     if (isLate || m_wasLate || isShedding())
-        report(TrafficThreadReport {lag, std::exchange(m_accepted, 0),
-                                    std::exchange(m_leftUnread, 0), m_load.takeShedCounts()});
+        report(TrafficThreadReport {lag, std::exchange(m_acceptedConnections, 0),
+                                    std::exchange(m_abandonedRequests, 0),
+                                    m_loadShedder.takeShedCounts()});
     m_wasLate = isLate;
 }
 
@@ -205,61 +208,61 @@
 {
     if (m_options.acceptedLag == Duration(0))
         return false;
-    return m_load.sheds(hash32(credential), m_options.now());
+    return m_loadShedder.sheds(hash32(credential), m_options.now());
 }
 
-Screening TrafficThread::screen(std::string_view bytes, bool keepsConnection)
+Screening TrafficThread::screen(std::string_view bytes, bool isKeepAliveAllowed)
 {
-    const std::string unknownId = m_options.unknownId();
-    Screening screening
-        = screenRequest(bytes,
-                        {m_options.protocol, [this](std::string_view key) { return sheds(key); },
-                         [this] { return busyProblem(); }, unknownId, keepsConnection});
-    if (screening.answer) {
+    const std::string placeholderRequestId = m_options.placeholderRequestId();
+    Screening screening = screenRequest(
+        bytes,
+        {m_options.protocol, [this](std::string_view key) { return sheds(key); },
+         [this] { return overloadProblem(); }, placeholderRequestId, isKeepAliveAllowed});
+    if (screening.immediateResponse) {
         ++m_metrics.requestsByVerdict[static_cast<std::size_t>(Verdict::NotRun)];
-        m_metrics.addRefusal(busyType);
+        m_metrics.addRefusal(overloadProblemType);
     }
     return screening;
 }
 
-Problem TrafficThread::busyProblem()
+Problem TrafficThread::overloadProblem()
 {
-    return {503, busyType, "the router has more to do than it can", Verdict::NotRun,
-            addRetryJitter(busyRetryAfter, m_random)};
+    return {503, overloadProblemType, "the router has more to do than it can", Verdict::NotRun,
+            addRetryJitter(overloadRetryAfter, m_random)};
 }
 
 void TrafficThread::drain(std::function<void()> done)
 {
     asio::post(m_context, [this, done = std::move(done)]() mutable {
-        closeWhenWritten(std::move(done), drainRounds);
+        closeWhenWritten(std::move(done), maxDrainRounds);
     });
 }
 
-void TrafficThread::closeWhenWritten(std::function<void()> done, int roundsLeft)
+void TrafficThread::closeWhenWritten(std::function<void()> done, int remainingRounds)
 {
-    if (roundsLeft == 0 || !anyWriting()) {
+    if (remainingRounds == 0 || !hasPendingWrites()) {
         closeAll();
         flushReports();
         done();
         return;
     }
     m_drainTimer.expires_after(drainPeriod);
-    m_drainTimer.async_wait([this, done = std::move(done), roundsLeft](error_code) mutable {
-        closeWhenWritten(std::move(done), roundsLeft - 1);
+    m_drainTimer.async_wait([this, done = std::move(done), remainingRounds](error_code) mutable {
+        closeWhenWritten(std::move(done), remainingRounds - 1);
     });
 }
 
-bool TrafficThread::anyWriting() const
+bool TrafficThread::hasPendingWrites() const
 {
     return std::any_of(m_sessions.begin(), m_sessions.end(),
-                       [](const CallerSession *session) { return session->isWriting(); });
+                       [](const CallerSession *session) { return session->hasPendingWrite(); });
 }
 
 void TrafficThread::closeAll()
 {
     const std::vector<CallerSession *> sessions(m_sessions.begin(), m_sessions.end());
     for (CallerSession *session : sessions)
-        session->cut();
+        session->abortConnection();
     m_pool.clear();
 }
 
--- a/lib/Net/TrafficThread.h
+++ b/lib/Net/TrafficThread.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "ConnectionPool.h"
-#include "Descriptor.h"
+#include "FileDescriptor.h"
 #include "Mailbox.h"
 #include "Screening.h"
 #include "berylridge/Net/Asio.h"
@@ -33,7 +33,7 @@
 class Exchange;
 
 /// What the control thread tells a traffic thread.
-using TrafficOrder
+using TrafficCommand
     = std::variant<Dispatch, AbortAttempt, Refuse, SendStoredResponse, RelayHeldResponse>;
 
 /// What all traffic threads of a process share; outlives them.
@@ -46,12 +46,12 @@
     Duration readTimeout = std::chrono::seconds(10);
     Duration acceptedLag {0}; ///< See Settings.
     unsigned threads = 1;
-    WireProtocolHandle protocol = ownProtocol();
+    WireProtocolHandle protocol = nativeProtocol();
     std::function<void(std::vector<Event> &)> report; ///< To the control thread; takes them all.
     std::function<TimePoint()> now = [] { return SystemClock().now(); };
 
     /// For an answer to a request whose caller gave no id.
-    std::string unknownId() const { return idPrefix + "0"; }
+    std::string placeholderRequestId() const { return idPrefix + "0"; }
 };
 
 class TrafficThread
@@ -64,9 +64,9 @@
 
     void start();
     /// From any thread.
-    void order(TrafficOrder order) { m_orders.put(std::move(order)); }
+    void sendCommand(TrafficCommand sendCommand) { m_commands.put(std::move(sendCommand)); }
     /// From any thread: serves a connection that was accepted, by a non-blocking descriptor.
-    void adopt(Descriptor connection, tcp protocol);
+    void adopt(FileDescriptor connection, tcp protocol);
     /// From any thread: answers from now on ask callers to connect anew, elsewhere.
     void setLeaving(bool isLeaving) { m_isLeaving = isLeaving; }
     /// From any thread: lets answers that are being written end, closes everything, calls done.
@@ -85,11 +85,11 @@
     /// connections and leave the old ones idle: a flood of them would use up the descriptors within
     /// seconds, and then no target can be reached and no caller accepted. An answer that ends its
     /// connection costs the caller one round trip more and cuts nothing.
-    bool keepsConnections() const
+    bool allowsKeepAlive() const
     {
         return !m_isLeaving
             && static_cast<double>(m_metrics.connectionsOpen)
-            < crowdedPart * m_options.connectionLimit;
+            < maxKeepAliveFraction * m_options.connectionLimit;
     }
     /// How late the thread ran.
     void onLag(Duration lag);
@@ -97,18 +97,18 @@
     /// request that goes to the core and back costs several times as much.
     bool sheds(std::string_view credential);
     /// Whether any request may be turned away now.
-    bool isShedding() const { return m_load.isLimited(); }
+    bool isShedding() const { return m_loadShedder.isLimited(); }
     /// The decision by the first bytes of a request, with its answer and its count in the metrics
     /// where it can be refused at once.
-    Screening screen(std::string_view bytes, bool keepsConnection);
+    Screening screen(std::string_view bytes, bool isKeepAliveAllowed);
     /// What such a request is refused with.
-    Problem busyProblem();
+    Problem overloadProblem();
     /// Bytes that are read and dropped, or copied on at once.
     asio::mutable_buffer scratch() { return asio::buffer(m_scratch); }
     /// Counts a request that was read when its caller had left.
-    void countLeftUnread()
+    void countAbandonedRequest()
     {
-        ++m_leftUnread;
+        ++m_abandonedRequests;
         ++m_metrics.callersGoneUnread;
     }
     /// To the core, with whatever else is reported in this turn of the thread.
@@ -117,45 +117,45 @@
     RequestHandle nextHandle();
     void begin(RequestHandle handle, std::shared_ptr<Exchange> exchange);
     void end(RequestHandle handle) { m_exchanges.erase(handle); }
-    void forget(CallerSession *session) { m_sessions.erase(session); }
+    void removeSession(CallerSession *session) { m_sessions.erase(session); }
 
 private:
     /// Room for a second's new connections of a flood above it.
-    static constexpr double crowdedPart = 0.6;
+    static constexpr double maxKeepAliveFraction = 0.6;
     static constexpr std::size_t scratchBytes = 64 << 10;
 
     void run();
-    void take(Descriptor connection, tcp protocol);
-    void carryOut(std::vector<TrafficOrder> &orders);
+    void startSession(FileDescriptor connection, tcp protocol);
+    void executeCommands(std::vector<TrafficCommand> &commands);
     void flushReports();
-    void closeIdleTargets();
+    void closeIdleConnections();
     void measureLag();
-    void closeWhenWritten(std::function<void()> done, int roundsLeft);
-    bool anyWriting() const;
+    void closeWhenWritten(std::function<void()> done, int remainingRounds);
+    bool hasPendingWrites() const;
     void closeAll();
 
     const unsigned m_index;
     const TrafficOptions &m_options;
     Metrics &m_metrics;
-    // Before the context, whose end destroys sessions that take themselves out of here.
+    // Before the context, whose end destroys sessions that startSession themselves out of here.
     std::unordered_map<RequestHandle, std::shared_ptr<Exchange>> m_exchanges;
     std::unordered_set<CallerSession *> m_sessions;
     asio::io_context m_context {1};
-    asio::executor_work_guard<asio::io_context::executor_type> m_work;
+    asio::executor_work_guard<asio::io_context::executor_type> m_workGuard;
     asio::steady_timer m_idleTimer;
     asio::steady_timer m_drainTimer;
     asio::steady_timer m_lagTimer;
     bool m_wasLate = false;
-    LoadShedder m_load;
+    LoadShedder m_loadShedder;
     RandomEngine m_random; ///< Spreads the return of callers.
     std::array<char, scratchBytes> m_scratch {};
     // Since the last report of lag.
-    std::uint64_t m_accepted = 0;
-    std::uint64_t m_leftUnread = 0;
-    Mailbox<TrafficOrder> m_orders;
+    std::uint64_t m_acceptedConnections = 0;
+    std::uint64_t m_abandonedRequests = 0;
+    Mailbox<TrafficCommand> m_commands;
     ConnectionPool m_pool;
     std::atomic<bool> m_isLeaving {false};
-    RequestHandle m_lastNumber = 0;
+    RequestHandle m_lastHandleNumber = 0;
     std::vector<Event> m_reports;
     std::thread m_thread;
 };
--- a/test/rig/FakeNodeAttempts.cpp
+++ b/test/rig/FakeNodeAttempts.cpp
@@ -41,9 +41,9 @@
     const auto idle = m_idle.find(attempt->target);
     // As the shell does where targets tell no limit of their own: a request that may run once goes
     // on a connection for a moment alone.
-    constexpr Duration onceIdleLimit = std::chrono::milliseconds(250);
-    const bool isFresh
-        = idle != m_idle.end() && m_world.queue.now() - idle->second.since <= onceIdleLimit;
+    constexpr Duration maxIdleTimeWithoutResend = std::chrono::milliseconds(250);
+    const bool isFresh = idle != m_idle.end()
+        && m_world.queue.now() - idle->second.since <= maxIdleTimeWithoutResend;
     if (idle != m_idle.end() && (isFresh || action.resendPolicy == ResendPolicy::Allowed)) {
         attempt->reusedBoot = idle->second.boot;
         m_idle.erase(idle);
--- a/unittests/Net/CallerFaceTest.cpp
+++ b/unittests/Net/CallerHttpTest.cpp
@@ -3,7 +3,7 @@
 namespace berylridge::test {
 namespace {
 
-FakeCore::Rule refuseAll()
+FakeCore::Rule rejectAll()
 {
     return [](const Event &event, Actions &actions) {
         if (const auto *arrived = std::get_if<RequestArrived>(&event))
@@ -13,20 +13,20 @@
 }
 
 /// What a stranger sends, and the status that it must get.
-struct BadInputCase
+struct InvalidRequestCase
 {
     const char *name;
     std::string input;
     const char *status;
 };
 
-class BadInputTest : public testing::TestWithParam<BadInputCase>
+class InvalidRequestTest : public testing::TestWithParam<InvalidRequestCase>
 {
 };
 
-TEST_P(BadInputTest, getsAClearAnswerAndLeavesTheRouterServing)
+TEST_P(InvalidRequestTest, isRejectedWithProblemDetails)
 {
-    FakeCore core(refuseAll());
+    FakeCore core(rejectAll());
     TestNode node(core, [](Settings &settings) {
         settings.headerLimit = 2048;
         settings.bodyLimit = 4096;
@@ -34,10 +34,10 @@
     });
     FakeCaller bad = node.caller();
     bad.send(GetParam().input);
-    const std::string answer = bad.readAll();
-    EXPECT_TRUE(answer.starts_with(std::string("HTTP/1.1 ") + GetParam().status)) << answer;
-    EXPECT_NE(answer.find("application/problem+json"), std::string::npos) << answer;
-    EXPECT_NE(answer.find("\"verdict\":\"not-run\""), std::string::npos) << answer;
+    const std::string response = bad.readAll();
+    EXPECT_TRUE(response.starts_with(std::string("HTTP/1.1 ") + GetParam().status)) << response;
+    EXPECT_NE(response.find("application/problem+json"), std::string::npos) << response;
+    EXPECT_NE(response.find("\"verdict\":\"not-run\""), std::string::npos) << response;
     EXPECT_TRUE(core.seen<RequestArrived>().empty());
     FakeCaller good = node.caller();
     good.send(requestText("GET", "/v1/services/shop/x"));
@@ -45,50 +45,53 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    All, BadInputTest,
+    All, InvalidRequestTest,
     testing::Values(
-        BadInputCase {
+        InvalidRequestCase {
             "LongHead",
             requestText("GET", "/v1/services/shop/x", "X-Long: " + std::string(4000, 'x') + "\r\n"),
             "431"},
-        BadInputCase {"LongTarget",
-                      requestText("GET", "/v1/services/shop/" + std::string(9000, 'x')), "431"},
-        BadInputCase {"LongBody",
-                      requestText("POST", "/v1/services/shop/x", {}, std::string(5000, 'x')),
-                      "413"},
-        BadInputCase {"LongChunks",
-                      requestText("POST", "/v1/services/shop/x", "Transfer-Encoding: chunked\r\n")
-                          + "2000\r\n" + std::string(8192, 'x') + "\r\n0\r\n\r\n",
-                      "413"},
-        BadInputCase {"BadChunking",
-                      requestText("POST", "/v1/services/shop/x", "Transfer-Encoding: chunked\r\n")
-                          + "zz\r\nabc\r\n0\r\n\r\n",
-                      "400"},
-        BadInputCase {"LengthAndChunks",
-                      requestText("POST", "/v1/services/shop/x",
-                                  "Transfer-Encoding: chunked\r\nContent-Length: 3\r\n")
-                          + "0\r\n\r\n",
-                      "400"},
-        BadInputCase {
+        InvalidRequestCase {
+            "LongTarget", requestText("GET", "/v1/services/shop/" + std::string(9000, 'x')), "431"},
+        InvalidRequestCase {"LongBody",
+                            requestText("POST", "/v1/services/shop/x", {}, std::string(5000, 'x')),
+                            "413"},
+        InvalidRequestCase {
+            "LongChunks",
+            requestText("POST", "/v1/services/shop/x", "Transfer-Encoding: chunked\r\n")
+                + "2000\r\n" + std::string(8192, 'x') + "\r\n0\r\n\r\n",
+            "413"},
+        InvalidRequestCase {
+            "BadChunking",
+            requestText("POST", "/v1/services/shop/x", "Transfer-Encoding: chunked\r\n")
+                + "zz\r\nabc\r\n0\r\n\r\n",
+            "400"},
+        InvalidRequestCase {"LengthAndChunks",
+                            requestText("POST", "/v1/services/shop/x",
+                                        "Transfer-Encoding: chunked\r\nContent-Length: 3\r\n")
+                                + "0\r\n\r\n",
+                            "400"},
+        InvalidRequestCase {
             "OtherCoding",
             requestText("POST", "/v1/services/shop/x", "Transfer-Encoding: gzip, chunked\r\n")
                 + "0\r\n\r\n",
             "501"},
-        BadInputCase {
+        InvalidRequestCase {
             "TwoLengths",
             requestText("POST", "/v1/services/shop/x", "Content-Length: 3\r\nContent-Length: 4\r\n")
                 + "abcd",
             "400"},
-        BadInputCase {"NotHttp", "\x16\x03\x01 hello\r\n\r\n", "400"},
-        BadInputCase {"OldVersion", "GET /v1/services/shop/x HTTP/1.0\r\n\r\n", "505"},
-        BadInputCase {"OtherPath", requestText("GET", "/v2/x", "Connection: close\r\n"), "404"},
-        BadInputCase {"SlowHead", "GET /v1/services/shop/x HTTP/1.1\r\nHo", "408"},
-        BadInputCase {"SlowBody",
-                      requestText("POST", "/v1/services/shop/x", "Content-Length: 9\r\n") + "ab",
-                      "408"}),
+        InvalidRequestCase {"NotHttp", "\x16\x03\x01 hello\r\n\r\n", "400"},
+        InvalidRequestCase {"OldVersion", "GET /v1/services/shop/x HTTP/1.0\r\n\r\n", "505"},
+        InvalidRequestCase {"OtherPath", requestText("GET", "/v2/x", "Connection: close\r\n"),
+                            "404"},
+        InvalidRequestCase {"SlowHead", "GET /v1/services/shop/x HTTP/1.1\r\nHo", "408"},
+        InvalidRequestCase {
+            "SlowBody", requestText("POST", "/v1/services/shop/x", "Content-Length: 9\r\n") + "ab",
+            "408"}),
     [](const auto &each) { return each.param.name; });
 
-TEST(CallerFaceTest, handsOutKeysThatThisNodeIssues)
+TEST(CallerHttpTest, issuesIdempotencyKeys)
 {
     FakeCore core([](const Event &event, Actions &actions) {
         if (const auto *asked = std::get_if<KeyIssueRequested>(&event))
@@ -101,24 +104,24 @@
     EXPECT_EQ(core.seen<KeyIssueRequested>().at(0).credential, "key");
 }
 
-TEST(CallerFaceTest, refusalTellsAllThereIsToKnow)
+TEST(CallerHttpTest, rejectionHasRetryAfterVerdictAndRequestId)
 {
-    FakeCore core(refuseAll());
+    FakeCore core(rejectAll());
     TestNode node(core);
     FakeCaller caller = node.caller();
     caller.send(requestText("GET", "/v1/services/shop/x", "X-Request-Id: r7\r\n"));
-    const std::string answer = caller.readUntil("}");
-    EXPECT_NE(answer.find("Retry-After: 2\r\n"), std::string::npos) << answer;
-    EXPECT_NE(answer.find("Berylridge-Verdict: not-run\r\n"), std::string::npos) << answer;
-    EXPECT_NE(answer.find("X-Request-Id: r7\r\n"), std::string::npos) << answer;
+    const std::string response = caller.readUntil("}");
+    EXPECT_NE(response.find("Retry-After: 2\r\n"), std::string::npos) << response;
+    EXPECT_NE(response.find("Berylridge-Verdict: not-run\r\n"), std::string::npos) << response;
+    EXPECT_NE(response.find("X-Request-Id: r7\r\n"), std::string::npos) << response;
     for (const char *part : {"\"type\":\"urn:berylridge:problem:queue-full\"", "\"status\":429",
                              "\"retryAfterMs\":1200", "\"requestId\":\"r7\""})
-        EXPECT_NE(answer.find(part), std::string::npos) << part << answer;
+        EXPECT_NE(response.find(part), std::string::npos) << part << response;
 }
 
-TEST(CallerFaceTest, readsChunkedBodiesAndContinues)
+TEST(CallerHttpTest, readsChunkedBodyAfterContinue)
 {
-    FakeCore core(refuseAll());
+    FakeCore core(rejectAll());
     TestNode node(core);
     FakeCaller caller = node.caller();
     caller.send(requestText("POST", "/v1/services/shop/x",
@@ -130,26 +133,26 @@
     EXPECT_EQ(core.seen<RequestArrived>().at(0).bodyBytes, 4U);
 }
 
-TEST(CallerFaceTest, refusesConnectionsBeyondTheLimit)
+TEST(CallerHttpTest, rejectsConnectionsAboveTheLimit)
 {
-    FakeCore core(refuseAll());
+    FakeCore core(rejectAll());
     TestNode node(core, [](Settings &settings) { settings.connectionLimit = 2; });
     const FakeCaller first = node.caller();
     const FakeCaller second = node.caller();
     EXPECT_TRUE(eventually([&] { return node.node().metrics().connectionsOpen == 2; }));
     FakeCaller third = node.caller();
-    const std::string answer = third.readAll();
-    EXPECT_TRUE(answer.starts_with("HTTP/1.1 503 ")) << answer;
-    EXPECT_NE(answer.find("too-many-connections"), std::string::npos) << answer;
+    const std::string response = third.readAll();
+    EXPECT_TRUE(response.starts_with("HTTP/1.1 503 ")) << response;
+    EXPECT_NE(response.find("too-many-connections"), std::string::npos) << response;
 }
 
-TEST(CallerFaceTest, asksCallersToCloseBeforeItRunsOutOfConnections)
+TEST(CallerHttpTest, closesConnectionsNearTheConnectionLimit)
 {
-    // What the caller sees: an answer that ends its connection.
+    // What the caller sees: an response that ends its connection.
     // What happens: refused callers come back on new connections and leave the old ones idle, until
     // the node has no descriptor left for a target or for any other caller.
-    // Why it is enough: each answer above the mark takes one of them away.
-    FakeCore core(refuseAll());
+    // Why it is enough: each response above the mark takes one of them away.
+    FakeCore core(rejectAll());
     TestNode node(core, [](Settings &settings) {
         settings.descriptorLimit = 10; // Six for callers, of which the last two close.
     });
@@ -162,11 +165,11 @@
     const FakeCaller fourth = node.caller();
     EXPECT_TRUE(eventually([&] { return node.node().metrics().connectionsOpen == 4; }));
     second.send(requestText("GET", "/v1/services/shop/x"));
-    const std::string answer = second.readAll();
-    EXPECT_NE(answer.find("Connection: close"), std::string::npos) << answer;
+    const std::string response = second.readAll();
+    EXPECT_NE(response.find("Connection: close"), std::string::npos) << response;
 }
 
-TEST(CallerFaceTest, noticesACallerThatLeavesWhileItWaits)
+TEST(CallerHttpTest, detectsCallerDisconnectWhileWaiting)
 {
     FakeCore core;
     TestNode node(core);
@@ -178,7 +181,7 @@
     EXPECT_TRUE(eventually([&] { return node.node().metrics().connectionsOpen == 0; }));
 }
 
-TEST(CallerFaceTest, givesBackADispatchThatComesTooLate)
+TEST(CallerHttpTest, reportsDispatchForDisconnectedCallerAsNotSent)
 {
     // What the caller sees: it left while the core sent its request off.
     // What happens: the order finds no request; the core hears that nothing was sent.
@@ -195,7 +198,7 @@
     EXPECT_FALSE(core.await<AttemptFailed>(1)[0].sentAny);
 }
 
-TEST(CallerFaceTest, floodOfPipelinedRequestsIsBounded)
+TEST(CallerHttpTest, limitsBufferedPipelinedRequests)
 {
     // What the caller sees: nothing yet; its first request waits while it sends megabytes more.
     // What happens: the router keeps no more than a head's worth and stops reading.
@@ -219,7 +222,7 @@
     flood.join();
 }
 
-TEST(CallerFaceTest, endsOnStoppedWithAnswersWritten)
+TEST(CallerHttpTest, writesPendingResponsesBeforeStopping)
 {
     FakeCore core([](const Event &event, Actions &actions) {
         if (const auto *arrived = std::get_if<RequestArrived>(&event)) {
@@ -238,9 +241,9 @@
     std::thread control([&] { (*node)->run(); });
     FakeCaller caller((*node)->callers());
     caller.send(requestText("GET", "/v1/services/shop/x"));
-    const std::string answer = caller.readAll();
+    const std::string response = caller.readAll();
     control.join();
-    EXPECT_EQ(answer.size() - answer.find("\r\n\r\n") - 4, std::size_t {1 << 20});
+    EXPECT_EQ(response.size() - response.find("\r\n\r\n") - 4, std::size_t {1 << 20});
 }
 
 } // namespace
--- a/unittests/Net/CallerRequestTest.cpp
+++ b/unittests/Net/CallerRequestTest.cpp
@@ -12,7 +12,7 @@
     return request;
 }
 
-RequestArrived accepted(const StringRequest &request)
+RequestArrived parseAccepted(const StringRequest &request)
 {
     auto read = readCallerRequest(request, "fresh");
     const auto *problem = std::get_if<Problem>(&read);
@@ -20,14 +20,14 @@
     return problem == nullptr ? std::get<RequestArrived>(read) : RequestArrived {};
 }
 
-std::string refusedType(const StringRequest &request)
+std::string rejectionType(const StringRequest &request)
 {
     const auto read = readCallerRequest(request, "fresh");
     const auto *problem = std::get_if<Problem>(&read);
     return problem == nullptr ? "" : problem->type;
 }
 
-TEST(CallerRequestTest, readsWhatTheCoreNeeds)
+TEST(CallerRequestTest, parsesRequestFields)
 {
     StringRequest request = requestFor("/v1/services/shop/orders/7?x=1");
     request.set("X-Request-Id", "r-1");
@@ -35,7 +35,7 @@
     request.set("Prefer", "respond-async, wait=3");
     request.set("X-Cost-Hint", "1.5");
     request.body() = "clay";
-    const RequestArrived arrived = accepted(request);
+    const RequestArrived arrived = parseAccepted(request);
     EXPECT_EQ(arrived.service, ServiceId("shop"));
     EXPECT_EQ(arrived.path, "/orders/7?x=1");
     EXPECT_EQ(arrived.method, "POST");
@@ -45,42 +45,42 @@
     EXPECT_EQ(arrived.maxQueueWait, Duration(std::chrono::seconds(3)));
     EXPECT_EQ(arrived.costHint, 1.5);
     EXPECT_EQ(arrived.bodyBytes, 4U);
-    EXPECT_EQ(accepted(requestFor("/v1/services/shop/")).requestId, "fresh");
+    EXPECT_EQ(parseAccepted(requestFor("/v1/services/shop/")).requestId, "fresh");
 }
 
-TEST(CallerRequestTest, refusesOtherPaths)
+TEST(CallerRequestTest, rejectsUnknownPaths)
 {
     for (const char *target : {"/", "/v1/services/", "/v1/services/shop", "/v1/services//x",
                                "/v1/services/a?b/c", "*", "http://h/v1/services/a/b"})
-        EXPECT_EQ(refusedType(requestFor(target)), "unknown-path") << target;
+        EXPECT_EQ(rejectionType(requestFor(target)), "unknown-path") << target;
 }
 
-TEST(CallerRequestTest, refusesAmbiguousKeysAndIds)
+TEST(CallerRequestTest, rejectsInvalidKeysAndIds)
 {
     StringRequest request = requestFor("/v1/services/shop/x");
     request.insert("Idempotency-Key", "a");
     request.insert("Idempotency-Key", "b");
-    EXPECT_EQ(refusedType(request), "bad-idempotency-key");
+    EXPECT_EQ(rejectionType(request), "bad-idempotency-key");
     request = requestFor("/v1/services/shop/x");
     request.set("Idempotency-Key", "");
-    EXPECT_EQ(refusedType(request), "bad-idempotency-key");
+    EXPECT_EQ(rejectionType(request), "bad-idempotency-key");
     request = requestFor("/v1/services/shop/x");
     request.set("X-Request-Id", std::string(129, 'x'));
-    EXPECT_EQ(refusedType(request), "bad-request-id");
+    EXPECT_EQ(rejectionType(request), "bad-request-id");
 }
 
-TEST(CallerRequestTest, leavesOutHintsThatSayNothing)
+TEST(CallerRequestTest, ignoresInvalidHints)
 {
     for (const char *hint : {"nan", "inf", "-1", "1e999", "2x", ""}) {
         StringRequest request = requestFor("/v1/services/shop/x");
         request.set("X-Cost-Hint", hint);
         request.set("Prefer", "wait=soon");
-        EXPECT_EQ(accepted(request).costHint, std::nullopt) << hint;
-        EXPECT_EQ(accepted(request).maxQueueWait, std::nullopt);
+        EXPECT_EQ(parseAccepted(request).costHint, std::nullopt) << hint;
+        EXPECT_EQ(parseAccepted(request).maxQueueWait, std::nullopt);
     }
 }
 
-TEST(CallerRequestTest, knowsFieldsOfOneConnection)
+TEST(CallerRequestTest, recognizesHopByHopFields)
 {
     EXPECT_TRUE(isHopByHop("transfer-encoding", ""));
     EXPECT_TRUE(isHopByHop("X-Private", "close, x-private"));
--- a/unittests/Net/ConnectionPoolTest.cpp
+++ b/unittests/Net/ConnectionPoolTest.cpp
@@ -23,12 +23,12 @@
         return socket;
     }
 
-    void keep(std::optional<std::chrono::seconds> told)
+    void putConnection(std::optional<std::chrono::seconds> announced)
     {
-        pool.put(target, connected(), told, 8, now);
+        pool.put(target, connected(), announced, 8, now);
     }
 
-    bool gives(ResendPolicy resendPolicy)
+    bool hasConnectionFor(ResendPolicy resendPolicy)
     {
         return pool.take(target, resendPolicy, now).has_value();
     }
@@ -42,66 +42,66 @@
 // A target closes a connection as idle just as a purchase is on its way: nobody knows whether it
 // ran. So a purchase goes on a connection only in the first half of what the target says; a lookup
 // may be sent again and goes on it for longer.
-TEST_F(ConnectionPoolTest, APurchaseGoesOnAConnectionOnlyWhileItsTargetSurelyKeepsIt)
+TEST_F(ConnectionPoolTest, NonResendableRequestUsesOnlyTheFirstHalfOfTheIdleTimeout)
 {
-    keep(4s);
+    putConnection(4s);
     now += 1900ms;
-    EXPECT_TRUE(gives(ResendPolicy::Forbidden));
-    keep(4s);
+    EXPECT_TRUE(hasConnectionFor(ResendPolicy::Forbidden));
+    putConnection(4s);
     now += 2100ms;
-    EXPECT_FALSE(gives(ResendPolicy::Forbidden));
-    EXPECT_TRUE(gives(ResendPolicy::Allowed));
-    keep(4s);
+    EXPECT_FALSE(hasConnectionFor(ResendPolicy::Forbidden));
+    EXPECT_TRUE(hasConnectionFor(ResendPolicy::Allowed));
+    putConnection(4s);
     now += 3300ms;
-    EXPECT_FALSE(gives(ResendPolicy::Allowed));
+    EXPECT_FALSE(hasConnectionFor(ResendPolicy::Allowed));
 }
 
-// Whole seconds are told, so a target that tells nothing may close within one.
-TEST_F(ConnectionPoolTest, APurchaseGoesOnAnUntoldConnectionForAMomentAlone)
+// Whole seconds are announced, so a target that tells nothing may close within one.
+TEST_F(ConnectionPoolTest, NonResendableRequestUsesUnannouncedConnectionOnlyBriefly)
 {
-    keep(std::nullopt);
+    putConnection(std::nullopt);
     now += 200ms;
-    EXPECT_TRUE(gives(ResendPolicy::Forbidden));
-    keep(std::nullopt);
+    EXPECT_TRUE(hasConnectionFor(ResendPolicy::Forbidden));
+    putConnection(std::nullopt);
     now += 300ms;
-    EXPECT_FALSE(gives(ResendPolicy::Forbidden));
-    EXPECT_TRUE(gives(ResendPolicy::Allowed));
+    EXPECT_FALSE(hasConnectionFor(ResendPolicy::Forbidden));
+    EXPECT_TRUE(hasConnectionFor(ResendPolicy::Allowed));
 }
 
-TEST_F(ConnectionPoolTest, AClosedConnectionIsNotGiven)
+TEST_F(ConnectionPoolTest, ClosedConnectionIsNotReused)
 {
-    keep(10s);
+    putConnection(10s);
     peers.clear();
-    EXPECT_FALSE(gives(ResendPolicy::Allowed));
+    EXPECT_FALSE(hasConnectionFor(ResendPolicy::Allowed));
 }
 
 // One connection to a target broke, so the others are in doubt: the next request finds out on a new
 // one, where a target that is gone costs it nothing.
-TEST_F(ConnectionPoolTest, ABreakDropsTheTargetsOtherConnections)
+TEST_F(ConnectionPoolTest, DropClosesAllConnectionsToTheTarget)
 {
-    keep(10s);
-    keep(10s);
+    putConnection(10s);
+    putConnection(10s);
     pool.drop(target);
-    EXPECT_FALSE(gives(ResendPolicy::Allowed));
+    EXPECT_FALSE(hasConnectionFor(ResendPolicy::Allowed));
 }
 
-TEST_F(ConnectionPoolTest, KeepsNoMoreThanItsPart)
+TEST_F(ConnectionPoolTest, PoolSizeIsLimited)
 {
     for (int i = 0; i < 3; ++i)
         pool.put(target, connected(), 10s, 2, now);
-    EXPECT_TRUE(gives(ResendPolicy::Allowed));
-    EXPECT_TRUE(gives(ResendPolicy::Allowed));
-    EXPECT_FALSE(gives(ResendPolicy::Allowed));
+    EXPECT_TRUE(hasConnectionFor(ResendPolicy::Allowed));
+    EXPECT_TRUE(hasConnectionFor(ResendPolicy::Allowed));
+    EXPECT_FALSE(hasConnectionFor(ResendPolicy::Allowed));
 }
 
-TEST(ToldIdleLimit, IsReadFromTheHead)
+TEST(AnnouncedIdleTimeout, IsParsedFromTheKeepAliveField)
 {
     http::fields head;
-    EXPECT_FALSE(toldIdleLimit(head));
+    EXPECT_FALSE(announcedIdleTimeout(head));
     head.set(http::field::keep_alive, "timeout=10, max=100");
-    EXPECT_EQ(toldIdleLimit(head), 10s);
+    EXPECT_EQ(announcedIdleTimeout(head), 10s);
     head.set(http::field::keep_alive, "timeout=soon");
-    EXPECT_FALSE(toldIdleLimit(head));
+    EXPECT_FALSE(announcedIdleTimeout(head));
 }
 
 } // namespace
--- a/unittests/Net/ForwardingTest.cpp
+++ b/unittests/Net/ForwardingTest.cpp
@@ -7,26 +7,26 @@
 
 constexpr const char *path = "/v1/services/shop/orders";
 
-std::string okAnswer(const std::string &body, const std::string &fields = {})
+std::string okResponse(const std::string &body, const std::string &fields = {})
 {
     return "HTTP/1.1 200 OK\r\n" + fields + "Content-Length: " + std::to_string(body.size())
         + "\r\n\r\n" + body;
 }
 
-TEST(ForwardingTest, passesRequestAndAnswer)
+TEST(ForwardingTest, forwardsRequestAndResponse)
 {
     std::string head;
     std::string body;
     FakeTarget target([&](TargetPeer &peer) {
         head = peer.readRequest();
         body = peer.body();
-        peer.send(okAnswer("done",
-                           "Content-Type: text/plain\r\nX-Boot-Id: b1\r\nX-Attempt-Id: "
-                               + peer.field("X-Attempt-Id") + "\r\n"));
+        peer.send(okResponse("done",
+                             "Content-Type: text/plain\r\nX-Boot-Id: b1\r\nX-Attempt-Id: "
+                                 + peer.field("X-Attempt-Id") + "\r\n"));
         peer.awaitEnd();
     });
     FakeCore core(forwardTo(target.endpoint()));
-    std::string answer;
+    std::string response;
     {
         TestNode node(core);
         FakeCaller caller = node.caller();
@@ -34,7 +34,7 @@
                                 "X-Request-Id: r1\r\nIdempotency-Key: k1\r\nContent-Type: "
                                 "text/x\r\nConnection: x-hop\r\nX-Hop: 1\r\n",
                                 "clay"));
-        answer = caller.readUntil("done");
+        response = caller.readUntil("done");
         const auto done = core.await<AttemptDone>(1);
         EXPECT_EQ(done[0].bootId, "b1");
         EXPECT_EQ(done[0].storedBody, "done");
@@ -48,9 +48,9 @@
         EXPECT_NE(head.find(field), std::string::npos) << field << head;
     for (const char *field : {"Authorization", "X-Hop"})
         EXPECT_EQ(head.find(field), std::string::npos) << "must not reach the target: " << field;
-    EXPECT_NE(answer.find("Berylridge-Verdict: ran\r\n"), std::string::npos) << answer;
-    EXPECT_NE(answer.find("X-Request-Id: r1\r\n"), std::string::npos) << answer;
-    EXPECT_EQ(answer.find("X-Attempt-Id"), std::string::npos) << answer;
+    EXPECT_NE(response.find("Berylridge-Verdict: ran\r\n"), std::string::npos) << response;
+    EXPECT_NE(response.find("X-Request-Id: r1\r\n"), std::string::npos) << response;
+    EXPECT_EQ(response.find("X-Attempt-Id"), std::string::npos) << response;
 }
 
 TEST(ForwardingTest, answersPipelinedRequestsInOrder)
@@ -60,7 +60,7 @@
             const std::string head = peer.readRequest();
             if (head.empty())
                 return;
-            peer.send(okAnswer("answer to " + head.substr(0, head.find(" HTTP"))));
+            peer.send(okResponse("answer to " + head.substr(0, head.find(" HTTP"))));
         }
     });
     FakeCore core(forwardTo(target.endpoint(), true));
@@ -79,11 +79,11 @@
     EXPECT_EQ(target.connections(), 1) << "a clean connection is used again";
 }
 
-TEST(ForwardingTest, keepsAConnectionThatItsTargetKeepsForWhatMustNotRepeat)
+TEST(ForwardingTest, reusesConnectionForNonResendableRequests)
 {
     FakeTarget target([](TargetPeer &peer) {
         while (!peer.readRequest().empty())
-            peer.send(okAnswer("x", "Keep-Alive: timeout=10\r\n"));
+            peer.send(okResponse("x", "Keep-Alive: timeout=10\r\n"));
     });
     FakeCore core(forwardTo(target.endpoint(), false));
     TestNode node(core);
@@ -99,7 +99,7 @@
 // A purchase goes on a kept connection, and the target resets it or closes it instead of answering.
 // Nobody can tell whether the purchase ran: it is sent once, the caller hears that it may have run,
 // and the next one goes on a new connection though others are idle.
-TEST(ForwardingTest, sendsWhatMustNotRepeatOnceWhereItsKeptConnectionBreaks)
+TEST(ForwardingTest, sendsNonResendableRequestOnceIfReusedConnectionBreaks)
 {
     for (const bool isReset : {true, false}) {
         std::atomic<int> received {0};
@@ -110,7 +110,7 @@
                         peer.reset();
                     return;
                 }
-                peer.send(okAnswer("x", "Keep-Alive: timeout=10\r\n"));
+                peer.send(okResponse("x", "Keep-Alive: timeout=10\r\n"));
             }
         });
         FakeCore core(forwardTo(target.endpoint(), false));
@@ -120,9 +120,10 @@
         caller.readUntil("\r\n\r\nx");
         caller.take();
         caller.send(requestText("POST", path, {}, "b"));
-        const std::string answer = caller.readUntil("\r\n\r\n");
-        EXPECT_NE(answer.find("502"), std::string::npos) << answer;
-        EXPECT_NE(answer.find("Berylridge-Verdict: may-have-run\r\n"), std::string::npos) << answer;
+        const std::string response = caller.readUntil("\r\n\r\n");
+        EXPECT_NE(response.find("502"), std::string::npos) << response;
+        EXPECT_NE(response.find("Berylridge-Verdict: may-have-run\r\n"), std::string::npos)
+            << response;
         const auto failed = core.await<AttemptFailed>(1);
         EXPECT_TRUE(failed[0].sentAny);
         EXPECT_EQ(received, 2);
@@ -131,89 +132,90 @@
 }
 
 /// What the target sends, and the failure that must come of it.
-struct BadAnswerCase
+struct InvalidResponseCase
 {
     const char *name;
-    std::string answer;
+    std::string response;
     AttemptFailure failure;
-    bool isBegun;
+    bool isResponseStarted;
 };
 
-class BadAnswerTest : public testing::TestWithParam<BadAnswerCase>
+class InvalidResponseTest : public testing::TestWithParam<InvalidResponseCase>
 {
 };
 
-TEST_P(BadAnswerTest, isNeverPassedOnAsWhole)
+TEST_P(InvalidResponseTest, isNeverRelayedAsComplete)
 {
     // What the caller sees: a refusal with may-have-run, or a connection cut before its end.
-    // What happens: the target's answer is not the one asked for, or not whole.
-    // Why: an answer that looks whole but is not is worse than none.
+    // What happens: the target's response is not the one asked for, or not whole.
+    // Why: an response that looks whole but is not is worse than none.
     FakeTarget target([](TargetPeer &peer) {
         peer.readRequest();
-        peer.send(GetParam().answer);
+        peer.send(GetParam().response);
     });
     FakeCore core(forwardTo(target.endpoint(), true));
     TestNode node(core);
     FakeCaller caller = node.caller();
     caller.send(requestText("GET", path, "Connection: close\r\n"));
-    const std::string answer = caller.readAll();
+    const std::string response = caller.readAll();
     const auto failed = core.await<AttemptFailed>(1);
     EXPECT_EQ(failed[0].failure, GetParam().failure);
     EXPECT_TRUE(failed[0].sentAny);
-    EXPECT_EQ(failed[0].answerBegun, GetParam().isBegun);
+    EXPECT_EQ(failed[0].answerBegun, GetParam().isResponseStarted);
     EXPECT_TRUE(core.seen<AttemptDone>().empty());
-    if (GetParam().isBegun) {
-        EXPECT_TRUE(answer.starts_with("HTTP/1.1 200 OK\r\n")) << answer;
-        EXPECT_EQ(answer.find("\r\n0\r\n"), std::string::npos) << answer;
+    if (GetParam().isResponseStarted) {
+        EXPECT_TRUE(response.starts_with("HTTP/1.1 200 OK\r\n")) << response;
+        EXPECT_EQ(response.find("\r\n0\r\n"), std::string::npos) << response;
     } else {
-        EXPECT_TRUE(answer.starts_with("HTTP/1.1 502 ")) << answer;
-        EXPECT_NE(answer.find("\"verdict\":\"may-have-run\""), std::string::npos) << answer;
+        EXPECT_TRUE(response.starts_with("HTTP/1.1 502 ")) << response;
+        EXPECT_NE(response.find("\"verdict\":\"may-have-run\""), std::string::npos) << response;
     }
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    All, BadAnswerTest,
+    All, InvalidResponseTest,
     testing::Values(
-        BadAnswerCase {"Crossed", okAnswer("x", "X-Attempt-Id: another\r\n"),
-                       AttemptFailure::InvalidResponse, false},
-        BadAnswerCase {"NotHttp", "hello\r\n\r\n", AttemptFailure::InvalidResponse, false},
-        BadAnswerCase {"NoAnswer", "", AttemptFailure::Reset, false},
-        BadAnswerCase {"HalfHead", "HTTP/1.1 200 OK\r\nConte", AttemptFailure::TruncatedResponse,
-                       false},
-        BadAnswerCase {"NoLength", "HTTP/1.1 200 OK\r\n\r\nbody", AttemptFailure::InvalidResponse,
-                       false},
-        BadAnswerCase {"OverLong", okAnswer("whole") + "more", AttemptFailure::InvalidResponse,
-                       false},
-        BadAnswerCase {"OtherCoding",
-                       "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n",
-                       AttemptFailure::InvalidResponse, false},
-        BadAnswerCase {"Switching", "HTTP/1.1 101 Switching Protocols\r\n\r\n",
-                       AttemptFailure::InvalidResponse, false},
-        BadAnswerCase {"Short", "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf",
-                       AttemptFailure::TruncatedResponse, true},
-        BadAnswerCase {"ChunksCut",
-                       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
-                       AttemptFailure::TruncatedResponse, true},
-        BadAnswerCase {"StreamWithoutEnd",
-                       "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: "
-                       "chunked\r\n\r\nf\r\nid: 1\ndata: a\n\n\r\n0\r\n\r\n",
-                       AttemptFailure::TruncatedResponse, true}),
+        InvalidResponseCase {"Crossed", okResponse("x", "X-Attempt-Id: another\r\n"),
+                             AttemptFailure::InvalidResponse, false},
+        InvalidResponseCase {"NotHttp", "hello\r\n\r\n", AttemptFailure::InvalidResponse, false},
+        InvalidResponseCase {"NoAnswer", "", AttemptFailure::Reset, false},
+        InvalidResponseCase {"HalfHead", "HTTP/1.1 200 OK\r\nConte",
+                             AttemptFailure::TruncatedResponse, false},
+        InvalidResponseCase {"NoLength", "HTTP/1.1 200 OK\r\n\r\nbody",
+                             AttemptFailure::InvalidResponse, false},
+        InvalidResponseCase {"OverLong", okResponse("whole") + "more",
+                             AttemptFailure::InvalidResponse, false},
+        InvalidResponseCase {"OtherCoding",
+                             "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n",
+                             AttemptFailure::InvalidResponse, false},
+        InvalidResponseCase {"Switching", "HTTP/1.1 101 Switching Protocols\r\n\r\n",
+                             AttemptFailure::InvalidResponse, false},
+        InvalidResponseCase {"Short", "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf",
+                             AttemptFailure::TruncatedResponse, true},
+        InvalidResponseCase {"ChunksCut",
+                             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
+                             AttemptFailure::TruncatedResponse, true},
+        InvalidResponseCase {
+            "StreamWithoutEnd",
+            "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: "
+            "chunked\r\n\r\nf\r\nid: 1\ndata: a\n\n\r\n0\r\n\r\n",
+            AttemptFailure::TruncatedResponse, true}),
     [](const auto &each) { return each.param.name; });
 
-TEST(ForwardingTest, saysNotRunOnlyBeforeTheFirstByte)
+TEST(ForwardingTest, reportsNotRunIfNothingWasSent)
 {
     FakeCore core(forwardTo(closedPort()));
     TestNode node(core);
     FakeCaller caller = node.caller();
     caller.send(requestText("POST", path, {}, "b"));
-    const std::string answer = caller.readUntil("}");
-    EXPECT_NE(answer.find("\"verdict\":\"not-run\""), std::string::npos) << answer;
+    const std::string response = caller.readUntil("}");
+    EXPECT_NE(response.find("\"verdict\":\"not-run\""), std::string::npos) << response;
     const auto failed = core.await<AttemptFailed>(1);
     EXPECT_EQ(failed[0].failure, AttemptFailure::ConnectRefused);
     EXPECT_FALSE(failed[0].sentAny);
 }
 
-TEST(ForwardingTest, sendsNothingAfterTheLeaseEnded)
+TEST(ForwardingTest, sendsNothingAfterTheLeaseExpired)
 {
     // What the caller sees: nothing yet; the core may send its request elsewhere.
     // What happens: the order was held up, as by a paused process, until its lease had ended.
@@ -232,7 +234,7 @@
     EXPECT_FALSE(core.await<AttemptFailed>(1)[0].sentAny);
 }
 
-TEST(ForwardingTest, givesUpOnASilentTarget)
+TEST(ForwardingTest, timesOutOnUnresponsiveTarget)
 {
     FakeTarget target([](TargetPeer &peer) {
         peer.readRequest();
@@ -251,17 +253,17 @@
     EXPECT_EQ(core.await<AttemptFailed>(1)[0].failure, AttemptFailure::Timeout);
 }
 
-TEST(ForwardingTest, closesTheTargetWhenTheCallerLeaves)
+TEST(ForwardingTest, closesTargetConnectionWhenTheCallerDisconnects)
 {
-    // What the caller sees: it closed its connection while it waited for the answer.
+    // What the caller sees: it closed its connection while it waited for the response.
     // What happens: CallerGone, the core's AbortAttempt, and the target's connection is closed.
     // Why: closing is how an engine is told to cancel; else it works on for nobody.
-    std::atomic<bool> sawEnd {false};
+    std::atomic<bool> isTargetClosed {false};
     std::atomic<bool> hasRequest {false};
     FakeTarget target([&](TargetPeer &peer) {
         peer.readRequest();
         hasRequest = true;
-        sawEnd = peer.awaitEnd();
+        isTargetClosed = peer.awaitEnd();
     });
     FakeCore core(forwardTo(target.endpoint()));
     TestNode node(core);
@@ -270,21 +272,21 @@
     EXPECT_TRUE(eventually([&] { return hasRequest.load(); }));
     caller.close();
     core.await<CallerGone>(1);
-    EXPECT_TRUE(eventually([&] { return sawEnd.load(); }));
+    EXPECT_TRUE(eventually([&] { return isTargetClosed.load(); }));
 }
 
-TEST(ForwardingTest, finishesForTheKeyWhenTheCallerLeaves)
+TEST(ForwardingTest, completesKeyedRequestAfterTheCallerDisconnects)
 {
     // What the caller sees: it left and sends the same purchase again later.
-    // What happens: the core doesn't abort; the shell reads the answer to its end and hands it
-    // over. Why: only with that answer can the repeat be answered instead of refused.
+    // What happens: the core doesn't abort; the shell reads the response to its end and hands it
+    // over. Why: only with that response can the repeat be answered instead of refused.
     std::atomic<bool> hasRequest {false};
-    std::atomic<bool> mayAnswer {false};
+    std::atomic<bool> canRespond {false};
     FakeTarget target([&](TargetPeer &peer) {
         peer.readRequest();
         hasRequest = true;
-        EXPECT_TRUE(eventually([&] { return mayAnswer.load(); }));
-        peer.send(okAnswer("bought"));
+        EXPECT_TRUE(eventually([&] { return canRespond.load(); }));
+        peer.send(okResponse("bought"));
     });
     FakeCore core([&](const Event &event, Actions &actions) {
         if (const auto *arrived = std::get_if<RequestArrived>(&event)) {
@@ -299,21 +301,21 @@
     EXPECT_TRUE(eventually([&] { return hasRequest.load(); }));
     caller.close();
     core.await<CallerGone>(1);
-    mayAnswer = true;
+    canRespond = true;
     EXPECT_EQ(core.await<AttemptDone>(1)[0].storedBody, "bought");
 }
 
-TEST(ForwardingTest, passesEachChunkOnBeforeTheNextComes)
+TEST(ForwardingTest, relaysEachChunkImmediately)
 {
     // What the caller sees: each token as it comes. The target sends the next chunk only once the
     // caller has the one before, so a router that waits for more would hang.
-    std::atomic<int> got {0};
+    std::atomic<int> receivedTokens {0};
     FakeTarget target([&](TargetPeer &peer) {
         peer.readRequest();
         peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         for (int i = 0; i < 3; ++i) {
             peer.send("6\r\ntoken" + std::to_string(i) + "\r\n");
-            EXPECT_TRUE(eventually([&] { return got > i; }));
+            EXPECT_TRUE(eventually([&] { return receivedTokens > i; }));
         }
         peer.send("0\r\n\r\n");
     });
@@ -323,16 +325,16 @@
     caller.send(requestText("GET", path, "Connection: close\r\n"));
     for (int i = 0; i < 3; ++i) {
         caller.readUntil("token" + std::to_string(i));
-        ++got;
+        ++receivedTokens;
     }
     EXPECT_TRUE(caller.readAll().ends_with("\r\n0\r\n\r\n"));
 }
 
-TEST(ForwardingTest, holdsTheTargetBackForASlowCaller)
+TEST(ForwardingTest, appliesBackpressureForSlowCaller)
 {
-    // What the caller sees: a long answer, which it reads only after a while.
+    // What the caller sees: a long response, which it reads only after a while.
     // What happens: the router stops reading from the target, so the target's writes block.
-    // Why: without that the whole answer would pile up in the router's memory.
+    // Why: without that the whole response would pile up in the router's memory.
     constexpr std::size_t total = 64 << 20;
     constexpr std::size_t step = 1 << 20;
     std::atomic<std::size_t> sent {0};
@@ -350,19 +352,19 @@
     EXPECT_TRUE(eventually([&] { return sent > 0; }));
     // Both sides' socket buffers fill, then nothing moves: the same count over and over.
     std::size_t last = 0;
-    int still = 0;
+    int unchangedCount = 0;
     EXPECT_TRUE(eventually([&] {
         const std::size_t now = sent;
-        still = now == last ? still + 1 : 0;
+        unchangedCount = now == last ? unchangedCount + 1 : 0;
         last = now;
-        return still > 50;
+        return unchangedCount > 50;
     }));
     EXPECT_LT(sent, total);
-    const std::string answer = caller.readAll();
-    EXPECT_EQ(answer.size() - answer.find("\r\n\r\n") - 4, total);
+    const std::string response = caller.readAll();
+    EXPECT_EQ(response.size() - response.find("\r\n\r\n") - 4, total);
 }
 
-TEST(ForwardingTest, answersHeadAndEmptyAnswers)
+TEST(ForwardingTest, relaysHeadAndEmptyResponses)
 {
     FakeTarget target([](TargetPeer &peer) {
         while (true) {
@@ -380,12 +382,12 @@
     EXPECT_NE(caller.readUntil("\r\n\r\n").find("Content-Length: 9"), std::string::npos);
     caller.take();
     caller.send(requestText("DELETE", path));
-    const std::string answer = caller.readUntil("\r\n\r\n");
-    EXPECT_TRUE(answer.starts_with("HTTP/1.1 204 ")) << answer;
-    EXPECT_EQ(answer.find("chunked"), std::string::npos) << answer;
+    const std::string response = caller.readUntil("\r\n\r\n");
+    EXPECT_TRUE(response.starts_with("HTTP/1.1 204 ")) << response;
+    EXPECT_EQ(response.find("chunked"), std::string::npos) << response;
 }
 
-TEST(ForwardingTest, answersFromTheKeptOne)
+TEST(ForwardingTest, sendsStoredResponse)
 {
     FakeCore core([](const Event &event, Actions &actions) {
         if (const auto *arrived = std::get_if<RequestArrived>(&event))
@@ -395,9 +397,9 @@
     TestNode node(core);
     FakeCaller caller = node.caller();
     caller.send(requestText("POST", path, "X-Request-Id: r2\r\n", "b"));
-    const std::string answer = caller.readUntil("kept");
-    EXPECT_TRUE(answer.starts_with("HTTP/1.1 201 Created\r\n")) << answer;
-    EXPECT_NE(answer.find("X-Request-Id: r2\r\n"), std::string::npos) << answer;
+    const std::string response = caller.readUntil("kept");
+    EXPECT_TRUE(response.starts_with("HTTP/1.1 201 Created\r\n")) << response;
+    EXPECT_NE(response.find("X-Request-Id: r2\r\n"), std::string::npos) << response;
 }
 
 } // namespace
--- a/unittests/Net/FuzzTest.cpp
+++ b/unittests/Net/FuzzTest.cpp
@@ -66,7 +66,7 @@
     return samples;
 }
 
-TEST(FuzzTest, authenticDatagramsOfAnyShapeAreReadOrRefused)
+TEST(FuzzTest, mutatedAuthenticDatagramsAreParsedOrRejected)
 {
     RandomEngine random(20261203);
     const auto samples = sampleDatagrams();
@@ -79,10 +79,11 @@
     EXPECT_LT(readCount, datagramRounds);
 }
 
-TEST(FuzzTest, httpFaceOutlivesAnything)
+TEST(FuzzTest, callerHttpSurvivesMutatedRequests)
 {
-    // What callers see: each damaged request gets an answer or its connection closed, and a proper
-    // request is served at the end. What happens: seeded damage to requests of several kinds.
+    // What callers see: each damaged request gets an response or its connection closed, and a
+    // proper request is served at the end. What happens: seeded damage to requests of several
+    // kinds.
     FakeCore core([](const Event &event, Actions &actions) {
         if (const auto *arrived = std::get_if<RequestArrived>(&event))
             actions.emplace_back(Refuse {arrived->handle, 429, Verdict::NotRun, "the queue is full",
@@ -102,8 +103,8 @@
         caller.send(mutated(samples[random() % samples.size()], random)
                     + mutated(samples[random() % samples.size()], random));
         caller.halfClose();
-        const std::string answer = caller.readAll();
-        EXPECT_TRUE(answer.empty() || answer.starts_with("HTTP/1.1 ")) << answer;
+        const std::string response = caller.readAll();
+        EXPECT_TRUE(response.empty() || response.starts_with("HTTP/1.1 ")) << response;
     }
     FakeCaller good = node.caller();
     good.send(requestText("GET", "/v1/services/shop/x"));
--- a/unittests/Net/OverloadTest.cpp
+++ b/unittests/Net/OverloadTest.cpp
@@ -13,14 +13,14 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::size_t flood = 200;
+constexpr std::size_t floodSize = 200;
 constexpr const char *path = "/v1/services/shop/orders";
 
-/// A listener on a traffic thread whose turns the test takes one by one.
-class HeldThreadTest : public ::testing::Test
+/// A listener on a traffic thread whose iterations the test takes one by one.
+class SteppedTrafficThreadTest : public ::testing::Test
 {
 protected:
-    HeldThreadTest()
+    SteppedTrafficThreadTest()
     {
         m_options.acceptedLag = 30ms;
         m_options.now = [this] { return clock.now(); };
@@ -47,17 +47,17 @@
 };
 
 // Guards against a listen queue that only grows: connections taken more slowly than they come.
-TEST_F(HeldThreadTest, takesAllConnectionsThatWaitInOneTurn)
+TEST_F(SteppedTrafficThreadTest, acceptsAllPendingConnectionsInOneIteration)
 {
     std::list<FakeCaller> callers;
-    for (std::size_t i = 0; i < flood; ++i)
+    for (std::size_t i = 0; i < floodSize; ++i)
         callers.emplace_back(endpoint());
     context().run_one();
-    EXPECT_EQ(metrics.connectionsAccepted, flood);
+    EXPECT_EQ(metrics.connectionsAccepted, floodSize);
 }
 
 // Guards against a queue so long that callers give up before a busy thread reaches them.
-TEST_F(HeldThreadTest, connectionsBeyondAShortQueueAreNotTaken)
+TEST_F(SteppedTrafficThreadTest, connectionsBeyondTheBacklogAreNotAccepted)
 {
     asio::io_context io;
     std::list<tcp::socket> sockets;
@@ -72,17 +72,17 @@
         pollfd state {socket.native_handle(), POLLOUT, 0};
         connected += ::poll(&state, 1, 0) == 1 ? 1 : 0;
     }
-    EXPECT_GE(connected, flood);
-    EXPECT_LE(connected, 2 * flood);
+    EXPECT_GE(connected, floodSize);
+    EXPECT_LE(connected, 2 * floodSize);
 }
 
 // Guards against work for callers that gave up while their connections waited to be taken.
-TEST_F(HeldThreadTest, requestsOfCallersThatLeftInTheQueueAreDropped)
+TEST_F(SteppedTrafficThreadTest, requestsOfDisconnectedCallersAreDropped)
 {
-    for (std::size_t i = 0; i < flood; ++i) {
-        FakeCaller left(endpoint());
-        left.send(requestText("POST", path, {}, "clay"));
-        left.close();
+    for (std::size_t i = 0; i < floodSize; ++i) {
+        FakeCaller disconnected(endpoint());
+        disconnected.send(requestText("POST", path, {}, "clay"));
+        disconnected.close();
     }
     FakeCaller waiting(endpoint());
     waiting.send(requestText("POST", path, {}, "clay"));
@@ -90,12 +90,12 @@
         context().run_one();
     context().poll();
     EXPECT_EQ(reported.size(), 1U);
-    EXPECT_EQ(metrics.callersGoneUnread, flood);
+    EXPECT_EQ(metrics.callersGoneUnread, floodSize);
 }
 
 // Guards against refusals that cost a busy thread as much as what it serves: they go out when the
 // head is read, without the body and without the core.
-TEST_F(HeldThreadTest, busyThreadRefusesByTheHeadAlone)
+TEST_F(SteppedTrafficThreadTest, overloadedThreadRejectsAfterReadingTheHead)
 {
     for (int i = 0; i < 10; ++i)
         thread().onLag(1s);
@@ -103,41 +103,41 @@
         + " HTTP/1.1\r\nHost: router\r\nX-Request-Id: r1\r\n"
         + "Authorization: Bearer key\r\nContent-Length: 1000000\r\n\r\n";
     std::list<FakeCaller> callers;
-    for (std::size_t i = 0; i < flood; ++i) {
+    for (std::size_t i = 0; i < floodSize; ++i) {
         callers.emplace_back(endpoint());
         callers.back().send(head); // The first of a credential are always kept.
     }
     while (metrics.connectionsOpen < callers.size())
         context().run_one();
     context().poll();
-    const std::string answer = callers.back().readUntil("more to do than it can");
-    EXPECT_NE(answer.find("503"), std::string::npos) << answer;
-    EXPECT_NE(answer.find("Retry-After"), std::string::npos) << answer;
-    EXPECT_NE(answer.find("X-Request-Id: r1"), std::string::npos) << answer;
-    EXPECT_NE(answer.find("Connection: close"), std::string::npos) << answer;
+    const std::string response = callers.back().readUntil("more to do than it can");
+    EXPECT_NE(response.find("503"), std::string::npos) << response;
+    EXPECT_NE(response.find("Retry-After"), std::string::npos) << response;
+    EXPECT_NE(response.find("X-Request-Id: r1"), std::string::npos) << response;
+    EXPECT_NE(response.find("Connection: close"), std::string::npos) << response;
     for (const Event &event : reported)
         EXPECT_TRUE(std::holds_alternative<TrafficThreadReport>(event));
 }
 
 // Guards against refusals that use up the processor of a busy thread, so that it serves next to
 // nothing: each is one turn of work.
-TEST_F(HeldThreadTest, busyThreadRefusesInOneTurn)
+TEST_F(SteppedTrafficThreadTest, overloadedThreadRejectsInOneIteration)
 {
     for (int i = 0; i < 10; ++i)
         thread().onLag(100ms);
     std::list<FakeCaller> callers;
-    for (std::size_t i = 0; i < flood; ++i) {
+    for (std::size_t i = 0; i < floodSize; ++i) {
         callers.emplace_back(endpoint());
         callers.back().send(requestText("POST", path, {}, "clay"));
     }
-    std::size_t turns = 0;
-    while (metrics.connectionsAccepted < flood)
-        turns += context().run_one();
-    turns += context().poll();
-    EXPECT_LE(turns, flood + flood / 4);
-    const std::string answer = callers.back().readUntil("more to do than it can");
-    EXPECT_NE(answer.find("503"), std::string::npos) << answer;
-    EXPECT_NE(answer.find("Retry-After"), std::string::npos) << answer;
+    std::size_t iterations = 0;
+    while (metrics.connectionsAccepted < floodSize)
+        iterations += context().run_one();
+    iterations += context().poll();
+    EXPECT_LE(iterations, floodSize + floodSize / 4);
+    const std::string response = callers.back().readUntil("more to do than it can");
+    EXPECT_NE(response.find("503"), std::string::npos) << response;
+    EXPECT_NE(response.find("Retry-After"), std::string::npos) << response;
 }
 
 } // namespace
--- a/unittests/Net/ResumeTest.cpp
+++ b/unittests/Net/ResumeTest.cpp
@@ -37,18 +37,18 @@
     };
 }
 
-/// The events in a chunked answer, chunk frames left out.
-std::string eventsOf(const std::string &answer)
+/// The events in a chunked response, chunk frames left out.
+std::string eventsOf(const std::string &response)
 {
     std::string events;
-    std::istringstream lines(answer.substr(answer.find("\r\n\r\n") + 4));
+    std::istringstream lines(response.substr(response.find("\r\n\r\n") + 4));
     for (std::string line; std::getline(lines, line);)
         if (line.starts_with("id: ") || line.starts_with("data: "))
             events += line + "\n";
     return events;
 }
 
-TEST(ResumeTest, callerSeesOneStream)
+TEST(ResumeTest, callerReceivesOneContinuousStream)
 {
     // What the caller sees: one stream without a gap or a repeat.
     // What happens: the first replica is killed in the middle of event 3; the core resumes at a
@@ -66,30 +66,30 @@
         peer.send(streamHead + chunk(event(2) + event(3)) + chunk("data: [DONE]\n\n")
                   + "0\r\n\r\n");
     });
-    // A reset may overtake the bytes before it; the answer is one stream all the same.
+    // A reset may overtake the bytes before it; the response is one stream all the same.
     FakeCore core(resumeAt(first.endpoint(), second.endpoint()));
-    std::string answer;
+    std::string response;
     {
         TestNode node(core);
         FakeCaller caller = node.caller();
         caller.send(
             requestText("POST", "/v1/services/assistant/chat", "Connection: close\r\n", "prompt"));
-        answer = caller.readAll();
+        response = caller.readAll();
         core.await<AttemptDone>(1);
     }
     const bool hasFirst = core.seen<AttemptFailed>().at(0).answerBegun;
     EXPECT_EQ(lastId.empty(), !hasFirst);
-    const std::string all = eventsOf(answer);
-    EXPECT_TRUE(all.ends_with("id: 3\ndata: token3\ndata: [DONE]\n")) << answer;
-    EXPECT_EQ(answer.find("HTTP/1.1", 1), std::string::npos) << "one head only: " << answer;
-    EXPECT_NE(answer.find("\r\n0\r\n\r\n"), std::string::npos) << answer;
+    const std::string all = eventsOf(response);
+    EXPECT_TRUE(all.ends_with("id: 3\ndata: token3\ndata: [DONE]\n")) << response;
+    EXPECT_EQ(response.find("HTTP/1.1", 1), std::string::npos) << "one head only: " << response;
+    EXPECT_NE(response.find("\r\n0\r\n\r\n"), std::string::npos) << response;
     const std::string before = all.substr(0, all.find("id: 3"));
     EXPECT_TRUE(before == "id: 2\ndata: token2\n"
                 || before == "id: 1\ndata: token1\nid: 2\ndata: token2\n")
-        << answer;
+        << response;
 }
 
-TEST(ResumeTest, resumesAfterWhatWasSentWithTheEnd)
+TEST(ResumeTest, resumesAfterEventsSentWithPrematureEnd)
 {
     // What the caller sees: one stream, though the first replica ended it without [DONE].
     // What happens: events and a proper last chunk come in one piece; the events are passed on, the
@@ -106,42 +106,42 @@
         peer.send(streamHead + chunk(event(3) + "data: [DONE]\n\n") + "0\r\n\r\n");
     });
     FakeCore core(resumeAt(first.endpoint(), second.endpoint()));
-    std::string answer;
+    std::string response;
     {
         TestNode node(core);
         FakeCaller caller = node.caller();
         caller.send(
             requestText("POST", "/v1/services/assistant/chat", "Connection: close\r\n", "prompt"));
-        answer = caller.readAll();
+        response = caller.readAll();
     }
     EXPECT_EQ(lastId, "2");
-    EXPECT_EQ(eventsOf(answer),
+    EXPECT_EQ(eventsOf(response),
               "id: 1\ndata: token1\nid: 2\ndata: token2\nid: 3\ndata: token3\n"
               "data: [DONE]\n");
     EXPECT_EQ(core.seen<AttemptFailed>().at(0).failure, AttemptFailure::TruncatedResponse);
 }
 
-TEST(ResumeTest, cutsTheCallerWhereTheSecondFailsToo)
+TEST(ResumeTest, closesCallerConnectionIfTheSecondTargetFails)
 {
     // What the caller sees: its connection breaks without a last chunk, so it knows.
-    const auto cutShort = [](TargetPeer &peer) {
+    const auto sendTruncatedStream = [](TargetPeer &peer) {
         peer.readRequest();
         peer.send(streamHead + chunk(event(1)));
     };
-    FakeTarget first(cutShort);
-    FakeTarget second(cutShort);
+    FakeTarget first(sendTruncatedStream);
+    FakeTarget second(sendTruncatedStream);
     FakeCore core(resumeAt(first.endpoint(), second.endpoint()));
     TestNode node(core);
     FakeCaller caller = node.caller();
     caller.send(
         requestText("POST", "/v1/services/assistant/chat", "Connection: close\r\n", "prompt"));
-    const std::string answer = caller.readAll();
-    EXPECT_EQ(eventsOf(answer), "id: 1\ndata: token1\n");
-    EXPECT_EQ(answer.find("\r\n0\r\n"), std::string::npos) << answer;
-    EXPECT_EQ(answer.find("502"), std::string::npos) << answer;
+    const std::string response = caller.readAll();
+    EXPECT_EQ(eventsOf(response), "id: 1\ndata: token1\n");
+    EXPECT_EQ(response.find("\r\n0\r\n"), std::string::npos) << response;
+    EXPECT_EQ(response.find("502"), std::string::npos) << response;
 }
 
-TEST(ResumeTest, neverGluesAPlainAnswer)
+TEST(ResumeTest, neverJoinsTwoPlainResponses)
 {
     // What the caller sees: a cut connection, not the halves of two answers in one.
     FakeTarget target([](TargetPeer &peer) {
@@ -152,8 +152,8 @@
     TestNode node(core);
     FakeCaller caller = node.caller();
     caller.send(requestText("GET", "/v1/services/shop/x"));
-    const std::string answer = caller.readAll();
-    EXPECT_TRUE(answer.ends_with("\r\n\r\nhalf")) << answer;
+    const std::string response = caller.readAll();
+    EXPECT_TRUE(response.ends_with("\r\n\r\nhalf")) << response;
     EXPECT_EQ(core.await<AttemptFailed>(2)[1].failure, AttemptFailure::InvalidResponse);
     EXPECT_EQ(target.connections(), 1);
 }
--- a/unittests/Net/ScreeningTest.cpp
+++ b/unittests/Net/ScreeningTest.cpp
@@ -9,7 +9,7 @@
 
 const std::string head = "POST /v1/services/shop/x HTTP/1.1\r\nHost: r\r\nX-Request-Id: r1\r\n"
                          "Authorization: Bearer key\r\n";
-const std::string whole = head + "Content-Length: 4\r\n\r\nclay";
+const std::string completeRequest = head + "Content-Length: 4\r\n\r\nclay";
 
 class ScreeningTest : public ::testing::Test
 {
@@ -17,10 +17,10 @@
     Screening screen(const std::string &bytes)
     {
         return screenRequest(bytes,
-                             {ownProtocol(),
+                             {nativeProtocol(),
                               [this](std::string_view key) {
                                   EXPECT_EQ(key, "key");
-                                  ++counted;
+                                  ++countedRequests;
                                   return sheds;
                               },
                               [] {
@@ -30,55 +30,58 @@
     }
 
     bool sheds = true;
-    int counted = 0;
+    int countedRequests = 0;
 };
 
-TEST_F(ScreeningTest, wholeRequestIsRefusedAtOnce)
+TEST_F(ScreeningTest, completeRequestIsRejectedImmediately)
 {
-    const Screening screening = screen(whole);
+    const Screening screening = screen(completeRequest);
     EXPECT_EQ(screening.decision, ShedDecision::Shed);
-    ASSERT_TRUE(screening.answer);
-    EXPECT_NE(screening.answer->find("503"), std::string::npos);
-    EXPECT_NE(screening.answer->find("r1"), std::string::npos);
-    EXPECT_TRUE(screening.isConnectionKept);
+    ASSERT_TRUE(screening.immediateResponse);
+    EXPECT_NE(screening.immediateResponse->find("503"), std::string::npos);
+    EXPECT_NE(screening.immediateResponse->find("r1"), std::string::npos);
+    EXPECT_TRUE(screening.isKeepAlive);
 }
 
-TEST_F(ScreeningTest, keptRequestIsCountedOnce)
+TEST_F(ScreeningTest, admittedRequestIsCountedOnce)
 {
     sheds = false;
-    const Screening screening = screen(whole);
-    EXPECT_EQ(screening.decision, ShedDecision::Kept);
-    EXPECT_FALSE(screening.answer);
-    EXPECT_EQ(counted, 1);
+    const Screening screening = screen(completeRequest);
+    EXPECT_EQ(screening.decision, ShedDecision::Admitted);
+    EXPECT_FALSE(screening.immediateResponse);
+    EXPECT_EQ(countedRequests, 1);
 }
 
-// Guards against a reset that destroys the answer, as bytes of the body come after the end.
-TEST_F(ScreeningTest, requestWhoseBodyIsOnItsWayIsNotAnsweredAtOnce)
+// Guards against a reset that destroys the immediateResponse, as bytes of the body come after the
+// end.
+TEST_F(ScreeningTest, requestWithIncompleteBodyIsNotAnsweredImmediately)
 {
-    const Screening screening = screen(whole.substr(0, whole.size() - 1));
+    const Screening screening = screen(completeRequest.substr(0, completeRequest.size() - 1));
     EXPECT_EQ(screening.decision, ShedDecision::Shed);
-    EXPECT_FALSE(screening.answer);
+    EXPECT_FALSE(screening.immediateResponse);
 }
 
 // Guards against the next request's bytes being lost with the refused one's.
-TEST_F(ScreeningTest, pipelinedRequestIsNotAnsweredAtOnce)
+TEST_F(ScreeningTest, pipelinedRequestIsNotAnsweredImmediately)
 {
-    EXPECT_FALSE(screen(whole + whole).answer);
+    EXPECT_FALSE(screen(completeRequest + completeRequest).immediateResponse);
 }
 
-// Guards against a request that is counted twice: here and when its head is whole.
-TEST_F(ScreeningTest, halfAHeadIsNotDecided)
+// Guards against a request that is countedRequests twice: here and when its head is
+// completeRequest.
+TEST_F(ScreeningTest, incompleteHeadIsUndecided)
 {
-    EXPECT_EQ(screen(head).decision, ShedDecision::Open);
-    EXPECT_EQ(counted, 0);
+    EXPECT_EQ(screen(head).decision, ShedDecision::Undecided);
+    EXPECT_EQ(countedRequests, 0);
 }
 
 // Guards against a body in a coding that isn't read being taken for the next request.
-TEST_F(ScreeningTest, bodyWithoutALengthIsNotDecided)
+TEST_F(ScreeningTest, bodyWithoutLengthIsUndecided)
 {
-    EXPECT_EQ(screen(head + "Transfer-Encoding: gzip\r\n\r\n").decision, ShedDecision::Open);
-    EXPECT_EQ(screen(head + "Transfer-Encoding: chunked\r\n\r\n").decision, ShedDecision::Open);
-    EXPECT_EQ(counted, 0);
+    EXPECT_EQ(screen(head + "Transfer-Encoding: gzip\r\n\r\n").decision, ShedDecision::Undecided);
+    EXPECT_EQ(screen(head + "Transfer-Encoding: chunked\r\n\r\n").decision,
+              ShedDecision::Undecided);
+    EXPECT_EQ(countedRequests, 0);
 }
 
 } // namespace
--- a/unittests/Platform/ProtocolTest.cpp
+++ b/unittests/Platform/ProtocolTest.cpp
@@ -23,17 +23,17 @@
     return request;
 }
 
-AnswerHead answer(unsigned status,
-                  std::initializer_list<std::pair<const char *, const char *>> fields)
+ResponseHead answer(unsigned status,
+                    std::initializer_list<std::pair<const char *, const char *>> fields)
 {
-    AnswerHead head;
+    ResponseHead head;
     head.result(status);
     for (const auto &[name, value] : fields)
         head.insert(name, value);
     return head;
 }
 
-const AttemptNames names {"9c41", "a", ""};
+const AttemptIds names {"9c41", "a", ""};
 
 } // namespace
 
@@ -76,9 +76,9 @@
     const PlatformProtocol protocol;
     for (const char *name : {"Tenant", "authorization", "Kv-From", "Pin-Ms", "Kv-Backup",
                              "Kv-Retain", "Expect-Replica", "Deadline-Ms"})
-        EXPECT_FALSE(protocol.passesRequestField(name)) << name;
+        EXPECT_FALSE(protocol.forwardsRequestField(name)) << name;
     for (const char *name : {"Request-Id", "Host", "Prefix-Hash", "Token-Count", "X-Other"})
-        EXPECT_TRUE(protocol.passesRequestField(name)) << name;
+        EXPECT_TRUE(protocol.forwardsRequestField(name)) << name;
 }
 
 TEST(PlatformProtocol, TheTargetIsToldWhoAndHowLong)
@@ -99,43 +99,45 @@
 {
     const PlatformProtocol protocol;
     EXPECT_TRUE(
-        protocol.readAnswer(answer(200, {{"Request-Id", "9c41"}, {"Replica-Seal", "s"}}), names)
-            .isUsable);
-    EXPECT_FALSE(protocol.readAnswer(answer(200, {{"Request-Id", "9c41"}}), names).isUsable);
-    EXPECT_FALSE(
         protocol
-            .readAnswer(answer(200, {{"Replica-Seal", "s"}, {"Content-Encoding", "gzip"}}), names)
+            .readResponseHead(answer(200, {{"Request-Id", "9c41"}, {"Replica-Seal", "s"}}), names)
             .isUsable);
+    EXPECT_FALSE(protocol.readResponseHead(answer(200, {{"Request-Id", "9c41"}}), names).isUsable);
+    EXPECT_FALSE(protocol
+                     .readResponseHead(
+                         answer(200, {{"Replica-Seal", "s"}, {"Content-Encoding", "gzip"}}), names)
+                     .isUsable);
 }
 
 // A late answer to an earlier request stands where the next one is expected.
 TEST(PlatformProtocol, AnswersToOtherRequestsAreKnownByTheirId)
 {
-    const AnswerFacts facts = PlatformProtocol().readAnswer(
+    const ResponseInfo facts = PlatformProtocol().readResponseHead(
         answer(200, {{"Request-Id", "0000"}, {"Replica-Seal", "s"}}), names);
-    EXPECT_FALSE(facts.isOwn);
+    EXPECT_FALSE(facts.isForThisRequest);
 }
 
 TEST(PlatformProtocol, FailuresSayWhetherTheRequestRan)
 {
     const PlatformProtocol protocol;
-    EXPECT_EQ(protocol.readAnswer(answer(503, {{"Not-Run", "1"}}), names).failure,
+    EXPECT_EQ(protocol.readResponseHead(answer(503, {{"Not-Run", "1"}}), names).failure,
               AttemptFailure::NotRun);
-    EXPECT_EQ(protocol.readAnswer(answer(421, {{"Replica-Id", "i-2"}}), names).failure,
+    EXPECT_EQ(protocol.readResponseHead(answer(421, {{"Replica-Id", "i-2"}}), names).failure,
               AttemptFailure::OtherTarget);
-    const AnswerFacts error
-        = protocol.readAnswer(answer(500, {{"Request-Id", "9c41"}, {"Replica-Seal", "s"}}), names);
+    const ResponseInfo error = protocol.readResponseHead(
+        answer(500, {{"Request-Id", "9c41"}, {"Replica-Seal", "s"}}), names);
     EXPECT_EQ(error.failure, AttemptFailure::TargetError);
-    EXPECT_TRUE(error.isPassable);
+    EXPECT_TRUE(error.isRelayable);
     // Passed on, these statuses would promise that the request has not run.
-    const AnswerFacts full = protocol.readAnswer(answer(503, {{"Replica-Seal", "s"}}), names);
+    const ResponseInfo full
+        = protocol.readResponseHead(answer(503, {{"Replica-Seal", "s"}}), names);
     EXPECT_EQ(full.failure, AttemptFailure::TargetError);
-    EXPECT_FALSE(full.isPassable);
+    EXPECT_FALSE(full.isRelayable);
 }
 
 TEST(PlatformProtocol, RetryAfterHasFractions)
 {
-    const StringResponse response = PlatformProtocol().problemAnswer(
+    const StringResponse response = PlatformProtocol().buildProblemResponse(
         {503, "full", "no room", Verdict::NotRun, Duration(60ms)}, "9c41");
     EXPECT_EQ(response[http::field::retry_after], "0.060");
     EXPECT_EQ(response["Request-Id"], "9c41");
