--- a/include/berylridge/Net/Asio.h
+++ b/include/berylridge/Net/Asio.h
@@ -1,4 +1,4 @@
-// Short names for the parts of Asio and Beast that this component uses.
+// Declares short names for the parts of Asio and Beast that this library uses.
 #pragma once
 
 #include "berylridge/Support/Endpoint.h"
@@ -35,14 +35,14 @@
     return {text.data(), text.size()};
 }
 
-/// The endpoint as Asio has it; an address that is no IP number gives the reason.
+/// Converts an endpoint to Asio's type. Returns the reason if the address is not an IP address.
 template <typename Protocol>
 Expected<typename Protocol::endpoint> asioEndpoint(const Endpoint &endpoint)
 {
     error_code error;
     const auto address = asio::ip::make_address(endpoint.address, error);
     if (error)
-        return Reason {endpoint.address + ": not an IP number"};
+        return Reason {endpoint.address + ": not an IP address"};
     return typename Protocol::endpoint(address, endpoint.port);
 }
 
--- a/include/berylridge/Net/Problem.h
+++ b/include/berylridge/Net/Problem.h
@@ -1,4 +1,4 @@
-// Answers that the router gives itself: problem details (RFC 9457) with the verdict.
+// Builds the responses that the router itself sends: problem details (RFC 9457) with a verdict.
 #pragma once
 
 #include "Asio.h"
@@ -16,16 +16,16 @@
 struct Problem
 {
     unsigned status = 503;
-    std::string type; ///< Last part of the problem type URI.
+    std::string type; ///< Last segment of the problem type URI.
     std::string title;
     Verdict verdict = Verdict::NotRun;
     std::optional<Duration> retryAfter;
 };
 
-/// The problem that a refusal of the core stands for.
+/// Converts a rejection by the core to a problem.
 Problem problemOf(const Refuse &refuse);
 
-/// The whole answer; its Content-Length is set.
+/// Returns the complete response with its Content-Length.
 StringResponse problemResponse(const Problem &problem, std::string_view requestId);
 
 } // namespace berylridge
--- a/include/berylridge/Net/WireProtocol.h
+++ b/include/berylridge/Net/WireProtocol.h
@@ -1,5 +1,6 @@
-// How requests and answers look in HTTP: the names of fields and what they mean. The shell forwards
-// by it; the product's own protocol is one, an adapter for a foreign platform brings another.
+// Defines the interface to an HTTP mapping: the names of header fields and their meaning. The shell
+// uses it to forward requests and responses. The product's native protocol is one implementation;
+// an adapter for a foreign platform provides another.
 #pragma once
 
 #include "berylridge/Net/Asio.h"
@@ -21,46 +22,49 @@
 using RequestHead = http::request<http::empty_body>;
 using CallerResponseHead = http::response<http::empty_body>;
 
-/// What the shell knows of an attempt when it writes the request's head for the target.
+/// Identifiers that the shell passes when it builds a request head for the target.
 struct AttemptIds
 {
     std::string_view requestId;
     std::string_view attemptId;   ///< Unique to this attempt.
-    std::string_view lastEventId; ///< Of the last event that the caller has; empty for none.
+    std::string_view lastEventId; ///< Id of the last event that the caller received; empty if none.
 };
 
-/// What a target's answer head says.
+/// Properties of a target's response head.
 struct ResponseInfo
 {
     bool isForThisRequest
-        = true;           ///< False for a late answer to an earlier request on the connection.
-    bool isUsable = true; ///< False where the answer can't be what the target meant to say.
-    /// NotRun, OtherTarget or TargetError where the answer is a failure: the core decides what
-    /// becomes of the request, and the caller sees nothing of it yet.
+        = true;           ///< False for a late response to an earlier request on the connection.
+    bool isUsable = true; ///< False if the response is inconsistent and must not be used.
+    /// Set to NotRun, OtherTarget or TargetError if the response reports a failure: the core then
+    /// decides how the request continues, and nothing is sent to the caller yet.
     std::optional<AttemptFailure> failure;
-    bool isRelayable = true;            ///< Whether a TargetError may reach the caller as it is.
-    std::string bootId;                 ///< Of the target; empty where it doesn't tell.
-    std::optional<Duration> coldFor {}; ///< How long the target says that it stays cold.
+    bool isRelayable = true; ///< Whether a TargetError may be relayed to the caller unchanged.
+    std::string bootId;      ///< Boot id of the target; empty if it sends none.
+    std::optional<Duration> coldFor {}; ///< How long the target reports that it stays cold.
 };
 
-/// Who sends a request, as its head says.
+/// Identity of a request's sender, from the request head.
 struct CallerIdentity
 {
-    std::string requestId;  ///< Empty where the caller gave none.
-    std::string credential; ///< The workspace's key; empty where there is none.
+    std::string requestId;  ///< Empty if the caller sent none.
+    std::string credential; ///< The workspace's key; empty if there is none.
 };
 
-/// Choices of a protocol that the shell itself acts on.
+/// Properties of a protocol that the shell itself depends on.
 struct WireProtocolTraits
 {
-    bool streamsEndWithDoneEvent = true;   ///< A stream is whole only after `data: [DONE]`.
-    bool acceptsUnframedResponses = false; ///< An answer without a length ends with its connection.
-    bool ignoresTrailingBytes = false;     ///< Bytes after a whole answer only end the connection.
-    /// A small answer is passed on when it is whole, so that one cut short can be tried again.
+    bool streamsEndWithDoneEvent = true; ///< Only `data: [DONE]` completes a stream.
+    bool acceptsUnframedResponses
+        = false; ///< The end of the connection ends a response without a length.
+    bool ignoresTrailingBytes = false; ///< Bytes after a complete response only end the connection.
+    /// A small response is relayed only when it is complete, so that a truncated one can be
+    /// retried.
     bool buffersSmallResponses = false;
 };
 
-/// What the shell needs of a protocol. Used by all traffic threads at once: it must not change.
+/// Requirements of the shell on a protocol. All traffic threads use it concurrently, so it must be
+/// immutable.
 template <typename T>
 concept WireProtocol
     = requires(const T &protocol, const StringRequest &request, std::string_view text,
@@ -93,25 +97,26 @@
         } -> std::same_as<WireProtocolTraits>;
 };
 
-/// A protocol as the shell holds it; the protocol itself must outlive it.
+/// Type-erased reference to a protocol, which must outlive the handle.
 struct WireProtocolHandle
 {
-    /// From the request's head; its body need not have been read.
+    /// Reads the request's head; the body need not have been received.
     std::function<CallerIdentity(const StringRequest &)> readCaller;
-    /// The event for a request that was read whole, without its handle; or why it is refused.
+    /// Converts a completely received request into an event, without its handle, or into the
+    /// problem with which it is rejected.
     std::function<std::variant<RequestArrived, Problem>(const StringRequest &,
                                                         std::string_view generatedId)>
         readRequest;
-    /// Whether a field of the caller's request goes to the target as it is.
+    /// Returns whether a field of the caller's request is forwarded to the target unchanged.
     std::function<bool(std::string_view)> forwardsRequestField;
-    /// Adds the fields that the router sets itself.
+    /// Adds the fields that the router itself sets.
     std::function<void(const StringRequest &, const Dispatch &, const AttemptIds &, RequestHead &)>
         completeRequestHead;
     std::function<ResponseInfo(const ResponseHead &, const AttemptIds &)> readResponseHead;
-    /// Whether a field of the target's answer goes to the caller as it is.
+    /// Returns whether a field of the target's response is forwarded to the caller unchanged.
     std::function<bool(std::string_view)> forwardsResponseField;
     std::function<void(std::string_view requestId, CallerResponseHead &)> completeResponseHead;
-    /// The whole answer that the router gives itself; its Content-Length is set.
+    /// Builds a complete response of the router itself, with its Content-Length.
     std::function<StringResponse(const Problem &, std::string_view requestId)> buildProblemResponse;
     WireProtocolTraits traits;
 
@@ -141,7 +146,7 @@
     }
 };
 
-/// The product's own protocol (docs/design/protocols.md).
+/// Returns the product's native protocol (docs/design/protocols.md).
 const WireProtocolHandle &nativeProtocol();
 
 } // namespace berylridge
--- a/lib/Net/CallerListener.cpp
+++ b/lib/Net/CallerListener.cpp
@@ -12,13 +12,14 @@
 
 namespace {
 
-/// Out of file descriptors: accepting at once again would only spin.
+/// Delay after a failed accept. If the process has no free file descriptors, an immediate retry
+/// would fail again and use up processor time.
 constexpr std::chrono::milliseconds acceptRetryDelay {100};
 
-/// Connections that wait to be taken. A thread without processor time answers so many within the
-/// second that callers wait; of a longer queue it would only take connections of callers who have
-/// given up.
-constexpr int queueLimit = 256;
+/// Limits the connections that wait to be accepted. A thread that gets almost no processor time
+/// still answers this many within the second for which callers wait; from a longer queue it would
+/// only accept connections of callers that have already timed out.
+constexpr int maxPendingConnections = 256;
 
 } // namespace
 
@@ -33,7 +34,7 @@
 
 std::string CallerListener::listen(const Endpoint &endpoint)
 {
-    std::string reason = openAcceptor(m_acceptor, endpoint, queueLimit);
+    std::string reason = openAcceptor(m_acceptor, endpoint, maxPendingConnections);
     if (!reason.empty())
         return reason;
     m_endpoint = boundEndpoint(m_acceptor);
@@ -74,10 +75,11 @@
 
 error_code CallerListener::acceptPending()
 {
-    // Whatever waits: no measure of the thread's load sees what stays in the system's queue. Not by
-    // Asio, which registers each connection with the event loop before anybody has looked at it.
-    // Bounded, so that a flood doesn't hold up what else the thread has to do.
-    for (int i = 0; i < queueLimit; ++i) {
+    // Accepts every pending connection, because no measure of the thread's load sees what stays in
+    // the system's queue. Calls accept4() directly, because Asio registers each connection with the
+    // event loop before its first bytes are examined. The count is bounded, so that a flood doesn't
+    // delay the thread's other work.
+    for (int i = 0; i < maxPendingConnections; ++i) {
         FileDescriptor connection(
             ::accept4(m_acceptor.native_handle(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
         if (connection.isOpen()) {
--- a/lib/Net/CallerListener.h
+++ b/lib/Net/CallerListener.h
@@ -1,4 +1,4 @@
-// Accepts callers' connections and deals them out to the traffic threads in turn.
+// Accepts callers' connections and assigns them to the traffic threads in round-robin order.
 #pragma once
 
 #include "berylridge/Net/Asio.h"
@@ -15,23 +15,25 @@
 
 class TrafficThread;
 
-/// Lives on the first traffic thread, so that a burst of connections doesn't hold up control.
+/// Runs on the first traffic thread, so that a burst of connections doesn't delay the control
+/// thread.
 class CallerListener
 {
 public:
     CallerListener(std::vector<std::unique_ptr<TrafficThread>> &threads,
                    std::function<void(const LogRecord &)> log);
 
-    /// Before the threads start. Empty where it listens, else why it can't.
+    /// Must be called before the threads start. Returns an empty string on success, else the reason
+    /// for the failure.
     std::string listen(const Endpoint &endpoint);
     Endpoint endpoint() const { return m_endpoint; }
 
-    /// From any thread.
+    /// Stops accepting connections. May be called from any thread.
     void close();
 
 private:
     void accept();
-    /// Takes the connections that wait; the error that ended it, if any.
+    /// Accepts the pending connections. Returns the error that stopped it, if any.
     error_code acceptPending();
     void onAcceptError(const error_code &error);
 
--- a/lib/Net/CallerRequest.cpp
+++ b/lib/Net/CallerRequest.cpp
@@ -17,7 +17,8 @@
 constexpr std::string_view keysPath = "/v1/idempotency-keys";
 constexpr std::size_t maxRequestIdLength = 128;
 constexpr std::size_t maxIdempotencyKeyLength = 255;
-/// Hints and waits beyond these say nothing of use and are left out.
+/// Cost hints and waits (in seconds) above these limits carry no useful information and are
+/// ignored.
 constexpr double maxCostHint = 86400;
 constexpr std::uint64_t maxQueueWaitSeconds = 86400;
 
@@ -31,7 +32,8 @@
     return !text.empty() && text.size() <= limit && isVisibleAscii(text);
 }
 
-/// The text without a given prefix, compared without regard to case; nothing where it has another.
+/// Returns the text after the prefix, which is compared case-insensitively; nothing if the text
+/// doesn't start with it.
 std::optional<std::string_view> afterPrefix(std::string_view text, std::string_view prefix)
 {
     if (text.size() < prefix.size()
@@ -51,7 +53,7 @@
     return hint;
 }
 
-/// Of `Prefer: wait=N` (RFC 7240); other preferences are passed over.
+/// Parses `Prefer: wait=N` (RFC 7240) and ignores other preferences.
 std::optional<Duration> maxQueueWaitOf(const StringRequest &request)
 {
     std::string_view rest = view(request["Prefer"]);
@@ -76,7 +78,7 @@
     return {400, std::move(type), std::move(title), Verdict::NotRun, std::nullopt};
 }
 
-/// Splits "/v1/services/{service}/{path...}"; false where the target has another shape.
+/// Splits "/v1/services/{service}/{path...}". Returns false if the request target has another form.
 bool parseRequestTarget(std::string_view target, RequestArrived &arrived)
 {
     if (!target.starts_with(pathPrefix))
--- a/lib/Net/CallerRequest.h
+++ b/lib/Net/CallerRequest.h
@@ -1,4 +1,4 @@
-// Reads what the core must know out of a caller's HTTP request.
+// Parses a caller's HTTP request into the event that the core receives.
 #pragma once
 
 #include "berylridge/Net/Asio.h"
@@ -12,7 +12,7 @@
 
 namespace berylridge {
 
-/// Names of fields that stand in requests and answers on both sides.
+/// Names of the header fields used in requests and responses, towards callers and targets.
 namespace fields {
 inline constexpr std::string_view requestId = "X-Request-Id";
 inline constexpr std::string_view attemptId = "X-Attempt-Id";
@@ -24,19 +24,20 @@
 inline constexpr std::string_view verdict = "Berylridge-Verdict";
 } // namespace fields
 
-/// The event for a request that was read whole, without its handle; or why it is refused. The
-/// service is empty where the caller asks for an idempotency key instead (POST
-/// /v1/idempotency-keys). The id is used where the caller gave none.
+/// Converts a completely received request into an event, without its handle, or into the problem
+/// with which it is rejected. The service is empty if the caller requests an idempotency key
+/// instead (POST /v1/idempotency-keys). `generatedId` becomes the request id if the caller sent
+/// none.
 std::variant<RequestArrived, Problem> readCallerRequest(const StringRequest &request,
                                                         std::string_view generatedId);
 
-/// The workspace's key in the request's head; empty where there is none.
+/// Returns the workspace's key from the request head; empty if there is none.
 std::string credentialOf(const StringRequest &request);
 
-/// The problem that stands for an error of the HTTP parser; nothing where the connection broke.
+/// Maps an error of the HTTP parser to a problem; returns nothing if the connection broke.
 std::optional<Problem> problemOfParserError(const error_code &error);
 
-/// Whether a field is meant for one connection only (RFC 9110, section 7.6.1).
+/// Returns whether a field applies to a single connection only (RFC 9110, section 7.6.1).
 bool isHopByHop(std::string_view field, std::string_view connection);
 
 } // namespace berylridge
--- a/lib/Net/CallerSession.cpp
+++ b/lib/Net/CallerSession.cpp
@@ -15,16 +15,16 @@
 
 namespace {
 
-/// Between two requests on a connection.
+/// Limit for the time between two requests on a connection.
 constexpr std::chrono::seconds keepAliveTimeout {75};
-/// For a caller that reads nothing at all; its immediateResponse holds a target's slot as long as
-/// it streams.
+/// Limit for a caller that reads nothing at all: its response occupies a slot of the target for as
+/// long as it streams.
 constexpr std::chrono::seconds writeStallTimeout {30};
-/// For the caller to take in an immediateResponse that makes the router close.
+/// Time for the caller to read a response after which the router closes the connection.
 constexpr std::chrono::seconds lingerTimeout {2};
 constexpr std::size_t headReadBytes = 2 << 10;
 constexpr std::size_t bodyReadBytes = 64 << 10;
-/// Room beyond the head limit, so that the parser can say which limit was passed.
+/// Space beyond the head limit, so that the parser can report which limit was exceeded.
 constexpr std::size_t bufferSlackBytes = 128 << 10;
 constexpr std::string_view continueResponse = "HTTP/1.1 100 Continue\r\n\r\n";
 
@@ -158,8 +158,8 @@
         onCallerDisconnected();
         return;
     }
-    // A pipelined request: kept up to the head limit, read when its turn comes. Beyond that the
-    // connection is no longer watched, so that a caller can't make memory grow.
+    // Buffers a pipelined request up to the head limit; it is parsed after the current one. Beyond
+    // that limit the router stops reading, so that a caller can't make its memory grow.
     const std::size_t limit = m_thread.options().headerLimit;
     if (m_buffer.size() >= limit)
         return;
@@ -177,8 +177,8 @@
     m_parser = std::make_unique<http::request_parser<http::string_body>>();
     m_parser->header_limit(static_cast<std::uint32_t>(options.headerLimit));
     m_parser->body_limit(options.bodyLimit);
-    // One limit for head and body: a caller that sends a byte now and then can't hold on for
-    // longer.
+    // A single timeout covers head and body, so that a caller can't hold the connection for longer
+    // by sending a byte now and then.
     m_deadline->set(Deadline::Clock::now() + options.readTimeout, [weak = weak_from_this()] {
         if (const auto self = weak.lock()) {
             self->m_isReadTimedOut = true;
@@ -202,15 +202,15 @@
     }
     const auto &request = m_parser->get();
     if (request.version() != 11) {
-        // Without chunks an older caller couldn't tell a abortConnection immediateResponse from a
-        // whole one.
-        sendProblem({505, "http-version", "the router speaks HTTP/1.1", Verdict::NotRun, {}},
+        // A caller of an older HTTP version doesn't support chunked coding and couldn't distinguish
+        // a truncated response from a complete one.
+        sendProblem({505, "http-version", "the router supports only HTTP/1.1", Verdict::NotRun, {}},
                     false);
         return;
     }
     const auto coding = request.find(http::field::transfer_encoding);
     if (coding != request.end() && !beast::iequals(coding->value(), "chunked")) {
-        sendProblem({501, "transfer-coding", "chunked is the only transfer coding known",
+        sendProblem({501, "transfer-coding", "the only known transfer coding is chunked",
                      Verdict::NotRun, std::nullopt},
                     false);
         return;
@@ -235,7 +235,7 @@
 {
     const std::uint64_t remainingBytes
         = m_parser->is_done() ? 0 : m_parser->content_length_remaining().value_or(~0ULL);
-    // A connection whose request is here to its end can go on, or be closed without a reset.
+    // After a completely received request, the connection can be kept or closed without a reset.
     m_isRequestComplete = remainingBytes <= m_buffer.size();
     if (m_isRequestComplete)
         m_buffer.consume(remainingBytes);
@@ -280,7 +280,7 @@
     m_deadline->clear();
     m_state = State::Waiting;
     if (m_buffer.size() == 0)
-        m_buffer.shrink_to_fit(); // A waiting request may wait for long.
+        m_buffer.shrink_to_fit(); // The request may wait for a long time.
     ++m_thread.metrics().requestsReceived;
     if (hasCallerDisconnected()) {
         m_thread.countAbandonedRequest();
@@ -319,7 +319,7 @@
     arrived.handle = handle;
     m_exchange
         = std::make_shared<Exchange>(m_thread, shared_from_this(), arrived, std::move(request));
-    m_thread.begin(handle, m_exchange);
+    m_thread.addExchange(handle, m_exchange);
     if (arrived.service.isEmpty() && arrived.host.empty())
         m_thread.report(KeyIssueRequested {handle, arrived.requestId, arrived.credential});
     else
@@ -408,9 +408,9 @@
 
 void CallerSession::linger()
 {
-    // Closing with unread bytes would make the system send a reset, which can destroy the
-    // immediateResponse before the caller has read it. So the caller is told the end, and its bytes
-    // are dropped for a short while.
+    // Closing a socket with unread bytes makes the system send a reset, which can destroy the
+    // response before the caller has read it. Therefore only the sending side is shut down, and
+    // incoming bytes are discarded for a short time.
     m_state = State::Closing;
     m_buffer.clear();
     m_buffer.shrink_to_fit();
--- a/lib/Net/CallerSession.h
+++ b/lib/Net/CallerSession.h
@@ -1,4 +1,4 @@
-// One connection of a caller: reads its requests one after another and writes their answers.
+// Serves one connection of a caller: reads its requests one after another and writes the responses.
 #pragma once
 
 #include "Deadline.h"
@@ -26,16 +26,17 @@
     CallerSession(const CallerSession &) = delete;
     CallerSession &operator=(const CallerSession &) = delete;
 
-    /// received: what was read from the connection so far, and the decision on it.
+    /// Starts with the bytes received so far and the shedding decision on them.
     void start(std::string_view received, ShedDecision decision);
 
-    /// Queues bytes of an answer; written is called once the operating system has taken them.
+    /// Queues bytes of a response. Calls `written` once the operating system has accepted them.
     void write(std::string bytes, std::function<void()> written);
 
-    /// The request's answer is written: goes on to the next request, or closes.
+    /// Called when the response is completely written: continues with the next request, or closes
+    /// the connection.
     void endExchange(bool keepAlive);
 
-    /// Closes at once, so that the caller sees that its answer is incomplete.
+    /// Closes the connection immediately, so that the caller sees that the response is incomplete.
     void abortConnection();
 
     bool hasPendingWrite() const { return !m_writeQueue.empty(); }
@@ -43,12 +44,12 @@
 private:
     enum class State : std::uint8_t {
         Idle,    ///< Between requests.
-        Reading, ///< A request is coming in.
-        Waiting, ///< For the answer, or while it streams.
+        Reading, ///< Receiving a request.
+        Waiting, ///< Waiting for the response or streaming it.
         Closing,
     };
 
-    /// Bytes of an answer on their way out.
+    /// Bytes of a response that are queued for writing.
     struct PendingWrite
     {
         std::string bytes;
@@ -58,7 +59,7 @@
     void awaitRequest();
     void waitReadable();
     void onReadable(error_code error);
-    /// Reads a request's first bytes, and refuses it where it is shed.
+    /// Reads the first bytes of a request and rejects the request if it is shed.
     void readAndScreen();
     void writeImmediateResponse(const Screening &screening);
     void waitIdle();
@@ -68,7 +69,8 @@
     void rejectOverloaded(std::string_view requestId);
     void readRest();
     void onRequest();
-    /// Whether bytes or the end wait to be read, without taking them.
+    /// Checks for readable data without consuming it. Returns success if bytes are pending,
+    /// would_block if nothing is, else the error or the end of the stream.
     error_code peek();
     bool hasCallerDisconnected();
     void onReadError(error_code error);
@@ -89,10 +91,10 @@
     std::shared_ptr<Exchange> m_exchange;
     std::deque<PendingWrite> m_writeQueue;
     State m_state = State::Idle;
-    ShedDecision m_shedDecision = ShedDecision::Undecided; ///< On the request that is being read.
+    ShedDecision m_shedDecision = ShedDecision::Undecided; ///< For the request that is being read.
     bool m_isWaitingReadable = false;
     bool m_isReadTimedOut = false;
-    bool m_isRequestComplete = false; ///< Refused, with all its bytes here.
+    bool m_isRequestComplete = false; ///< The request was rejected after all its bytes had arrived.
     bool m_isWriteActive = false;
 };
 
--- a/lib/Net/ConnectionPool.cpp
+++ b/lib/Net/ConnectionPool.cpp
@@ -11,7 +11,8 @@
 
 namespace {
 
-/// A byte or an end that waits on an idle connection is something unexpected.
+/// Returns whether neither bytes nor an end of stream are pending on an idle connection; both are
+/// unexpected there.
 bool hasNoPendingInput(tcp::socket &socket)
 {
     std::array<char, 1> byte {};
@@ -54,7 +55,7 @@
         const Idle &last = idle.back();
         if (now > (resendPolicy == ResendPolicy::Allowed ? last.usableWithResendUntil
                                                          : last.usableWithoutResendUntil))
-            return std::nullopt; // The others have been idle for longer.
+            return std::nullopt; // The other connections have been idle for longer.
         tcp::socket socket = std::move(idle.back().socket);
         idle.pop_back();
         if (hasNoPendingInput(socket))
@@ -68,7 +69,7 @@
                          Clock::time_point now)
 {
     error_code error;
-    if (!socket.non_blocking()) // Once a connection: it is a system call.
+    if (!socket.non_blocking()) // Set only once per connection, to save the system call.
         socket.non_blocking(true, error);
     auto &idle = m_idle[endpoint];
     if (error || idle.size() >= limit)
--- a/lib/Net/ConnectionPool.h
+++ b/lib/Net/ConnectionPool.h
@@ -1,4 +1,5 @@
-// Keep-alive connections of one traffic thread to targets, clean ones only.
+// Pools the keep-alive connections of one traffic thread to targets, only those without unread
+// bytes.
 #pragma once
 
 #include "berylridge/Net/Asio.h"
@@ -13,42 +14,45 @@
 
 namespace berylridge {
 
-/// How long the server says that it keeps an idle connection (RFC 2068, 19.7.1.1); nothing where it
-/// doesn't say, or says it in another form.
+/// Returns how long the server announces to keep an idle connection (RFC 2068, section 19.7.1.1);
+/// nothing if it announces no time, or in another form.
 std::optional<std::chrono::seconds> announcedIdleTimeout(const http::fields &head);
 
-/// Not safe for use by two threads at once.
+/// Not thread-safe.
 class ConnectionPool
 {
 public:
     using Clock = std::chrono::steady_clock;
 
-    /// Below the idle limits that servers usually have, so that they seldom close first.
+    /// Below the usual idle timeouts of servers, so that they seldom close a connection first.
     static constexpr std::chrono::seconds maxIdleTime {4};
-    /// For a request that may run once, where the target tells no limit of its own: a limit that is
-    /// announced in seconds is left out below one.
+    /// For a request that must not be resent, if the target announces no idle timeout. Servers
+    /// announce whole seconds, so a server whose timeout is below one second announces none.
     static constexpr std::chrono::milliseconds maxIdleTimeWithoutResend {250};
-    /// Parts of a announced limit that may pass; the rest is the request's way there.
+    /// Fractions of an announced idle timeout during which a connection is used. The rest is
+    /// reserved for the request's way to the target.
     static constexpr double idleFractionWithoutResend = 0.5;
     static constexpr double idleFractionWithResend = 0.8;
 
-    /// A connection on which nothing has arrived since its last answer, and which the target won't
-    /// close as idle while the request is on its way. The one used last: it is the safest, and the
-    /// others can be closed when the load falls.
+    /// Returns a connection on which nothing has arrived since its last response, and which the
+    /// target won't close as idle while the request is on its way. Returns the most recently used
+    /// one: it is the safest, and the others can be closed when the load decreases.
     std::optional<tcp::socket> take(const Endpoint &endpoint, ResendPolicy resendPolicy,
                                     Clock::time_point now);
 
-    /// Only after a whole answer, with no byte left over. `announced` is the target's idle limit;
-    /// at most `limit` connections are kept to the target.
+    /// Adds a connection. Must be called only after a complete response without trailing bytes.
+    /// `announced` is the target's idle timeout; at most `limit` connections to the target are
+    /// kept.
     void put(const Endpoint &endpoint, tcp::socket socket,
              std::optional<std::chrono::seconds> announced, std::size_t limit,
              Clock::time_point now);
 
-    /// Closes what is kept to the target: a connection to it broke or fell silent, so the others
-    /// are in doubt. A new one shows at once, with nothing sent, whether the target is there.
+    /// Closes the pooled connections to the target. Called after one of them broke or stopped
+    /// responding, because the others may be broken too; a new connection shows whether the target
+    /// is reachable before anything is sent.
     void drop(const Endpoint &endpoint) { m_idle.erase(endpoint); }
 
-    /// Closes what has been idle for too long.
+    /// Closes connections whose idle time has expired.
     void closeIdle(Clock::time_point now);
 
     void clear() { m_idle.clear(); }
@@ -57,8 +61,8 @@
     struct Idle
     {
         tcp::socket socket;
-        Clock::time_point usableWithResendUntil;    ///< For requests that may be repeated.
-        Clock::time_point usableWithoutResendUntil; ///< For requests that may run once.
+        Clock::time_point usableWithResendUntil;    ///< For requests that may be resent.
+        Clock::time_point usableWithoutResendUntil; ///< For requests that must not be resent.
     };
 
     std::map<Endpoint, std::vector<Idle>> m_idle;
--- a/lib/Net/Deadline.h
+++ b/lib/Net/Deadline.h
@@ -1,4 +1,4 @@
-// A deadline that is moved often and seldom reached.
+// Implements a deadline that is moved often and seldom reached.
 #pragma once
 
 #include "berylridge/Net/Asio.h"
@@ -11,8 +11,9 @@
 
 namespace berylridge {
 
-/// Moving it forward only writes a number: the timer looks when it fires whether it still is due.
-/// Re-arming an Asio timer for each read of a stream costs two queue operations a read instead.
+/// Postponing the deadline only stores the new time; when the timer fires, it checks whether the
+/// deadline is due and otherwise waits again. Re-arming an Asio timer for each read of a stream
+/// would cost two queue operations per read.
 class Deadline : public std::enable_shared_from_this<Deadline>
 {
 public:
@@ -23,7 +24,7 @@
     {
     }
 
-    /// Calls expired once at that time, unless it is moved or cleared before.
+    /// Calls `expired` once at the given time, unless the deadline is moved or cleared before.
     void set(Clock::time_point due, std::function<void()> expired)
     {
         m_due = due;
@@ -32,7 +33,7 @@
             arm();
     }
 
-    /// Keeps what it calls.
+    /// Changes the time and keeps the callback.
     void move(Clock::time_point due)
     {
         m_due = due;
@@ -42,7 +43,7 @@
 
     void clear() { m_expired = nullptr; }
 
-    /// Nothing is called any more, and nothing keeps an io_context running.
+    /// Clears the callback and cancels the timer, so that it doesn't keep an io_context running.
     void stop()
     {
         clear();
--- a/lib/Net/EventStream.cpp
+++ b/lib/Net/EventStream.cpp
@@ -17,7 +17,7 @@
     return number;
 }
 
-/// One line without its end; removes it from the text.
+/// Returns the next line without its terminator and removes it from the text.
 std::string_view takeLine(std::string_view &text)
 {
     const std::size_t end = text.find('\n');
@@ -28,7 +28,7 @@
     return line;
 }
 
-/// The value of a field's line, where the line is of that field.
+/// Returns the field's value if the line holds that field.
 std::optional<std::string_view> fieldValue(std::string_view line, std::string_view name)
 {
     if (!line.starts_with(name))
@@ -44,7 +44,7 @@
     return line;
 }
 
-/// Where the first event ends, its blank line included.
+/// Returns the position after the first event, including its blank line.
 std::size_t endOfEvent(std::string_view text, std::size_t from)
 {
     for (std::size_t at = text.find('\n', from); at != std::string_view::npos;
@@ -68,7 +68,7 @@
 
 bool EventStream::feed(std::string_view bytes, std::string &out)
 {
-    // An end may straddle two pieces by three bytes at most ("\n\r" + "\n").
+    // At most three bytes of a terminator ("\n\r" + "\n") can precede the new bytes.
     const std::size_t before = m_pending.size();
     std::size_t searchFrom = before < 3 ? 0 : before - 3;
     m_pending.append(bytes);
@@ -104,8 +104,8 @@
     if (m_isDone)
         return false;
     const std::optional<std::uint64_t> number = id ? parseEventNumber(*id) : std::nullopt;
-    // A replica that resumes may repeat events: ids rise, so what isn't higher was passed on
-    // before.
+    // A resuming replica may repeat events. Event numbers increase, so an event without a higher
+    // number was already forwarded.
     if (number && m_lastEventNumber && *number <= *m_lastEventNumber)
         return true;
     if (id) {
--- a/lib/Net/EventStream.h
+++ b/lib/Net/EventStream.h
@@ -1,4 +1,4 @@
-// Passes on a server-sent event stream by whole events, so that it can be resumed after the last
+// Forwards a server-sent event stream by complete events, so that it can be resumed after the last
 // one.
 #pragma once
 
@@ -10,34 +10,37 @@
 
 namespace berylridge {
 
-/// Follows the events of one answer over all attempts that add to it. Only whole events come out:
-/// a caller never gets half of one that a resumed stream would bring again.
+/// Tracks the events of one response across all attempts that contribute to it. Only complete
+/// events are forwarded, so a caller never receives part of an event that a resumed stream would
+/// send again.
 class EventStream
 {
 public:
-    /// Longest event that is held back until it is whole.
+    /// Maximum size of an event that is buffered until it is complete.
     static constexpr std::size_t maxEventBytes = 1 << 20;
 
-    /// Whether only `data: [DONE]` makes a stream whole; else the end of the answer does.
+    /// With `endsWithDoneEvent`, only `data: [DONE]` completes the stream; otherwise the end of the
+    /// response does.
     explicit EventStream(bool endsWithDoneEvent = true)
         : m_endsWithDoneEvent(endsWithDoneEvent)
     {
     }
 
-    /// Takes in bytes of the current attempt; appends to out what may be passed on. False where the
-    /// stream is unusable: an event beyond the limit or something after the end.
+    /// Consumes bytes of the current attempt and appends the events to be forwarded to `out`.
+    /// Returns false if the stream is invalid: an event above the limit or data after the end.
     bool feed(std::string_view bytes, std::string &out);
 
-    /// Another attempt goes on after lastId(): drops the half event that the last one left.
+    /// Starts another attempt, which continues after lastId(). Discards the incomplete event of the
+    /// previous attempt.
     void beginAttempt() { m_pending.clear(); }
 
-    /// Sets the id that the caller itself had from an earlier connection.
+    /// Sets the id of the last event that the caller received on an earlier connection.
     void setLastId(std::string_view id);
 
-    /// The id of the last event that was passed on; empty where none had one.
+    /// Returns the id of the last forwarded event; empty if no event had an id.
     const std::string &lastId() const { return m_lastId; }
 
-    /// Whether the stream is whole if its answer ends here.
+    /// Returns whether the stream is complete if the response ends here.
     bool isDone() const { return m_endsWithDoneEvent ? m_isDone : m_pending.empty(); }
 
 private:
--- a/lib/Net/Exchange.cpp
+++ b/lib/Net/Exchange.cpp
@@ -23,8 +23,8 @@
         && head.count(http::field::content_encoding) == 0;
 }
 
-/// Whether an sendResponse may be heldBody until it is whole; one without a length ends with its
-/// connection.
+/// Returns whether a response may be held until it is complete. A response without a length ends
+/// with its connection.
 bool isBufferable(const ResponseHead &head)
 {
     const auto length = head.find(http::field::content_length);
@@ -64,7 +64,8 @@
     m_heldResponse.reset();
     m_dispatch = command;
     if (m_isResponseStarted && !m_stream) {
-        // Only an event stream can go on elsewhere; anything else would be glued from two answers.
+        // Only an event stream can resume at another target. Any other response would be joined
+        // from two different ones.
         onAttemptFailed(AttemptFailure::InvalidResponse, false);
         return;
     }
@@ -73,7 +74,7 @@
     m_attempt = std::make_shared<TargetAttempt>(
         m_thread.context(), m_thread.pool(), m_thread.metrics(), m_thread.protocol().traits,
         shared_from_this(), command, targetRequest(command));
-    const auto attempt = m_attempt; // start() may fail at once and let go of it.
+    const auto attempt = m_attempt; // start() may fail immediately and reset m_attempt.
     attempt->start();
 }
 
@@ -157,7 +158,8 @@
     for (const auto &field : head) {
         const std::string_view name = view(field.name_string());
         const bool isLength = field.name() == http::field::content_length;
-        // A stream that is resumed elsewhere has another length than the first replica announced.
+        // A stream that is resumed elsewhere has another length than the one the first replica
+        // announced.
         if (isHopByHop(name, connection) || !m_thread.protocol().forwardsResponseField(name)
             || (isLength && m_stream))
             continue;
@@ -193,20 +195,19 @@
         return;
     }
     m_attempt.reset();
-    attempt->resume(); // Gives the connection back.
+    attempt->resume(); // Returns the connection to the pool.
     reportHeldFailure();
 }
 
 void Exchange::reportHeldFailure()
 {
-    // A failure that is too large to be kept, or was itself abortConnection short, can't be passed
-    // on.
+    // An error response that is too large to be held, or was truncated itself, can't be relayed.
     const bool hasHeldResponse = m_heldResponse->isComplete && m_heldResponse->isRelayable
         && !m_isResponseStarted && m_heldResponse->body.size() <= maxStoredResponseBytes;
     m_thread.report(AttemptFailed {m_handle, m_dispatch.attempt, *m_heldResponse->failure, true,
                                    m_isResponseStarted, hasHeldResponse, m_coldFor});
     if (!m_session)
-        m_thread.end(m_handle);
+        m_thread.removeExchange(m_handle);
 }
 
 void Exchange::relayHeldResponse(const RelayHeldResponse &command)
@@ -236,7 +237,7 @@
         relayBody(events, isEnd);
         return std::nullopt;
     }
-    // Whole events before the fault are passed on: a resumed stream begins after them.
+    // Relays the complete events before the fault, because a resumed stream starts after them.
     if (m_session && !events.empty())
         m_session->write(encodeForCaller(events, false), [] {});
     return isUsable ? AttemptFailure::TruncatedResponse : AttemptFailure::InvalidResponse;
@@ -339,14 +340,14 @@
     m_attempt.reset();
     m_isAwaitingWrite = false;
     if (m_heldResponse && m_heldResponse->failure) {
-        reportHeldFailure(); // The head said enough, though its body never came.
+        reportHeldFailure(); // The head was sufficient, although the body never arrived.
         return;
     }
     m_heldResponse.reset();
     m_thread.report(
         AttemptFailed {m_handle, m_dispatch.attempt, failure, sentAny, m_isResponseStarted});
     if (!m_session)
-        m_thread.end(m_handle);
+        m_thread.removeExchange(m_handle);
 }
 
 void Exchange::abort(AttemptNumber attempt)
@@ -356,7 +357,7 @@
     m_attempt->abort();
     m_attempt.reset();
     if (!m_session)
-        m_thread.end(m_handle);
+        m_thread.removeExchange(m_handle);
 }
 
 void Exchange::refuse(const Refuse &command)
@@ -411,7 +412,7 @@
     ++m_thread.metrics().callersGone;
     m_thread.report(CallerGone {m_handle});
     if (!m_attempt) {
-        m_thread.end(m_handle);
+        m_thread.removeExchange(m_handle);
         return;
     }
     if (std::exchange(m_isAwaitingWrite, false))
@@ -433,7 +434,7 @@
     ++m_thread.metrics().requestsByVerdict[static_cast<std::size_t>(verdict)];
     m_thread.metrics().whole.add(
         std::chrono::duration_cast<Duration>(std::chrono::steady_clock::now() - m_arrival));
-    m_thread.end(m_handle);
+    m_thread.removeExchange(m_handle);
 }
 
 bool Exchange::shouldKeepAlive() const
--- a/lib/Net/Exchange.h
+++ b/lib/Net/Exchange.h
@@ -1,4 +1,4 @@
-// One caller's request from its arrival to the end of its sendResponse, over all attempts at
+// Handles one caller's request from its arrival to the end of its response, across all attempts at
 // targets.
 #pragma once
 
@@ -20,22 +20,23 @@
 class CallerSession;
 class TrafficThread;
 
-/// A target's sendResponse that is held back: a failure until the core has decided, and a small one
-/// until it is whole.
+/// A target's response that is held back: an error until the core has decided what to do, a small
+/// response until it is complete.
 struct HeldResponse
 {
     std::optional<AttemptFailure> failure;
     std::string body;
     bool isComplete = false;
-    bool isRelayable = false; ///< A failure that may reach the caller as it is.
+    bool isRelayable = false; ///< Whether an error may be relayed to the caller unchanged.
 };
 
-/// Lives on its traffic thread. Where the caller leaves while an attempt runs, the attempt goes on
-/// until the core aborts it: the sendResponse may have to be kept for repeats of its key.
+/// Runs on its traffic thread. If the caller disconnects during an attempt, the attempt continues
+/// until the core aborts it, because the response may have to be stored for repeats of its
+/// idempotency key.
 class Exchange : public AttemptOwner, public std::enable_shared_from_this<Exchange>
 {
 public:
-    /// Larger answers are not kept for repeats.
+    /// Larger responses are not stored for repeats of an idempotency key.
     static constexpr std::size_t maxStoredResponseBytes = 64 << 10;
 
     Exchange(TrafficThread &thread, std::shared_ptr<CallerSession> session,
@@ -71,27 +72,28 @@
     bool shouldKeepAlive() const;
 
     TrafficThread &m_thread;
-    std::shared_ptr<CallerSession> m_session; ///< Empty once the caller has gone.
+    std::shared_ptr<CallerSession> m_session; ///< Empty once the caller has disconnected.
     const RequestHandle m_handle;
     const std::string m_requestId;
     const std::string m_path;
-    const std::string m_callerLastEventId; ///< Of the last event that the caller had before.
+    const std::string m_callerLastEventId; ///< Id of the last event that the caller had received
+                                           ///< before this request.
     const StringRequest m_request;
-    /// Decided once: an sendResponse whose head keeps the connection must not be followed by its
-    /// end, which would meet the caller's next request.
+    /// Decided once per request: a response whose head announces keep-alive must not be followed by
+    /// closing the connection, which could hit the caller's next request.
     const bool m_isKeepAliveAllowed;
     const std::chrono::steady_clock::time_point m_arrival;
     std::shared_ptr<TargetAttempt> m_attempt;
     Dispatch m_dispatch;
-    http::response<http::empty_body> m_head; ///< As the caller gets it.
+    http::response<http::empty_body> m_head; ///< The response head that the caller receives.
     std::string m_bootId;
     std::optional<EventStream> m_stream;
     std::optional<std::string> m_storedBody;
     std::optional<HeldResponse> m_heldResponse;
-    std::optional<Duration> m_coldFor; ///< As the last sendResponse said.
+    std::optional<Duration> m_coldFor; ///< Remaining cold time that the last response reported.
     std::uint64_t m_bodyBytes = 0;
     bool m_isResponseStarted
-        = false; ///< Part of an sendResponse was handed to the caller's connection.
+        = false; ///< Whether part of a response was written to the caller's connection.
     bool m_isAwaitingWrite = false;
 };
 
--- a/lib/Net/FileDescriptor.h
+++ b/lib/Net/FileDescriptor.h
@@ -27,7 +27,7 @@
 
     bool isOpen() const { return m_number != none; }
     int number() const { return m_number; }
-    /// The caller owns it from now on.
+    /// Transfers ownership to the caller.
     int release() { return std::exchange(m_number, none); }
 
 private:
--- a/lib/Net/HttpListener.cpp
+++ b/lib/Net/HttpListener.cpp
@@ -12,7 +12,8 @@
 
 namespace {
 
-/// Out of file descriptors: accepting at once again would only spin.
+/// Delay after a failed accept. If the process has no free file descriptors, an immediate retry
+/// would fail again and use up processor time.
 constexpr std::chrono::milliseconds acceptRetryDelay {100};
 
 } // namespace
@@ -22,7 +23,7 @@
     ListenerLimits limits;
     Handler handler;
     std::uint32_t connections = 0;
-    bool isOpen = true; ///< False once the listener is gone; sessions then end.
+    bool isOpen = true; ///< False after the listener is destroyed; sessions then end.
 };
 
 class HttpListener::Session : public std::enable_shared_from_this<Session>
--- a/lib/Net/HttpListener.h
+++ b/lib/Net/HttpListener.h
@@ -1,4 +1,4 @@
-// A small HTTP server for operators and other nodes, on the control thread.
+// Implements a small HTTP server for operators and other nodes, on the control thread.
 #pragma once
 
 #include "berylridge/Net/Asio.h"
@@ -17,10 +17,10 @@
 {
     std::uint64_t bodyLimit = 1 << 20;
     std::uint32_t connectionLimit = 256;
-    Duration idleTimeout = std::chrono::seconds(60); ///< Also for a request to come in whole.
+    Duration idleTimeout = std::chrono::seconds(60); ///< Also limits the time to receive a request.
 };
 
-/// Answers each request by one call of a function.
+/// Answers each request with one call of a function.
 class HttpListener
 {
 public:
@@ -31,10 +31,10 @@
     HttpListener(const HttpListener &) = delete;
     HttpListener &operator=(const HttpListener &) = delete;
 
-    /// Empty where it listens; else why it can't.
+    /// Returns an empty string on success, else the reason for the failure.
     std::string listen(const Endpoint &endpoint);
 
-    /// Where it listens, with the port that the system chose where 0 was asked for.
+    /// Returns the bound endpoint, with the port that the system chose if port 0 was requested.
     Endpoint endpoint() const;
 
 private:
@@ -48,12 +48,12 @@
     std::shared_ptr<Shared> m_shared;
 };
 
-/// Opens a listening socket on the endpoint, with so many connections that may wait to be taken.
-/// Empty where it listens, else why it can't.
+/// Opens a listening socket on the endpoint; at most `backlog` connections wait to be accepted.
+/// Returns an empty string on success, else the reason for the failure.
 std::string openAcceptor(tcp::acceptor &acceptor, const Endpoint &endpoint,
                          int backlog = tcp::acceptor::max_listen_connections);
 
-/// Where a listening socket is bound.
+/// Returns the endpoint to which a listening socket is bound.
 Endpoint boundEndpoint(const tcp::acceptor &acceptor);
 
 } // namespace berylridge
--- a/lib/Net/HttpSerialization.h
+++ b/lib/Net/HttpSerialization.h
@@ -1,4 +1,4 @@
-// HTTP heads and whole messages as the bytes that go over the wire.
+// Serializes HTTP heads and complete messages into the bytes that are sent.
 #pragma once
 
 #include "berylridge/Net/Asio.h"
@@ -9,7 +9,7 @@
 
 namespace berylridge {
 
-/// Appends what Beast's serializer gives out for the message: all of it, or its head alone.
+/// Appends the output of Beast's serializer for the complete message, or for its head alone.
 template <bool isRequest, typename Body, typename Fields>
 void appendSerializedHttp(const http::message<isRequest, Body, Fields> &message, bool isHeadOnly,
                           std::string &out)
--- a/lib/Net/Mailbox.h
+++ b/lib/Net/Mailbox.h
@@ -1,4 +1,4 @@
-// Hands values from any thread to the one that runs an io_context, many at a time.
+// Transfers values from any thread to the thread that runs an io_context, in batches.
 #pragma once
 
 #include "berylridge/Net/Asio.h"
@@ -12,7 +12,8 @@
 
 namespace berylridge {
 
-/// Waking the other thread costs a system call: a batch that piles up meanwhile shares one.
+/// Waking the other thread costs a system call, so values that arrive before it runs are delivered
+/// in one batch.
 template <typename T>
 class Mailbox
 {
@@ -25,7 +26,7 @@
     {
     }
 
-    /// From any thread.
+    /// Adds one value. May be called from any thread.
     void put(T item)
     {
         bool isScheduled = false;
@@ -38,7 +39,7 @@
             schedule();
     }
 
-    /// From any thread: moves all of them.
+    /// Moves all values out of `items`. May be called from any thread.
     void putAll(std::vector<T> &items)
     {
         bool isScheduled = false;
--- a/lib/Net/NativeProtocol.cpp
+++ b/lib/Net/NativeProtocol.cpp
@@ -1,4 +1,4 @@
-// The product's routerFields protocol towards callers and targets.
+// Implements the product's native protocol towards callers and targets.
 #include "CallerRequest.h"
 
 #include "berylridge/Net/WireProtocol.h"
--- a/lib/Net/RouterNode.cpp
+++ b/lib/Net/RouterNode.cpp
@@ -113,7 +113,7 @@
     void awaitSignal();
     std::string printMetrics();
 
-    // The sendCommand matters: what stands below uses what stands above while it is destroyed.
+    // The order matters: what stands below uses what stands above while it is destroyed.
     asio::io_context m_context {1};
     LogSink &m_log;
     AuditHandler m_audit;
--- a/lib/Net/Screening.cpp
+++ b/lib/Net/Screening.cpp
@@ -21,8 +21,8 @@
         return {ShedDecision::Admitted};
     Screening screening {ShedDecision::Shed};
     const std::uint64_t bodySize = parser.content_length().value_or(0);
-    // More bytes are of the next request, and fewer would be cut off by a reset with the
-    // immediateResponse.
+    // Additional bytes belong to the next request. If bytes are missing, the reset that they cause
+    // on a closed connection would destroy the response.
     if (bytes.size() - headSize != bodySize)
         return screening;
     screening.isKeepAlive = options.isKeepAliveAllowed && request.keep_alive();
--- a/lib/Net/Screening.h
+++ b/lib/Net/Screening.h
@@ -1,8 +1,9 @@
-// Whether a busy thread turns a request away, decided by the bytes that are there when its
+// Decides whether an overloaded thread sheds a request, from the bytes that are available when its
 // connection becomes readable.
 //
-// Load it answers: a node is sent ten times what it bears. Refused by way of a session, a parser
-// and several turns of the thread, the requests that it can't serve take its whole processor.
+// Screening serves the case of a node that receives ten times the load that it can handle. If the
+// requests that it can't serve passed through a session, a parser and several event loop iterations
+// before they are rejected, they would use all of the thread's processor time.
 #pragma once
 
 #include "berylridge/Net/WireProtocol.h"
@@ -16,7 +17,7 @@
 namespace berylridge {
 
 enum class ShedDecision : std::uint8_t {
-    Undecided, ///< Not taken: the head isn't here to its end, or needs a closer look.
+    Undecided, ///< Not decided: the head is incomplete or needs further checks.
     Admitted,
     Shed,
 };
@@ -24,20 +25,20 @@
 struct Screening
 {
     ShedDecision decision = ShedDecision::Undecided;
-    /// The whole immediateResponse, where the request is shed and here to its end with nothing
-    /// behind it.
+    /// The complete response; set only if the request is shed and has arrived completely with no
+    /// bytes after it.
     std::optional<std::string> immediateResponse {};
-    bool isKeepAlive = false; ///< After the immediateResponse.
+    bool isKeepAlive = false; ///< Whether the connection stays open after the response.
 };
 
 struct ScreeningOptions
 {
     const WireProtocolHandle &protocol;
-    /// Counts a request with the credential, and says whether it is shed.
+    /// Counts a request with the credential and returns whether to shed it.
     std::function<bool(std::string_view credential)> sheds;
-    std::function<Problem()> problem;      ///< Of a shed request.
-    std::string_view placeholderRequestId; ///< Stands for an id that the caller didn't give.
-    bool isKeepAliveAllowed = false;       ///< If the caller wants that too.
+    std::function<Problem()> problem;      ///< Creates the problem for a shed request.
+    std::string_view placeholderRequestId; ///< Used if the caller sent no request id.
+    bool isKeepAliveAllowed = false;       ///< Applies only if the caller requests keep-alive too.
 };
 
 Screening screenRequest(std::string_view bytes, const ScreeningOptions &options);
--- a/lib/Net/TargetAttempt.cpp
+++ b/lib/Net/TargetAttempt.cpp
@@ -13,14 +13,15 @@
 
 namespace {
 
-/// For bytes that the target's machine has not acknowledged. Behind a network partition a pooled
-/// connection takes a request and stays silent; the system then gives up only after minutes.
+/// Maximum time for which sent bytes may stay unacknowledged by the target's machine. Behind a
+/// network partition a pooled connection accepts a request and never responds, and the system
+/// detects that only after minutes by default.
 constexpr int tcpUserTimeoutMs = 1500;
 constexpr std::size_t bodyBufferBytes = 16 << 10;
 constexpr std::size_t readBufferBytes = 8 << 10;
 constexpr std::size_t maxHeadBytes = 64 << 10;
 
-/// The last moment for a first byte, as the core set it; without one, the end of time.
+/// Returns the deadline that the core set for the first byte, or the maximum time if it set none.
 Deadline::Clock::time_point sendDeadline(const Dispatch &dispatch)
 {
     if (dispatch.notAfter == TimePoint())
@@ -69,9 +70,10 @@
         if (const auto self = weak.lock())
             self->onTimeout();
     });
-    // A target may close a pooled connection as idle just as the request is sent, and then nobody
-    // can tell whether it ran. The pool gives a request that must not be repeated only what the
-    // target keeps open for longer than the request's way.
+    // A target may close a pooled connection as idle while the request is on its way; it is then
+    // unknown whether the request ran. For a request that must not be resent, the pool therefore
+    // returns only connections that the target keeps open for longer than the request needs to
+    // arrive.
     auto pooled = m_pool.take(m_dispatch.endpoint, m_dispatch.resendPolicy, Clock::now());
     if (!pooled) {
         connect();
@@ -113,19 +115,20 @@
 
 void TargetAttempt::sendRequest()
 {
-    // This thread may have been paused since the core decided: the lease may be another node's by
-    // now, and a request sent on it would be one too many for the target.
+    // The thread may have been paused since the core's decision. The lease may belong to another
+    // node by now, and a request sent on it would exceed the target's capacity.
     if (Clock::now() > sendDeadline(m_dispatch)) {
         fail(AttemptFailure::Reset);
         return;
     }
-    // Set before the first byte is handed over: a write that fails may have sent some of it, and
-    // "not run" must never be said of such a request.
+    // Set before the first byte is written: a failed write may have sent some bytes, and such a
+    // request must never be reported as "not run".
     m_sentAny = true;
     const std::array<asio::const_buffer, 2> bytes {
         asio::buffer(m_request.head), asio::buffer(m_request.body.data(), m_request.body.size())};
-    // A failed write is not the end: the target may have answered before it broke off, and what it
-    // said is read below. A target may also answer before it has read a long body.
+    // A failed write doesn't end the attempt: the target may have responded before it closed the
+    // connection, and readHead() reads that response. A target may also respond before it has read
+    // a long body.
     asio::async_write(m_socket, bytes, [self = shared_from_this()](error_code error, std::size_t) {
         self->m_isRequestSent = !error;
     });
@@ -136,7 +139,8 @@
 {
     m_parser.emplace();
     m_parser->header_limit(maxHeadBytes);
-    // Not "none": this release of Beast takes a missing limit for zero where a length is given.
+    // Sets a number instead of boost::none: this release of Beast treats a missing limit as zero if
+    // the response has a length.
     m_parser->body_limit(std::numeric_limits<std::uint64_t>::max());
     m_parser->skip(m_request.isHead);
     m_buffer.reserve(readBufferBytes);
@@ -174,7 +178,7 @@
         fail(AttemptFailure::InvalidResponse);
         return;
     }
-    const auto owner = m_owner; // The owner may let go of this attempt meanwhile.
+    const auto owner = m_owner; // The owner may release this attempt during the call.
     if (const auto failure = owner->onResponseHead(head, !m_isResponseEnd)) {
         fail(*failure);
         return;
@@ -190,22 +194,23 @@
 
 bool TargetAttempt::hasSupportedFraming(const ResponseHead &head) const
 {
-    // Another coding than chunks would stay in the body, with nothing to tell of it.
+    // Any transfer coding other than chunked would remain in the body without a field that
+    // announces it.
     const auto coding = head.find(http::field::transfer_encoding);
     if (coding != head.end() && !beast::iequals(coding->value(), "chunked"))
         return false;
     if (head.result_int() == 101)
         return false;
-    // Without a length the end of the connection is the end of the answer, and one cut short could
-    // be taken for whole, unless the protocol's targets reset a connection that breaks.
+    // Without a length, the end of the connection ends the response, and a truncated one could be
+    // mistaken for a complete one, unless the protocol's targets reset a connection that breaks.
     return m_traits.acceptsUnframedResponses || !m_parser->need_eof() || m_parser->is_done();
 }
 
 void TargetAttempt::skipStrayResponse()
 {
-    // A late answer to an earlier request on this connection: it belongs to nobody any more, and
-    // the request's own answer stands behind it. Passed on, it would give a caller another one's
-    // answer.
+    // A late response to an earlier request on this connection is discarded: its request no longer
+    // exists, and the response to this request follows it. If it were relayed, a caller would
+    // receive the response to another caller's request.
     m_isSkippingStrayResponse = true;
     if (m_parser->need_eof()) {
         fail(AttemptFailure::InvalidResponse);
@@ -237,8 +242,8 @@
 
 std::size_t TargetAttempt::parseBody(error_code &error)
 {
-    // Beast's own read operations wait for the next chunk's head before they hand out a chunk,
-    // which would hold back each token of a stream until the next one.
+    // Beast's own read operations wait for the next chunk's head before they return a chunk, which
+    // would delay each token of a stream until the next one.
     auto &body = m_parser->get().body();
     body.data = m_bodyBuffer.data();
     body.size = m_bodyBuffer.size();
@@ -256,7 +261,7 @@
         return;
     m_buffer.commit(size);
     if (error == asio::error::eof) {
-        // Says what is missing; the end of an answer without a length is no error.
+        // Sets the error to what is missing. The end of a response without a length is no error.
         error = {};
         m_parser->put_eof(error);
     }
@@ -278,14 +283,15 @@
         readHead();
         return;
     }
-    // Bytes beyond the announced end: the connection is out of step, and so may be this answer.
+    // Bytes after the announced end show that requests and responses on the connection are out of
+    // step, so this response may belong to another request.
     if (m_isResponseEnd && m_buffer.size() > 0 && !m_traits.ignoresTrailingBytes) {
         fail(AttemptFailure::InvalidResponse);
         return;
     }
-    // A slow caller's time is not the target's silence.
+    // The time that a slow caller takes must not count towards the target's idle timeout.
     m_deadline->move(m_attemptDeadline);
-    const auto owner = m_owner; // The owner may let go of this attempt meanwhile.
+    const auto owner = m_owner; // The owner may release this attempt during the call.
     if (const auto failure = owner->onResponseBody({m_bodyBuffer.data(), size}, m_isResponseEnd))
         fail(*failure);
 }
@@ -305,8 +311,8 @@
 {
     m_isFinished = true;
     m_deadline->stop();
-    // A connection with bytes left over, or on which the target still has to read the rest of the
-    // request, is out of step with the next one.
+    // The connection is not reusable if bytes are left over, or if the target still has to read the
+    // rest of the request: the next request would be out of step with its response.
     if (m_parser->keep_alive() && m_isRequestSent && m_buffer.size() == 0)
         m_pool.put(m_dispatch.endpoint, std::move(m_socket),
                    announcedIdleTimeout(m_parser->get().base()), m_dispatch.idleConnectionLimit,
--- a/lib/Net/TargetAttempt.h
+++ b/lib/Net/TargetAttempt.h
@@ -1,4 +1,4 @@
-// One attempt at a target: connects, sends the request, reads the answer piece by piece.
+// Performs one attempt at a target: connects, sends the request and reads the response in pieces.
 #pragma once
 
 #include "ConnectionPool.h"
@@ -20,33 +20,35 @@
 
 namespace berylridge {
 
-/// What an attempt tells the request that it serves, on the same thread.
+/// Receives the results of an attempt, on the same thread, for the request that it serves.
 class AttemptOwner
 {
 public:
     virtual ~AttemptOwner() = default;
 
-    /// What a head says; asked before onResponseHead().
+    /// Interprets a response head. Called before onResponseHead().
     virtual ResponseInfo inspect(const ResponseHead &head) const = 0;
 
-    /// The request's own head came. A failure ends the attempt.
+    /// Called when the response head of this request has arrived. A returned failure ends the
+    /// attempt.
     virtual std::optional<AttemptFailure> onResponseHead(const ResponseHead &head, bool hasBody)
         = 0;
 
-    /// The next piece of the body; nothing more is read until TargetAttempt::resume(), which is the
-    /// back-pressure of a slow caller. The answer is whole where isEnd. A failure ends the attempt.
+    /// Called with the next piece of the body. Nothing more is read until TargetAttempt::resume()
+    /// is called, which applies the back-pressure of a slow caller. The response is complete if
+    /// isEnd. A returned failure ends the attempt.
     virtual std::optional<AttemptFailure> onResponseBody(std::string_view bytes, bool isEnd) = 0;
 
-    /// The attempt is over without a whole answer.
+    /// Called when the attempt has ended without a complete response.
     virtual void onAttemptFailed(AttemptFailure failure, bool sentAny) = 0;
 };
 
-/// The bytes of a request as they go to a target.
+/// The bytes of a request as sent to a target.
 struct TargetRequest
 {
     std::string head;
-    std::string_view body; ///< Of the caller's request, which outlives the attempt.
-    bool isHead = false;   ///< The HEAD method: its answer has no body.
+    std::string_view body; ///< Points into the caller's request, which outlives the attempt.
+    bool isHead = false;   ///< The method is HEAD, so the response has no body.
 };
 
 class TargetAttempt : public std::enable_shared_from_this<TargetAttempt>
@@ -57,9 +59,10 @@
                   const Dispatch &dispatch, TargetRequest request);
 
     void start();
-    /// The piece from onResponseBody() has been passed on.
+    /// Continues after the piece passed to onResponseBody() has been forwarded.
     void resume();
-    /// Closes the target's connection, which cancels; the owner hears nothing more.
+    /// Closes the target's connection, which cancels the request. The owner receives no further
+    /// calls.
     void abort();
 
     AttemptNumber number() const { return m_dispatch.attempt; }
@@ -97,10 +100,10 @@
     std::vector<char> m_bodyBuffer;
     bool m_isConnecting = false;
     bool m_sentAny = false;
-    bool m_isRequestSent = false; ///< The operating system has taken the whole request.
-    bool m_isReused = false;      ///< On a connection that served a request before.
+    bool m_isRequestSent = false; ///< The operating system has accepted the whole request.
+    bool m_isReused = false;      ///< The connection served an earlier request.
     bool m_isSkippingStrayResponse
-        = false; ///< The answer being read belongs to an earlier request.
+        = false; ///< The response being read belongs to an earlier request.
     bool m_isResponseEnd = false;
     bool m_isFinished = false;
 };
--- a/lib/Net/TargetPoller.h
+++ b/lib/Net/TargetPoller.h
@@ -1,4 +1,4 @@
-// Asks targets for their load reports.
+// Polls targets for their load reports.
 #pragma once
 
 #include "berylridge/Net/Asio.h"
@@ -15,10 +15,10 @@
 
 namespace berylridge {
 
-/// Reads the answer to GET /load; nothing where it is not one.
+/// Parses the response to GET /load; returns nothing if it is malformed.
 std::optional<TargetLoadReport> parseLoadReport(const TargetId &target, const std::string &body);
 
-/// Lives on the control thread.
+/// Runs on the control thread.
 class TargetPoller
 {
 public:
--- a/lib/Net/ThreadName.h
+++ b/lib/Net/ThreadName.h
@@ -1,4 +1,4 @@
-// Names of threads, as process listings and profilers show them.
+// Sets thread names, which process listings and profilers show.
 #pragma once
 
 #include <pthread.h>
--- a/lib/Net/TrafficThread.cpp
+++ b/lib/Net/TrafficThread.cpp
@@ -16,20 +16,20 @@
 namespace {
 
 constexpr std::chrono::seconds idleSweepPeriod {1};
-/// Below this a late timer says nothing of the load.
+/// Smaller timer delays don't indicate load.
 constexpr std::chrono::milliseconds minReportedLag {15};
-/// The next connection of the caller may reach another node, which is likely to have room.
+/// The caller's next connection may reach another node, which probably has capacity.
 constexpr Duration overloadRetryAfter = std::chrono::milliseconds(30);
 constexpr const char *overloadProblemType = "busy";
 constexpr std::chrono::milliseconds drainPeriod {10};
-constexpr int maxDrainRounds = 500; ///< Five seconds for callers to startSession the last bytes.
+constexpr int maxDrainRounds = 500; ///< Five seconds for callers to receive the last bytes.
 
 RequestHandle handleOf(const TrafficCommand &command)
 {
     return std::visit([](const auto &each) { return each.handle; }, command);
 }
 
-/// Carries out one command on the request that it is for.
+/// Executes one command on its request.
 struct CommandExecutor
 {
     Exchange &exchange;
@@ -61,7 +61,8 @@
 TrafficThread::~TrafficThread()
 {
     stop();
-    // Handlers that never ran own sessions and requests; they go while the rest is still there.
+    // Handlers that never ran own sessions and requests, which must be destroyed before the other
+    // members.
     closeAll();
     m_exchanges.clear();
 }
@@ -98,8 +99,9 @@
 void TrafficThread::startSession(FileDescriptor connection, tcp protocol)
 {
     ++m_acceptedConnections;
-    // Callers send their request as soon as they are connected: it is mostly there when the
-    // connection is taken, and waiting for it would cost two system calls and a turn.
+    // Callers send their request as soon as they are connected, so it has usually arrived when the
+    // connection is accepted. Waiting for it would cost two system calls and an event loop
+    // iteration.
     const ssize_t size = ::recv(connection.number(), m_scratch.data(), m_scratch.size(), 0);
     if (size == 0)
         return;
@@ -108,8 +110,8 @@
     if (isShedding() && !bytes.empty())
         screening = screen(bytes, false);
     if (screening.immediateResponse) {
-        // A connection that is refused is never registered with the event loop. Its buffer is empty
-        // and takes the immediateResponse whole.
+        // A rejected connection is never registered with the event loop. Its send buffer is empty
+        // and holds the complete response.
         const std::string &immediateResponse = *screening.immediateResponse;
         ::send(connection.number(), immediateResponse.data(), immediateResponse.size(),
                MSG_NOSIGNAL);
@@ -131,7 +133,7 @@
     return ++m_lastHandleNumber * m_options.threads + m_index;
 }
 
-void TrafficThread::begin(RequestHandle handle, std::shared_ptr<Exchange> exchange)
+void TrafficThread::addExchange(RequestHandle handle, std::shared_ptr<Exchange> exchange)
 {
     m_exchanges.emplace(handle, std::move(exchange));
 }
@@ -141,11 +143,13 @@
     for (TrafficCommand &command : commands) {
         const auto found = m_exchanges.find(handleOf(command));
         if (found != m_exchanges.end()) {
-            const auto exchange = found->second; // Carrying out may end it.
+            const auto exchange
+                = found->second; // Executing the command may remove it from the map.
             std::visit(CommandExecutor {*exchange}, command);
             continue;
         }
-        // The caller left while the command was on its way; the core must get its slot back.
+        // The caller disconnected before the command arrived. The core must be informed, so that it
+        // frees the slot.
         if (const auto *dispatch = std::get_if<Dispatch>(&command))
             report(AttemptFailed {dispatch->handle, dispatch->attempt, AttemptFailure::Reset, false,
                                   false});
@@ -154,8 +158,8 @@
 
 void TrafficThread::report(Event event)
 {
-    // Waking the control thread costs this one two system calls: what one turn reports goes at
-    // once.
+    // Waking the control thread costs this thread two system calls, so the events of one event loop
+    // iteration are sent together.
     m_reports.push_back(std::move(event));
     if (m_reports.size() == 1)
         asio::post(m_context, [this] { flushReports(); });
@@ -196,7 +200,8 @@
     m_metrics.trafficLagMicroseconds
         = static_cast<std::uint64_t>(std::max(lag, Duration(0)).count());
     const bool isLate = lag > minReportedLag;
-    // Once more after the last late turn, so that the core learns of its end.
+    // Reports once more after the last late iteration, so that the core learns that the lag has
+    // ended.
     if (isLate || m_wasLate || isShedding())
         report(TrafficThreadReport {lag, std::exchange(m_acceptedConnections, 0),
                                     std::exchange(m_abandonedRequests, 0),
@@ -227,8 +232,8 @@
 
 Problem TrafficThread::overloadProblem()
 {
-    return {503, overloadProblemType, "the router has more to do than it can", Verdict::NotRun,
-            addRetryJitter(overloadRetryAfter, m_random)};
+    return {503, overloadProblemType, "the router is too busy to serve the request",
+            Verdict::NotRun, addRetryJitter(overloadRetryAfter, m_random)};
 }
 
 void TrafficThread::drain(std::function<void()> done)
--- a/lib/Net/TrafficThread.h
+++ b/lib/Net/TrafficThread.h
@@ -1,4 +1,4 @@
-// One thread that owns callers' connections, their requests and the connections to targets.
+// Runs one thread that owns callers' connections, their requests and the connections to targets.
 #pragma once
 
 #include "ConnectionPool.h"
@@ -32,14 +32,14 @@
 class CallerSession;
 class Exchange;
 
-/// What the control thread tells a traffic thread.
+/// Commands that the control thread sends to a traffic thread.
 using TrafficCommand
     = std::variant<Dispatch, AbortAttempt, Refuse, SendStoredResponse, RelayHeldResponse>;
 
-/// What all traffic threads of a process share; outlives them.
+/// Options shared by all traffic threads of a process. Must outlive them.
 struct TrafficOptions
 {
-    std::string idPrefix; ///< Of request and attempt ids; unique over the fleet.
+    std::string idPrefix; ///< Prefix of request and attempt ids; unique in the fleet.
     std::uint64_t headerLimit = 16 << 10;
     std::uint64_t bodyLimit = 4 << 20;
     std::uint32_t connectionLimit = 4096;
@@ -47,10 +47,11 @@
     Duration acceptedLag {0}; ///< See Settings.
     unsigned threads = 1;
     WireProtocolHandle protocol = nativeProtocol();
-    std::function<void(std::vector<Event> &)> report; ///< To the control thread; takes them all.
+    std::function<void(std::vector<Event> &)>
+        report; ///< Sends events to the control thread and moves them out of the vector.
     std::function<TimePoint()> now = [] { return SystemClock().now(); };
 
-    /// For an answer to a request whose caller gave no id.
+    /// Request id of responses to requests without an id.
     std::string placeholderRequestId() const { return idPrefix + "0"; }
 };
 
@@ -63,64 +64,68 @@
     TrafficThread &operator=(const TrafficThread &) = delete;
 
     void start();
-    /// From any thread.
-    void sendCommand(TrafficCommand sendCommand) { m_commands.put(std::move(sendCommand)); }
-    /// From any thread: serves a connection that was accepted, by a non-blocking descriptor.
+    /// May be called from any thread.
+    void sendCommand(TrafficCommand command) { m_commands.put(std::move(command)); }
+    /// Serves an accepted connection, given by a non-blocking descriptor. May be called from any
+    /// thread.
     void adopt(FileDescriptor connection, tcp protocol);
-    /// From any thread: answers from now on ask callers to connect anew, elsewhere.
+    /// Makes subsequent responses ask callers to reconnect, which leads them to another node. May
+    /// be called from any thread.
     void setLeaving(bool isLeaving) { m_isLeaving = isLeaving; }
-    /// From any thread: lets answers that are being written end, closes everything, calls done.
+    /// Waits until pending responses are written, closes everything and calls `done`. May be called
+    /// from any thread.
     void drain(std::function<void()> done);
-    /// From any thread; returns when the thread has ended.
+    /// Returns when the thread has terminated. May be called from any thread.
     void stop();
 
-    // For sessions and requests, on this thread:
+    // The following functions are for sessions and requests, on this thread:
     asio::io_context &context() { return m_context; }
     const TrafficOptions &options() const { return m_options; }
     const WireProtocolHandle &protocol() const { return m_options.protocol; }
     Metrics &metrics() { return m_metrics; }
     ConnectionPool &pool() { return m_pool; }
     bool isLeaving() const { return m_isLeaving; }
-    /// Whether callers may keep their connections after an answer. Refused callers come back on new
-    /// connections and leave the old ones idle: a flood of them would use up the descriptors within
-    /// seconds, and then no target can be reached and no caller accepted. An answer that ends its
-    /// connection costs the caller one round trip more and cuts nothing.
+    /// Returns whether callers may keep their connections after a response. Rejected callers open
+    /// new connections and leave the old ones idle. A flood of them would use up the file
+    /// descriptors within seconds, and then neither targets nor other callers could connect. A
+    /// response that closes its connection costs the caller one more round trip and aborts nothing.
     bool allowsKeepAlive() const
     {
         return !m_isLeaving
             && static_cast<double>(m_metrics.connectionsOpen)
             < maxKeepAliveFraction * m_options.connectionLimit;
     }
-    /// How late the thread ran.
+    /// Records how late the thread's timer ran.
     void onLag(Duration lag);
-    /// Whether the thread has more to do than it can and turns a request away. Decided here, as a
-    /// request that goes to the core and back costs several times as much.
+    /// Returns whether the thread is overloaded and sheds a request with this credential. Decided
+    /// here, because a request that is passed to the core and back costs several times as much.
     bool sheds(std::string_view credential);
-    /// Whether any request may be turned away now.
+    /// Returns whether any request may be shed now.
     bool isShedding() const { return m_loadShedder.isLimited(); }
-    /// The decision by the first bytes of a request, with its answer and its count in the metrics
-    /// where it can be refused at once.
+    /// Decides on a request from its first bytes. If the request can be rejected immediately, the
+    /// result contains the response, and the rejection is counted in the metrics.
     Screening screen(std::string_view bytes, bool isKeepAliveAllowed);
-    /// What such a request is refused with.
+    /// Returns the problem with which shed requests are rejected.
     Problem overloadProblem();
-    /// Bytes that are read and dropped, or copied on at once.
+    /// Buffer for bytes that are discarded or copied immediately.
     asio::mutable_buffer scratch() { return asio::buffer(m_scratch); }
-    /// Counts a request that was read when its caller had left.
+    /// Counts a request that was read after its caller had disconnected.
     void countAbandonedRequest()
     {
         ++m_abandonedRequests;
         ++m_metrics.callersGoneUnread;
     }
-    /// To the core, with whatever else is reported in this turn of the thread.
+    /// Queues an event for the core, together with the other events of this event loop iteration.
     void report(Event event);
-    /// Its remainder by the number of threads is this thread's index.
+    /// Returns a handle whose remainder modulo the number of threads is this thread's index.
     RequestHandle nextHandle();
-    void begin(RequestHandle handle, std::shared_ptr<Exchange> exchange);
-    void end(RequestHandle handle) { m_exchanges.erase(handle); }
+    void addExchange(RequestHandle handle, std::shared_ptr<Exchange> exchange);
+    void removeExchange(RequestHandle handle) { m_exchanges.erase(handle); }
     void removeSession(CallerSession *session) { m_sessions.erase(session); }
 
 private:
-    /// Room for a second's new connections of a flood above it.
+    /// Fraction of the connection limit up to which keep-alive is allowed. The rest leaves room for
+    /// the new connections that a flood opens within one second.
     static constexpr double maxKeepAliveFraction = 0.6;
     static constexpr std::size_t scratchBytes = 64 << 10;
 
@@ -137,7 +142,8 @@
     const unsigned m_index;
     const TrafficOptions &m_options;
     Metrics &m_metrics;
-    // Before the context, whose end destroys sessions that startSession themselves out of here.
+    // Declared before the context: destroying the context destroys sessions, which remove
+    // themselves from these containers.
     std::unordered_map<RequestHandle, std::shared_ptr<Exchange>> m_exchanges;
     std::unordered_set<CallerSession *> m_sessions;
     asio::io_context m_context {1};
@@ -147,9 +153,9 @@
     asio::steady_timer m_lagTimer;
     bool m_wasLate = false;
     LoadShedder m_loadShedder;
-    RandomEngine m_random; ///< Spreads the return of callers.
+    RandomEngine m_random; ///< Randomizes the retry delay of rejected callers.
     std::array<char, scratchBytes> m_scratch {};
-    // Since the last report of lag.
+    // Counted since the last report of lag.
     std::uint64_t m_acceptedConnections = 0;
     std::uint64_t m_abandonedRequests = 0;
     Mailbox<TrafficCommand> m_commands;
--- a/unittests/Net/CallerHttpTest.cpp
+++ b/unittests/Net/CallerHttpTest.cpp
@@ -12,7 +12,7 @@
     };
 }
 
-/// What a stranger sends, and the status that it must get.
+/// An invalid request and the status code with which it must be rejected.
 struct InvalidRequestCase
 {
     const char *name;
@@ -148,13 +148,13 @@
 
 TEST(CallerHttpTest, closesConnectionsNearTheConnectionLimit)
 {
-    // What the caller sees: an response that ends its connection.
-    // What happens: refused callers come back on new connections and leave the old ones idle, until
-    // the node has no descriptor left for a target or for any other caller.
-    // Why it is enough: each response above the mark takes one of them away.
+    // Guards against a node that runs out of file descriptors for targets and other callers:
+    // rejected callers open new connections and leave the old ones idle. Near the connection limit,
+    // each response must close its connection.
     FakeCore core(rejectAll());
     TestNode node(core, [](Settings &settings) {
-        settings.descriptorLimit = 10; // Six for callers, of which the last two close.
+        settings.descriptorLimit
+            = 10; // Six remain for callers; responses on the last two close their connections.
     });
     FakeCaller first = node.caller();
     FakeCaller second = node.caller();
@@ -183,9 +183,8 @@
 
 TEST(CallerHttpTest, reportsDispatchForDisconnectedCallerAsNotSent)
 {
-    // What the caller sees: it left while the core sent its request off.
-    // What happens: the order finds no request; the core hears that nothing was sent.
-    // Why: otherwise the slot would stay taken for ever.
+    // Guards against a slot that is never freed: the caller disconnects while the core dispatches
+    // its request. The command finds no request, and the thread must report that nothing was sent.
     FakeCore core([](const Event &event, Actions &actions) {
         if (const auto *gone = std::get_if<CallerGone>(&event))
             actions.emplace_back(dispatchOf(gone->handle, closedPort()));
@@ -200,8 +199,8 @@
 
 TEST(CallerHttpTest, limitsBufferedPipelinedRequests)
 {
-    // What the caller sees: nothing yet; its first request waits while it sends megabytes more.
-    // What happens: the router keeps no more than a head's worth and stops reading.
+    // Guards against unbounded memory use by a caller that sends megabytes of pipelined requests
+    // while its first request waits. The router buffers at most one head's size and stops reading.
     FakeCore core;
     TestNode node(core);
     FakeCaller caller = node.caller();
--- a/unittests/Net/ConnectionPoolTest.cpp
+++ b/unittests/Net/ConnectionPoolTest.cpp
@@ -1,4 +1,4 @@
-// Which idle connections a request may go on.
+// Tests which idle connections a request may use.
 #include "ConnectionPool.h"
 
 #include <gtest/gtest.h>
@@ -13,7 +13,7 @@
 class ConnectionPoolTest : public ::testing::Test
 {
 protected:
-    /// One end of a connection; the other end is kept open in `peers`.
+    /// Returns one end of a connection; the other end stays open in `peers`.
     tcp::socket connected()
     {
         tcp::acceptor acceptor(context, {asio::ip::address_v4::loopback(), 0});
@@ -39,9 +39,9 @@
     ConnectionPool::Clock::time_point now = ConnectionPool::Clock::now();
 };
 
-// A target closes a connection as idle just as a purchase is on its way: nobody knows whether it
-// ran. So a purchase goes on a connection only in the first half of what the target says; a lookup
-// may be sent again and goes on it for longer.
+// Guards against requests with unknown outcome: a target closes a connection as idle while a
+// purchase is on its way. A purchase must not be resent, so it uses a connection only in the first
+// half of the announced idle timeout; a lookup may be resent and uses it for longer.
 TEST_F(ConnectionPoolTest, NonResendableRequestUsesOnlyTheFirstHalfOfTheIdleTimeout)
 {
     putConnection(4s);
@@ -56,7 +56,8 @@
     EXPECT_FALSE(hasConnectionFor(ResendPolicy::Allowed));
 }
 
-// Whole seconds are announced, so a target that tells nothing may close within one.
+// Servers announce whole seconds, so a target that announces nothing may close a connection within
+// one second.
 TEST_F(ConnectionPoolTest, NonResendableRequestUsesUnannouncedConnectionOnlyBriefly)
 {
     putConnection(std::nullopt);
@@ -75,8 +76,8 @@
     EXPECT_FALSE(hasConnectionFor(ResendPolicy::Allowed));
 }
 
-// One connection to a target broke, so the others are in doubt: the next request finds out on a new
-// one, where a target that is gone costs it nothing.
+// Guards against requests that use connections to a failed target: after one connection broke, the
+// next request opens a new one, which fails before anything is sent if the target is down.
 TEST_F(ConnectionPoolTest, DropClosesAllConnectionsToTheTarget)
 {
     putConnection(10s);
--- a/unittests/Net/ForwardingTest.cpp
+++ b/unittests/Net/ForwardingTest.cpp
@@ -76,7 +76,7 @@
     ASSERT_NE(third, std::string::npos) << all;
     EXPECT_LT(first, second);
     EXPECT_LT(second, third);
-    EXPECT_EQ(target.connections(), 1) << "a clean connection is used again";
+    EXPECT_EQ(target.connections(), 1) << "a connection without pending bytes must be reused";
 }
 
 TEST(ForwardingTest, reusesConnectionForNonResendableRequests)
@@ -96,9 +96,10 @@
     EXPECT_EQ(target.connections(), 1);
 }
 
-// A purchase goes on a kept connection, and the target resets it or closes it instead of answering.
-// Nobody can tell whether the purchase ran: it is sent once, the caller hears that it may have run,
-// and the next one goes on a new connection though others are idle.
+// Guards against a purchase that runs twice: the target resets or closes a reused connection
+// instead of responding, so it is unknown whether the purchase ran. It must be sent only once, and
+// the caller must receive the verdict may-have-run. The next request then opens a new connection
+// although others are idle.
 TEST(ForwardingTest, sendsNonResendableRequestOnceIfReusedConnectionBreaks)
 {
     for (const bool isReset : {true, false}) {
@@ -131,7 +132,7 @@
     }
 }
 
-/// What the target sends, and the failure that must come of it.
+/// What the target sends, and the failure that must be reported.
 struct InvalidResponseCase
 {
     const char *name;
@@ -146,9 +147,9 @@
 
 TEST_P(InvalidResponseTest, isNeverRelayedAsComplete)
 {
-    // What the caller sees: a refusal with may-have-run, or a connection cut before its end.
-    // What happens: the target's response is not the one asked for, or not whole.
-    // Why: an response that looks whole but is not is worse than none.
+    // Guards against truncated or mismatched responses that look complete to the caller. The caller
+    // must receive a rejection with the verdict may-have-run, or its connection must close before
+    // the response ends.
     FakeTarget target([](TargetPeer &peer) {
         peer.readRequest();
         peer.send(GetParam().response);
@@ -217,9 +218,9 @@
 
 TEST(ForwardingTest, sendsNothingAfterTheLeaseExpired)
 {
-    // What the caller sees: nothing yet; the core may send its request elsewhere.
-    // What happens: the order was held up, as by a paused process, until its lease had ended.
-    // Why: the slot may have been given to another node, and the target must not bear both.
+    // Guards against overload of a target: the dispatch is delayed, for example in a paused
+    // process, until its lease has expired and another node may use the slot. Nothing may be sent;
+    // the core may dispatch the request again.
     FakeTarget target([](TargetPeer &peer) { EXPECT_EQ(peer.readRequest(), ""); });
     FakeCore core([&](const Event &event, Actions &actions) {
         if (const auto *arrived = std::get_if<RequestArrived>(&event)) {
@@ -255,9 +256,9 @@
 
 TEST(ForwardingTest, closesTargetConnectionWhenTheCallerDisconnects)
 {
-    // What the caller sees: it closed its connection while it waited for the response.
-    // What happens: CallerGone, the core's AbortAttempt, and the target's connection is closed.
-    // Why: closing is how an engine is told to cancel; else it works on for nobody.
+    // Guards against targets that work for callers that have disconnected. The caller disconnects
+    // while it waits, the core aborts the attempt, and closing the connection tells the target to
+    // cancel.
     std::atomic<bool> isTargetClosed {false};
     std::atomic<bool> hasRequest {false};
     FakeTarget target([&](TargetPeer &peer) {
@@ -277,9 +278,9 @@
 
 TEST(ForwardingTest, completesKeyedRequestAfterTheCallerDisconnects)
 {
-    // What the caller sees: it left and sends the same purchase again later.
-    // What happens: the core doesn't abort; the shell reads the response to its end and hands it
-    // over. Why: only with that response can the repeat be answered instead of refused.
+    // Guards against a purchase whose outcome is lost: the caller disconnects and later repeats the
+    // purchase. The core doesn't abort the attempt, and the shell must read the complete response,
+    // so that the repeat is answered with it instead of being rejected.
     std::atomic<bool> hasRequest {false};
     std::atomic<bool> canRespond {false};
     FakeTarget target([&](TargetPeer &peer) {
@@ -307,8 +308,8 @@
 
 TEST(ForwardingTest, relaysEachChunkImmediately)
 {
-    // What the caller sees: each token as it comes. The target sends the next chunk only once the
-    // caller has the one before, so a router that waits for more would hang.
+    // Guards against delayed tokens: the target sends the next chunk only after the caller has
+    // received the previous one, so a router that waits for more data would hang.
     std::atomic<int> receivedTokens {0};
     FakeTarget target([&](TargetPeer &peer) {
         peer.readRequest();
@@ -332,9 +333,8 @@
 
 TEST(ForwardingTest, appliesBackpressureForSlowCaller)
 {
-    // What the caller sees: a long response, which it reads only after a while.
-    // What happens: the router stops reading from the target, so the target's writes block.
-    // Why: without that the whole response would pile up in the router's memory.
+    // Guards against unbounded memory use for a caller that reads a long response late. The router
+    // must stop reading from the target, so that the target's writes block.
     constexpr std::size_t total = 64 << 20;
     constexpr std::size_t step = 1 << 20;
     std::atomic<std::size_t> sent {0};
@@ -350,7 +350,7 @@
     FakeCaller caller = node.caller();
     caller.send(requestText("GET", path, "Connection: close\r\n"));
     EXPECT_TRUE(eventually([&] { return sent > 0; }));
-    // Both sides' socket buffers fill, then nothing moves: the same count over and over.
+    // Waits until the socket buffers of both sides are full, so that the count no longer changes.
     std::size_t last = 0;
     int unchangedCount = 0;
     EXPECT_TRUE(eventually([&] {
--- a/unittests/Net/FuzzTest.cpp
+++ b/unittests/Net/FuzzTest.cpp
@@ -1,4 +1,4 @@
-// Seeded, bounded fuzzing of what strangers reach: datagrams and the callers' HTTP face.
+// Seeded, bounded fuzzing of untrusted input: datagrams and callers' HTTP requests.
 #include "NodeFixture.h"
 
 #include "berylridge/Net/Datagram.h"
@@ -13,7 +13,7 @@
 constexpr int datagramRounds = 20000;
 constexpr int httpRounds = 400;
 
-/// Changes some bytes: flips, cuts, doubles and noise.
+/// Mutates bytes by replacing, erasing, duplicating, inserting noise and truncating.
 std::string mutated(std::string text, RandomEngine &random)
 {
     const auto count = 1 + random() % 8;
@@ -81,9 +81,8 @@
 
 TEST(FuzzTest, callerHttpSurvivesMutatedRequests)
 {
-    // What callers see: each damaged request gets an response or its connection closed, and a
-    // proper request is served at the end. What happens: seeded damage to requests of several
-    // kinds.
+    // Guards against damaged requests that crash or block the router. Each one gets a response or
+    // its connection is closed, and a valid request must be served at the end.
     FakeCore core([](const Event &event, Actions &actions) {
         if (const auto *arrived = std::get_if<RequestArrived>(&event))
             actions.emplace_back(Refuse {arrived->handle, 429, Verdict::NotRun, "the queue is full",
--- a/unittests/Net/OverloadTest.cpp
+++ b/unittests/Net/OverloadTest.cpp
@@ -1,4 +1,4 @@
-// A node to which more connections come than it can serve.
+// Tests a node that receives more connections than it can serve.
 #include "CallerListener.h"
 #include "NodeFixture.h"
 #include "TrafficThread.h"
@@ -16,7 +16,7 @@
 constexpr std::size_t floodSize = 200;
 constexpr const char *path = "/v1/services/shop/orders";
 
-/// A listener on a traffic thread whose iterations the test takes one by one.
+/// A listener on a traffic thread whose event loop iterations the test runs one at a time.
 class SteppedTrafficThreadTest : public ::testing::Test
 {
 protected:
@@ -46,7 +46,8 @@
     std::unique_ptr<CallerListener> m_listener;
 };
 
-// Guards against a listen queue that only grows: connections taken more slowly than they come.
+// Guards against a listen queue that grows without bound because connections are accepted more
+// slowly than they arrive.
 TEST_F(SteppedTrafficThreadTest, acceptsAllPendingConnectionsInOneIteration)
 {
     std::list<FakeCaller> callers;
@@ -56,7 +57,8 @@
     EXPECT_EQ(metrics.connectionsAccepted, floodSize);
 }
 
-// Guards against a queue so long that callers give up before a busy thread reaches them.
+// Guards against a listen queue so long that callers time out before an overloaded thread accepts
+// them.
 TEST_F(SteppedTrafficThreadTest, connectionsBeyondTheBacklogAreNotAccepted)
 {
     asio::io_context io;
@@ -65,7 +67,7 @@
     for (std::size_t i = 0; i < 1000; ++i) {
         tcp::socket &socket = sockets.emplace_back(io, tcp::v4());
         socket.non_blocking(true);
-        const tcp::endpoint to = *asioEndpoint<tcp>(endpoint()); // Asio's connect() would wait.
+        const tcp::endpoint to = *asioEndpoint<tcp>(endpoint()); // Asio's connect() would block.
         const int result
             = ::connect(socket.native_handle(), to.data(), static_cast<socklen_t>(to.size()));
         ASSERT_TRUE(result == 0 || errno == EINPROGRESS);
@@ -76,7 +78,7 @@
     EXPECT_LE(connected, 2 * floodSize);
 }
 
-// Guards against work for callers that gave up while their connections waited to be taken.
+// Guards against work for callers that timed out while their connections waited to be accepted.
 TEST_F(SteppedTrafficThreadTest, requestsOfDisconnectedCallersAreDropped)
 {
     for (std::size_t i = 0; i < floodSize; ++i) {
@@ -93,8 +95,8 @@
     EXPECT_EQ(metrics.callersGoneUnread, floodSize);
 }
 
-// Guards against refusals that cost a busy thread as much as what it serves: they go out when the
-// head is read, without the body and without the core.
+// Guards against rejections that cost an overloaded thread as much as served requests: they must be
+// sent when the head is read, without the body and without the core.
 TEST_F(SteppedTrafficThreadTest, overloadedThreadRejectsAfterReadingTheHead)
 {
     for (int i = 0; i < 10; ++i)
@@ -105,12 +107,13 @@
     std::list<FakeCaller> callers;
     for (std::size_t i = 0; i < floodSize; ++i) {
         callers.emplace_back(endpoint());
-        callers.back().send(head); // The first of a credential are always kept.
+        callers.back().send(head); // The first requests of a credential are always admitted.
     }
     while (metrics.connectionsOpen < callers.size())
         context().run_one();
     context().poll();
-    const std::string response = callers.back().readUntil("more to do than it can");
+    const std::string response
+        = callers.back().readUntil("the router is too busy to serve the request");
     EXPECT_NE(response.find("503"), std::string::npos) << response;
     EXPECT_NE(response.find("Retry-After"), std::string::npos) << response;
     EXPECT_NE(response.find("X-Request-Id: r1"), std::string::npos) << response;
@@ -119,8 +122,8 @@
         EXPECT_TRUE(std::holds_alternative<TrafficThreadReport>(event));
 }
 
-// Guards against refusals that use up the processor of a busy thread, so that it serves next to
-// nothing: each is one turn of work.
+// Guards against rejections that use almost all processor time of an overloaded thread: each may
+// take only one event loop iteration.
 TEST_F(SteppedTrafficThreadTest, overloadedThreadRejectsInOneIteration)
 {
     for (int i = 0; i < 10; ++i)
@@ -135,7 +138,8 @@
         iterations += context().run_one();
     iterations += context().poll();
     EXPECT_LE(iterations, floodSize + floodSize / 4);
-    const std::string response = callers.back().readUntil("more to do than it can");
+    const std::string response
+        = callers.back().readUntil("the router is too busy to serve the request");
     EXPECT_NE(response.find("503"), std::string::npos) << response;
     EXPECT_NE(response.find("Retry-After"), std::string::npos) << response;
 }
--- a/unittests/Net/ResumeTest.cpp
+++ b/unittests/Net/ResumeTest.cpp
@@ -18,7 +18,7 @@
     return "id: " + std::to_string(id) + "\ndata: token" + std::to_string(id) + "\n\n";
 }
 
-/// A rule that sends first attempts to one target and resumes at another.
+/// Dispatches first attempts to one target and resumes them at another.
 FakeCore::Rule resumeAt(const Endpoint &first, const Endpoint &second)
 {
     return [=](const Event &event, Actions &actions) {
@@ -37,7 +37,7 @@
     };
 }
 
-/// The events in a chunked response, chunk frames left out.
+/// Returns the events of a chunked response without the chunk framing.
 std::string eventsOf(const std::string &response)
 {
     std::string events;
@@ -50,10 +50,10 @@
 
 TEST(ResumeTest, callerReceivesOneContinuousStream)
 {
-    // What the caller sees: one stream without a gap or a repeat.
-    // What happens: the first replica is killed in the middle of event 3; the core resumes at a
-    // second one, which is told the last event that the caller has and repeats one more than asked.
-    // Why: half an event must not be passed on, else the caller would get it one and a half times.
+    // Guards against gaps and duplicates in a resumed stream. The first replica is killed in the
+    // middle of event 3. The second one receives the id of the last event that the caller has, and
+    // repeats one event more than requested. A partial event must not be relayed, because the
+    // caller would then receive it partly twice.
     FakeTarget first([](TargetPeer &peer) {
         peer.readRequest();
         peer.send(streamHead + chunk(event(1)) + chunk(event(2)) + chunk("id: 3\ndata: tok"));
@@ -66,7 +66,7 @@
         peer.send(streamHead + chunk(event(2) + event(3)) + chunk("data: [DONE]\n\n")
                   + "0\r\n\r\n");
     });
-    // A reset may overtake the bytes before it; the response is one stream all the same.
+    // A reset may overtake the bytes before it; the response must be one stream in both cases.
     FakeCore core(resumeAt(first.endpoint(), second.endpoint()));
     std::string response;
     {
@@ -81,7 +81,8 @@
     EXPECT_EQ(lastId.empty(), !hasFirst);
     const std::string all = eventsOf(response);
     EXPECT_TRUE(all.ends_with("id: 3\ndata: token3\ndata: [DONE]\n")) << response;
-    EXPECT_EQ(response.find("HTTP/1.1", 1), std::string::npos) << "one head only: " << response;
+    EXPECT_EQ(response.find("HTTP/1.1", 1), std::string::npos)
+        << "expected a single head: " << response;
     EXPECT_NE(response.find("\r\n0\r\n\r\n"), std::string::npos) << response;
     const std::string before = all.substr(0, all.find("id: 3"));
     EXPECT_TRUE(before == "id: 2\ndata: token2\n"
@@ -91,9 +92,9 @@
 
 TEST(ResumeTest, resumesAfterEventsSentWithPrematureEnd)
 {
-    // What the caller sees: one stream, though the first replica ended it without [DONE].
-    // What happens: events and a proper last chunk come in one piece; the events are passed on, the
-    // missing end is noticed, and the second replica goes on after them.
+    // Guards against a stream that ends without [DONE]: its events and a valid last chunk arrive
+    // together. The events must be relayed, the missing end must be detected, and the second
+    // replica must continue after them.
     FakeTarget first([](TargetPeer &peer) {
         peer.readRequest();
         peer.send(streamHead + chunk(event(1) + event(2)) + "0\r\n\r\n");
@@ -123,7 +124,8 @@
 
 TEST(ResumeTest, closesCallerConnectionIfTheSecondTargetFails)
 {
-    // What the caller sees: its connection breaks without a last chunk, so it knows.
+    // Guards against a truncated stream that looks complete: the caller's connection must close
+    // without a last chunk.
     const auto sendTruncatedStream = [](TargetPeer &peer) {
         peer.readRequest();
         peer.send(streamHead + chunk(event(1)));
@@ -143,7 +145,8 @@
 
 TEST(ResumeTest, neverJoinsTwoPlainResponses)
 {
-    // What the caller sees: a cut connection, not the halves of two answers in one.
+    // Guards against a response that is joined from parts of two responses: the caller's connection
+    // must close instead.
     FakeTarget target([](TargetPeer &peer) {
         peer.readRequest();
         peer.send("HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\nhalf");
--- a/unittests/Net/ScreeningTest.cpp
+++ b/unittests/Net/ScreeningTest.cpp
@@ -1,4 +1,4 @@
-// What a busy thread decides by the first bytes of a request.
+// Tests the decisions of an overloaded thread on the first bytes of a request.
 #include "Screening.h"
 
 #include <gtest/gtest.h>
@@ -52,8 +52,8 @@
     EXPECT_EQ(countedRequests, 1);
 }
 
-// Guards against a reset that destroys the immediateResponse, as bytes of the body come after the
-// end.
+// Guards against a reset that destroys the response because bytes of the body arrive after the
+// connection is closed.
 TEST_F(ScreeningTest, requestWithIncompleteBodyIsNotAnsweredImmediately)
 {
     const Screening screening = screen(completeRequest.substr(0, completeRequest.size() - 1));
@@ -61,21 +61,20 @@
     EXPECT_FALSE(screening.immediateResponse);
 }
 
-// Guards against the next request's bytes being lost with the refused one's.
+// Guards against losing the bytes of the next request together with the rejected one.
 TEST_F(ScreeningTest, pipelinedRequestIsNotAnsweredImmediately)
 {
     EXPECT_FALSE(screen(completeRequest + completeRequest).immediateResponse);
 }
 
-// Guards against a request that is countedRequests twice: here and when its head is
-// completeRequest.
+// Guards against counting a request twice: during screening and when its head is complete.
 TEST_F(ScreeningTest, incompleteHeadIsUndecided)
 {
     EXPECT_EQ(screen(head).decision, ShedDecision::Undecided);
     EXPECT_EQ(countedRequests, 0);
 }
 
-// Guards against a body in a coding that isn't read being taken for the next request.
+// Guards against a body in an unsupported coding that is parsed as the next request.
 TEST_F(ScreeningTest, bodyWithoutLengthIsUndecided)
 {
     EXPECT_EQ(screen(head + "Transfer-Encoding: gzip\r\n\r\n").decision, ShedDecision::Undecided);
