--- a/include/berylridge/Admin/AdminApi.h
+++ b/include/berylridge/Admin/AdminApi.h
@@ -23,7 +23,7 @@
     std::function<NodeStatus()> status;
     std::function<std::vector<std::string>(const std::string &requestId)> explain;
     std::function<void(const std::string &who)> leave;
-    std::function<void(const std::string &who)> comeBack;
+    std::function<void(const std::string &who)> returnToService;
     /// Texts of the documents in force; may be empty, then only heads are given.
     std::function<std::vector<DocumentText>()> documents;
     std::function<void(LogRecord)> log;
--- a/include/berylridge/Admin/AuditTrail.h
+++ b/include/berylridge/Admin/AuditTrail.h
@@ -55,13 +55,13 @@
     {
         std::deque<NumberedAuditEntry> entries;
         std::size_t limit;
-        std::uint64_t lastGivenUp = 0;
+        std::uint64_t lastEvictedSequence = 0;
     };
 
     std::uint64_t append(Ring &ring, AuditEntry entry);
 
     mutable std::mutex m_mutex;
-    std::uint64_t m_last = 0;
+    std::uint64_t m_lastSequence = 0;
     Ring m_changes;
     Ring m_reads;
 };
--- a/include/berylridge/Admin/RpcClient.h
+++ b/include/berylridge/Admin/RpcClient.h
@@ -9,13 +9,13 @@
 
 namespace berylridge {
 
-/// Sends a request body and puts the answer's body into its second argument; on failure returns
+/// Sends a request body and puts the response's body into its second argument; on failure returns
 /// false and puts the reason there.
-using RpcTransport = std::function<bool(const std::string &request, std::string &answer)>;
+using RpcTransport = std::function<bool(const std::string &request, std::string &response)>;
 
 struct RpcReply
 {
-    bool isFine = false;
+    bool isSuccess = false;
     Json::Value result;
     std::string reason; ///< Why it failed; empty where it is fine.
 };
--- a/include/berylridge/Net/Datagram.h
+++ b/include/berylridge/Net/Datagram.h
@@ -20,14 +20,14 @@
 using PeerMessage = std::variant<FleetMessage, KeyMessage, BalancerMessage>;
 
 /// Bytes of a datagram, its authenticator included: below the smallest usual path MTU.
-inline constexpr std::size_t datagramLimit = 1200;
+inline constexpr std::size_t maxDatagramBytes = 1200;
 
 /// Kinds of messages, counted from 0 over all vocabularies.
-inline constexpr std::size_t peerMessageKinds
+inline constexpr std::size_t peerMessageKindCount
     = std::variant_size_v<
           FleetMessage> + std::variant_size_v<KeyMessage> + std::variant_size_v<BalancerMessage>;
 
-/// Which kind a message is, below peerMessageKinds.
+/// Which kind a message is, below peerMessageKindCount.
 std::size_t peerMessageKind(const PeerMessage &message);
 
 /// The name of a kind, as metrics show it.
@@ -37,17 +37,17 @@
 std::string packPeerMessage(const PeerMessage &message);
 
 /// Seals packed messages of one node into datagrams.
-class DatagramSealer
+class DatagramEncoder
 {
 public:
-    DatagramSealer(NodeId from, Incarnation incarnation, std::string fleetKey);
+    DatagramEncoder(NodeId from, Incarnation incarnation, std::string fleetKey);
 
     /// Bytes of packed messages that one datagram holds.
     std::size_t capacity() const;
 
-    /// One datagram of the packed messages. Larger than datagramLimit where they exceed capacity();
-    /// such a one travels by call.
-    std::string seal(std::span<const std::string> packedMessages) const;
+    /// One datagram of the packed messages. Larger than maxDatagramBytes where they exceed
+    /// capacity(); such a one travels by call.
+    std::string encode(std::span<const std::string> packedMessages) const;
 
 private:
     NodeId m_from;
@@ -60,10 +60,10 @@
     NodeId from;
     Incarnation incarnation = 0;
     std::vector<PeerMessage> messages;
-    std::uint32_t unknownMessages = 0; ///< Of a newer release; skipped.
+    std::uint32_t unknownMessageCount = 0; ///< Of a newer release; skipped.
 };
 
-/// Checks the seal, then reads the messages. Nothing of an unauthentic datagram is looked at.
-Expected<Datagram> openDatagram(std::string_view fleetKey, std::span<const std::byte> bytes);
+/// Checks the encode, then reads the messages. Nothing of an unauthentic datagram is looked at.
+Expected<Datagram> decodeDatagram(std::string_view fleetKey, std::span<const std::byte> bytes);
 
 } // namespace berylridge
--- a/include/berylridge/Net/FileWatch.h
+++ b/include/berylridge/Net/FileWatcher.h
@@ -11,23 +11,23 @@
 namespace berylridge {
 
 /// Looks at the file's time and size now and then. Lives on the context's thread.
-class FileWatch
+class FileWatcher
 {
 public:
-    /// Operators don't wait for a change of settings that they don't signal.
-    static constexpr std::chrono::milliseconds period {2000};
+    /// Operators don't scheduleCheck for a change of settings that they don't signal.
+    static constexpr std::chrono::milliseconds checkPeriod {2000};
 
-    FileWatch(asio::io_context &context, std::string path, std::function<void()> changed);
+    FileWatcher(asio::io_context &context, std::string path, std::function<void()> onChanged);
 
 private:
     /// Equal as long as the file is the same; empty where it can't be looked at.
-    std::string stamp() const;
-    void wait();
+    std::string readFingerprint() const;
+    void scheduleCheck();
 
     asio::steady_timer m_timer;
     const std::string m_path;
-    std::function<void()> m_changed;
-    std::string m_stamp;
+    std::function<void()> m_onChanged;
+    std::string m_fingerprint;
 };
 
 } // namespace berylridge
--- a/include/berylridge/Net/HttpClient.h
+++ b/include/berylridge/Net/HttpClient.h
@@ -27,15 +27,15 @@
 class HttpClient : public std::enable_shared_from_this<HttpClient>
 {
 public:
-    using Done = std::function<void(HttpReply)>;
+    using CompletionHandler = std::function<void(HttpReply)>;
 
-    static constexpr std::uint64_t answerLimit = 64 << 20;
+    static constexpr std::uint64_t maxResponseBytes = 64 << 20;
     static constexpr std::size_t queueLimit = 64;
 
     HttpClient(asio::io_context &context, Endpoint endpoint);
 
-    void get(std::string_view target, Duration timeout, Done done);
-    void post(std::string_view target, std::string body, Duration timeout, Done done);
+    void get(std::string_view target, Duration timeout, CompletionHandler done);
+    void post(std::string_view target, std::string body, Duration timeout, CompletionHandler done);
 
     /// Calls that are waiting or under way.
     std::size_t pending() const { return m_calls.size(); }
@@ -51,28 +51,28 @@
     {
         std::shared_ptr<const StringRequest> request; ///< Shared with the write under way.
         Duration timeout;
-        Done done;
-        bool isRepeated = false;
+        CompletionHandler done;
+        bool isRetried = false;
     };
 
     void enqueue(http::verb method, std::string_view target, std::string body, Duration timeout,
-                 Done done);
-    void begin();
+                 CompletionHandler done);
+    void startCall();
     void connect();
     void send();
     void receive();
     /// An operation on the connection has ended: what comes next, unless it failed.
-    void goOn(const std::shared_ptr<Connection> &connection, error_code error,
-              void (HttpClient::*next)());
-    void drop();
+    void onOperationDone(const std::shared_ptr<Connection> &connection, error_code error,
+                         void (HttpClient::*next)());
+    void closeConnection();
     void onFailure(AttemptFailure failure);
-    void onAnswer();
+    void onResponse();
     void complete(HttpReply reply);
 
     asio::io_context &m_context;
     const Endpoint m_endpoint;
     std::shared_ptr<Connection> m_connection; ///< Null where there is none.
-    bool m_isKept = false;                    ///< The connection has served a call before.
+    bool m_hasServedCall = false;             ///< The connection has served a call before.
     std::deque<Call> m_calls;
 };
 
--- a/include/berylridge/Net/LogSink.h
+++ b/include/berylridge/Net/LogSink.h
@@ -24,7 +24,7 @@
     static constexpr std::size_t queueLimit = 4096;
 
     /// write is called on the writer thread alone.
-    LogSink(LogLevel lowest, Write write);
+    LogSink(LogLevel minLevel, Write write);
     /// Writes what is queued, but waits no longer than a second for a reader that has stopped.
     ~LogSink();
     LogSink(const LogSink &) = delete;
@@ -39,7 +39,7 @@
 private:
     struct Shared;
 
-    const LogLevel m_lowest;
+    const LogLevel m_minLevel;
     std::shared_ptr<Shared> m_shared; ///< With the writer, which may outlive a stuck write.
     std::thread m_writer;
 };
@@ -48,6 +48,6 @@
 LogSink::Write log4cplusWriter();
 
 /// "debug" is not known: "info", "warning" or "error", as the settings have it.
-LogLevel logLevelOf(std::string_view name);
+LogLevel parseLogLevel(std::string_view name);
 
 } // namespace berylridge
--- a/include/berylridge/Net/Metrics.h
+++ b/include/berylridge/Net/Metrics.h
@@ -47,18 +47,19 @@
 
     std::array<Counter, 3> requestsByVerdict {}; ///< Indexed by Verdict: requests that ended.
     Counter requestsReceived {0};
-    Counter callersGone {0};
-    Counter callersGoneUnread {0}; ///< Of requests that were read when their caller had left.
+    Counter callerDisconnects {0};
+    Counter requestsReadAfterDisconnect {
+        0}; ///< Of requests that were read when their caller had left.
     Counter connectionsAccepted {0};
     Counter acceptFailures {0};
     Counter trafficLagMicroseconds {0}; ///< The last that a traffic thread reported.
     Counter connectionsOpen {0};
-    Counter connectionsRefused {0};
+    Counter connectionsRejected {0};
     Counter attemptsStarted {0};
     Counter attemptsFailed {0};
     Counter connectionsReused {0};
-    std::array<MessageCounter, peerMessageKinds> sent {};
-    std::array<MessageCounter, peerMessageKinds> received {};
+    std::array<MessageCounter, peerMessageKindCount> sent {};
+    std::array<MessageCounter, peerMessageKindCount> received {};
     Counter datagramsSent {0};
     Counter datagramsReceived {0};
     Counter datagramBytesSent {0};
@@ -72,14 +73,14 @@
     Counter targetPolls {0};
     Counter logLinesDropped {0};
     Counter controlEvents {0};
-    LatencyHistogram firstByte;
-    LatencyHistogram whole;
+    LatencyHistogram firstByteLatency;
+    LatencyHistogram requestLatency;
 
     /// Counts a refusal under its problem type.
     void addRefusal(const std::string &type);
 
-    /// controlSeconds is the processor time of the control thread.
-    std::string print(double controlSeconds) const;
+    /// controlCpuSeconds is the processor time of the control thread.
+    std::string print(double controlCpuSeconds) const;
 
 private:
     mutable std::mutex m_mutex;
--- a/lib/Admin/AdminApi.cpp
+++ b/lib/Admin/AdminApi.cpp
@@ -11,12 +11,12 @@
 
 namespace {
 
-constexpr std::size_t whoLengthMost = 64;
-constexpr std::size_t requestIdLengthMost = 128;
-constexpr Json::UInt64 auditLimitMost = 1000;
+constexpr std::size_t maxWhoLength = 64;
+constexpr std::size_t maxRequestIdLength = 128;
+constexpr Json::UInt64 maxAuditPageEntries = 1000;
 constexpr int unauthorizedError = -32001;
 
-[[noreturn]] void refuseParameters(const std::string &message)
+[[noreturn]] void throwInvalidParams(const std::string &message)
 {
     throw jsonrpc::JsonRpcException(jsonrpc::Errors::ERROR_RPC_INVALID_PARAMS, message);
 }
@@ -26,42 +26,42 @@
     if (parameters.isNull())
         return nullptr;
     if (!parameters.isObject())
-        refuseParameters("params must be an object");
+        throwInvalidParams("params must be an object");
     return parameters.find(name.data(), name.data() + name.size());
 }
 
-std::string textParameter(const Json::Value &parameters, const std::string &name,
-                          const std::string &otherwise, std::size_t most)
+std::string stringParameter(const Json::Value &parameters, const std::string &name,
+                            const std::string &defaultValue, std::size_t maxLength)
 {
     const auto *value = parameter(parameters, name);
     if (!value)
-        return otherwise;
+        return defaultValue;
     auto text = value->isString() ? value->asString() : std::string();
     const bool isPrintable
         = std::all_of(text.begin(), text.end(), [](char c) { return c >= ' ' && c <= '~'; });
-    if (text.empty() || text.size() > most || !isPrintable) {
-        refuseParameters(name + " must be a string of 1 to " + std::to_string(most)
-                         + " visible ASCII characters");
+    if (text.empty() || text.size() > maxLength || !isPrintable) {
+        throwInvalidParams(name + " must be a string of 1 to " + std::to_string(maxLength)
+                           + " visible ASCII characters");
     }
     return text;
 }
 
-Json::UInt64 numberParameter(const Json::Value &parameters, const std::string &name,
-                             Json::UInt64 otherwise)
+Json::UInt64 uintParameter(const Json::Value &parameters, const std::string &name,
+                           Json::UInt64 defaultValue)
 {
     const auto *value = parameter(parameters, name);
     if (!value)
-        return otherwise;
+        return defaultValue;
     if (!value->isUInt64())
-        refuseParameters(name + " must be a whole number, 0 or more");
+        throwInvalidParams(name + " must be a whole number, 0 or more");
     return value->asUInt64();
 }
 
-bool flagParameter(const Json::Value &parameters, const std::string &name)
+bool boolParameter(const Json::Value &parameters, const std::string &name)
 {
     const auto *value = parameter(parameters, name);
     if (value && !value->isBool())
-        refuseParameters(name + " must be true or false");
+        throwInvalidParams(name + " must be true or false");
     return value && value->asBool();
 }
 
@@ -78,7 +78,7 @@
 class AdminApi::Connector : public jsonrpc::AbstractServerConnector
 {
 public:
-    std::string carry(const std::string &request)
+    std::string handleRequest(const std::string &request)
     {
         std::string response;
         OnRequest(request, &response);
@@ -87,9 +87,9 @@
 
     bool StartListening() override { return true; } // NOLINT: the library's name
     bool StopListening() override { return true; }  // NOLINT: as above
-    bool SendResponse(const std::string &response, void *place) override // NOLINT: as above
+    bool SendResponse(const std::string &response, void *destination) override // NOLINT: as above
     {
-        *static_cast<std::string *>(place) = response;
+        *static_cast<std::string *>(destination) = response;
         return true;
     }
 };
@@ -105,16 +105,16 @@
         add("status", jsonrpc::JSON_OBJECT, &Server::status);
         add("explain", jsonrpc::JSON_OBJECT, &Server::explain);
         add("leave", jsonrpc::JSON_OBJECT, &Server::leave);
-        add("return", jsonrpc::JSON_OBJECT, &Server::comeBack);
+        add("return", jsonrpc::JSON_OBJECT, &Server::returnToService);
         add("audit", jsonrpc::JSON_OBJECT, &Server::audit);
         add("documents", jsonrpc::JSON_OBJECT, &Server::documents);
         add("events", jsonrpc::JSON_ARRAY, &Server::events);
     }
 
-    void rejected()
+    void recordRejectedCall()
     {
         m_hooks.log({LogEventId::OperatorRejected, "a call without the operators' key"});
-        m_trail.appendRead(entryOf("unknown", "rejected"));
+        m_trail.appendRead(makeAuditEntry("unknown", "rejected"));
     }
 
 private:
@@ -125,14 +125,14 @@
         assert(isNew && "two methods of one name");
     }
 
-    Json::Value answer() const
+    Json::Value resultWithNode() const
     {
         Json::Value value;
         value["node"] = m_hooks.node.str();
         return value;
     }
 
-    AuditEntry entryOf(std::string who, std::string what) const
+    AuditEntry makeAuditEntry(std::string who, std::string what) const
     {
         AuditEntry entry;
         entry.kind = AuditKind::OperatorCall;
@@ -142,22 +142,22 @@
         return entry;
     }
 
-    std::string whoOf(const Json::Value &parameters) const
+    std::string operatorNameOf(const Json::Value &parameters) const
     {
-        return textParameter(parameters, "who", "operator", whoLengthMost);
+        return stringParameter(parameters, "who", "operator", maxWhoLength);
     }
 
     void auditRead(const Json::Value &parameters, const std::string &what)
     {
-        m_trail.appendRead(entryOf(whoOf(parameters), what));
+        m_trail.appendRead(makeAuditEntry(operatorNameOf(parameters), what));
     }
 
     /// Changes are logged too: the log leaves the VM, the trail does so only when it is gathered.
     std::string auditChange(const Json::Value &parameters, const std::string &what)
     {
-        auto who = whoOf(parameters);
+        auto who = operatorNameOf(parameters);
         m_hooks.log({LogEventId::OperatorCall, who + " called " + what});
-        m_trail.appendChange(entryOf(who, what));
+        m_trail.appendChange(makeAuditEntry(who, what));
         return who;
     }
 
@@ -169,11 +169,11 @@
 
     void explain(const Json::Value &parameters, Json::Value &result)
     {
-        const auto requestId = textParameter(parameters, "requestId", "", requestIdLengthMost);
+        const auto requestId = stringParameter(parameters, "requestId", "", maxRequestIdLength);
         if (requestId.empty())
-            refuseParameters("requestId is missing");
+            throwInvalidParams("requestId is missing");
         auditRead(parameters, "explain " + requestId);
-        result = answer();
+        result = resultWithNode();
         result["lines"] = Json::Value(Json::arrayValue);
         for (const auto &line : m_hooks.explain(requestId))
             result["lines"].append(line);
@@ -182,22 +182,22 @@
     void leave(const Json::Value &parameters, Json::Value &result)
     {
         m_hooks.leave(auditChange(parameters, "leave"));
-        result = answer();
+        result = resultWithNode();
         result["state"] = m_hooks.status().state;
     }
 
-    void comeBack(const Json::Value &parameters, Json::Value &result)
+    void returnToService(const Json::Value &parameters, Json::Value &result)
     {
-        m_hooks.comeBack(auditChange(parameters, "return"));
-        result = answer();
+        m_hooks.returnToService(auditChange(parameters, "return"));
+        result = resultWithNode();
         result["state"] = m_hooks.status().state;
     }
 
     void audit(const Json::Value &parameters, Json::Value &result)
     {
-        const auto after = numberParameter(parameters, "after", 0);
-        const auto limit
-            = std::min(numberParameter(parameters, "limit", auditLimitMost), auditLimitMost);
+        const auto after = uintParameter(parameters, "after", 0);
+        const auto limit = std::min(uintParameter(parameters, "limit", maxAuditPageEntries),
+                                    maxAuditPageEntries);
         result = auditValue(m_trail.after(after, limit));
         result["node"] = m_hooks.node.str();
         // After the page was made: a reader that goes on would else always find its own last call.
@@ -206,17 +206,17 @@
 
     void documents(const Json::Value &parameters, Json::Value &result)
     {
-        const bool withText = flagParameter(parameters, "withText");
+        const bool withText = boolParameter(parameters, "withText");
         auditRead(parameters, "documents");
-        result = answer();
+        result = resultWithNode();
         result["documents"] = Json::Value(Json::arrayValue);
         if (!withText || !m_hooks.documents) {
-            for (const auto &head : m_hooks.status().documents)
-                result["documents"].append(headValue(head));
+            for (const auto &documentVersion : m_hooks.status().documents)
+                result["documents"].append(documentVersionValue(documentVersion));
             return;
         }
         for (const auto &document : m_hooks.documents()) {
-            auto value = headValue({document.name, document.version});
+            auto value = documentVersionValue({document.name, document.version});
             value["text"] = document.text;
             result["documents"].append(std::move(value));
         }
@@ -243,11 +243,11 @@
 std::string AdminApi::handleRpc(std::string_view request, bool isOperator)
 {
     if (!isOperator) {
-        m_server->rejected();
+        m_server->recordRejectedCall();
         return errorBody(unauthorizedError, "the operators' key is missing or wrong");
     }
     try {
-        return m_connector->carry(std::string(request));
+        return m_connector->handleRequest(std::string(request));
     } catch (const std::exception &) {
         // jsoncpp throws on deep nesting and where the library takes a member for what it isn't.
         return errorBody(jsonrpc::Errors::ERROR_RPC_INVALID_REQUEST, "not a JSON-RPC 2.0 request");
--- a/lib/Admin/AuditTrail.cpp
+++ b/lib/Admin/AuditTrail.cpp
@@ -38,12 +38,12 @@
 std::uint64_t AuditTrail::append(Ring &ring, AuditEntry entry)
 {
     const std::lock_guard lock(m_mutex);
-    ring.entries.push_back({++m_last, std::move(entry)});
+    ring.entries.push_back({++m_lastSequence, std::move(entry)});
     if (ring.entries.size() > ring.limit) {
-        ring.lastGivenUp = ring.entries.front().sequence;
+        ring.lastEvictedSequence = ring.entries.front().sequence;
         ring.entries.pop_front();
     }
-    return m_last;
+    return m_lastSequence;
 }
 
 AuditPage AuditTrail::after(std::uint64_t sequence, std::size_t limit) const
@@ -51,7 +51,8 @@
     const std::lock_guard lock(m_mutex);
     AuditPage page;
     page.last = sequence;
-    page.hasGap = m_changes.lastGivenUp > sequence || m_reads.lastGivenUp > sequence;
+    page.hasGap
+        = m_changes.lastEvictedSequence > sequence || m_reads.lastEvictedSequence > sequence;
     auto change = firstAfter(m_changes.entries, sequence);
     auto read = firstAfter(m_reads.entries, sequence);
     while (change != m_changes.entries.end() || read != m_reads.entries.end()) {
--- a/lib/Admin/RpcClient.cpp
+++ b/lib/Admin/RpcClient.cpp
@@ -16,7 +16,7 @@
     }
 
     /// Keeps the transport's failure: the base class allows but one kind of exception here, and the
-    /// library would put its own words before ours.
+    /// library would put its own prefix before ours.
     void SendRPCMessage(const std::string &message, std::string &result) noexcept override // NOLINT
     {
         try {
@@ -36,14 +36,14 @@
     std::string m_failure;
 };
 
-/// The message without the library's own words for its code, which it puts before ours at both
+/// The message without the library's own prefix for its code, which it puts before ours at both
 /// ends.
-std::string bareMessage(const jsonrpc::JsonRpcException &error)
+std::string messageWithoutPrefix(const jsonrpc::JsonRpcException &error)
 {
     std::string message = error.GetMessage();
-    const std::string words = jsonrpc::Errors::GetErrorMessage(error.GetCode()) + ": ";
-    while (words.size() > 2 && message.compare(0, words.size(), words) == 0)
-        message.erase(0, words.size());
+    const std::string prefix = jsonrpc::Errors::GetErrorMessage(error.GetCode()) + ": ";
+    while (prefix.size() > 2 && message.compare(0, prefix.size(), prefix) == 0)
+        message.erase(0, prefix.size());
     return message;
 }
 
@@ -57,9 +57,10 @@
     try {
         jsonrpc::Client client(connector);
         client.CallMethod(method, parameters, reply.result);
-        reply.isFine = true;
+        reply.isSuccess = true;
     } catch (const jsonrpc::JsonRpcException &error) {
-        reply.reason = connector.failure().empty() ? bareMessage(error) : connector.failure();
+        reply.reason
+            = connector.failure().empty() ? messageWithoutPrefix(error) : connector.failure();
     } catch (const std::exception &error) {
         reply.reason = error.what();
     }
--- a/lib/Admin/StatusJson.cpp
+++ b/lib/Admin/StatusJson.cpp
@@ -47,7 +47,7 @@
     return value;
 }
 
-Json::Value entryValue(const NumberedAuditEntry &numbered)
+Json::Value auditEntryValue(const NumberedAuditEntry &numbered)
 {
     const auto &entry = numbered.entry;
     Json::Value value;
@@ -63,11 +63,11 @@
 
 } // namespace
 
-Json::Value headValue(const DocumentVersionEntry &head)
+Json::Value documentVersionValue(const DocumentVersionEntry &documentVersion)
 {
     Json::Value value;
-    value["name"] = head.name;
-    value["version"] = Json::UInt64 {head.version};
+    value["name"] = documentVersion.name;
+    value["version"] = Json::UInt64 {documentVersion.version};
     return value;
 }
 
@@ -80,7 +80,7 @@
     value["incarnation"] = Json::UInt64 {status.incarnation};
     value["isReader"] = status.isReader;
     value["vmListRevision"] = Json::UInt64 {status.vmListRevision};
-    value["documents"] = toJsonArray(status.documents, headValue);
+    value["documents"] = toJsonArray(status.documents, documentVersionValue);
     value["members"] = toJsonArray(status.members, memberValue);
     value["targets"] = toJsonArray(status.targets, targetValue);
     value["workspaces"] = toJsonArray(status.workspaces, workspaceValue);
@@ -90,7 +90,7 @@
 Json::Value auditValue(const AuditPage &page)
 {
     Json::Value value;
-    value["entries"] = toJsonArray(page.entries, entryValue);
+    value["entries"] = toJsonArray(page.entries, auditEntryValue);
     value["last"] = Json::UInt64 {page.last};
     value["hasGap"] = page.hasGap;
     value["hasMore"] = page.hasMore;
--- a/lib/Admin/StatusJson.h
+++ b/lib/Admin/StatusJson.h
@@ -11,7 +11,7 @@
 
 Json::Value statusValue(const NodeStatus &status);
 Json::Value auditValue(const AuditPage &page);
-Json::Value headValue(const DocumentVersionEntry &head);
+Json::Value documentVersionValue(const DocumentVersionEntry &documentVersion);
 Json::Value eventsValue();
 
 } // namespace berylridge
--- a/lib/Net/AdminFace.h
+++ b/lib/Net/AdminHttpServer.h
@@ -12,10 +12,10 @@
 namespace berylridge {
 
 /// Lives on the control thread.
-class AdminFace
+class AdminHttpServer
 {
 public:
-    struct Sources
+    struct Handlers
     {
         std::function<bool()> isReady;
         std::function<std::string()> metrics;
@@ -23,17 +23,17 @@
         std::string operatorsKeyDigest;
     };
 
-    AdminFace(asio::io_context &context, Sources sources);
+    AdminHttpServer(asio::io_context &context, Handlers handlers);
 
     std::string listen(const Endpoint &endpoint) { return m_listener.listen(endpoint); }
     Endpoint endpoint() const { return m_listener.endpoint(); }
 
 private:
-    StringResponse answer(const StringRequest &request) const;
-    StringResponse answerRpc(const StringRequest &request) const;
+    StringResponse handleRequest(const StringRequest &request) const;
+    StringResponse handleRpcRequest(const StringRequest &request) const;
     bool isOperator(const StringRequest &request) const;
 
-    Sources m_sources;
+    Handlers m_handlers;
     HttpListener m_listener;
 };
 
--- a/lib/Net/CallerSession.cpp
+++ b/lib/Net/CallerSession.cpp
@@ -51,7 +51,7 @@
     m_socket.set_option(tcp::no_delay(true), ignored);
     m_socket.non_blocking(true, ignored);
     if (m_thread.metrics().connectionsOpen > m_thread.options().connectionLimit) {
-        ++m_thread.metrics().connectionsRefused;
+        ++m_thread.metrics().connectionsRejected;
         sendProblem({503, "too-many-connections", "the router has too many connections open",
                      Verdict::NotRun, std::chrono::seconds(1)},
                     false);
--- a/lib/Net/ControlLoop.cpp
+++ b/lib/Net/ControlLoop.cpp
@@ -7,21 +7,21 @@
 
 namespace {
 
-constexpr Duration longestWait = std::chrono::hours(1);
+constexpr Duration maxTimerWait = std::chrono::hours(1);
 
 } // namespace
 
 ControlLoop::ControlLoop(asio::io_context &context, CoreHandle core, Metrics &metrics,
-                         CarryOut carryOut, std::function<void()> endTurn)
+                         ActionHandler onAction, std::function<void()> endIteration)
     : m_core(std::move(core))
     , m_metrics(metrics)
-    , m_carryOut(std::move(carryOut))
-    , m_endTurn(std::move(endTurn))
+    , m_onAction(std::move(onAction))
+    , m_onIterationEnd(std::move(endIteration))
     , m_timer(context)
-    , m_inbox(context, [this](std::vector<Event> &events) {
+    , m_mailbox(context, [this](std::vector<Event> &events) {
         for (const Event &event : events)
             handle(event);
-        this->endTurn();
+        this->endIteration();
     })
 {
 }
@@ -33,33 +33,33 @@
     // An action may lead to another event at once, whose actions must come after these.
     Actions actions = std::exchange(m_actions, {});
     for (Action &action : actions)
-        m_carryOut(action);
+        m_onAction(action);
     actions.clear();
     if (m_actions.empty())
         m_actions = std::move(actions); // Keeps the memory.
 }
 
-void ControlLoop::endTurn()
+void ControlLoop::endIteration()
 {
-    m_endTurn();
+    m_onIterationEnd();
     armTimer();
 }
 
 void ControlLoop::armTimer()
 {
     // A time far off, as of a core that waits for nothing, doesn't fit the steady clock's units.
-    const TimePoint due = std::min(m_core.nextTimer(), m_clock.now() + longestWait);
-    if (m_armedFor == due)
+    const TimePoint deadline = std::min(m_core.nextTimer(), m_clock.now() + maxTimerWait);
+    if (m_armedDeadline == deadline)
         return;
-    m_armedFor = due;
+    m_armedDeadline = deadline;
     // The core's time is that of the steady clock.
-    m_timer.expires_at(std::chrono::steady_clock::time_point(due.time_since_epoch()));
+    m_timer.expires_at(std::chrono::steady_clock::time_point(deadline.time_since_epoch()));
     m_timer.async_wait([this](error_code error) {
         if (error)
             return;
-        m_armedFor.reset();
+        m_armedDeadline.reset();
         handle(TimerDue {});
-        this->endTurn();
+        this->endIteration();
     });
 }
 
--- a/lib/Net/ControlLoop.h
+++ b/lib/Net/ControlLoop.h
@@ -16,32 +16,32 @@
 class ControlLoop
 {
 public:
-    using CarryOut = std::function<void(Action &)>;
+    using ActionHandler = std::function<void(Action &)>;
 
-    /// endTurn is called after all actions that came of one wake-up.
-    ControlLoop(asio::io_context &context, CoreHandle core, Metrics &metrics, CarryOut carryOut,
-                std::function<void()> endTurn);
+    /// endIteration is called after all actions that came of one wake-up.
+    ControlLoop(asio::io_context &context, CoreHandle core, Metrics &metrics,
+                ActionHandler onAction, std::function<void()> endIteration);
 
     /// From any thread.
-    void post(Event event) { m_inbox.put(std::move(event)); }
-    void postAll(std::vector<Event> &events) { m_inbox.putAll(events); }
+    void post(Event event) { m_mailbox.put(std::move(event)); }
+    void postAll(std::vector<Event> &events) { m_mailbox.putAll(events); }
 
-    /// On the control thread; endTurn() must follow.
+    /// On the control thread; endIteration() must follow.
     void handle(const Event &event);
-    void endTurn();
+    void endIteration();
 
 private:
     void armTimer();
 
     CoreHandle m_core;
     Metrics &m_metrics;
-    CarryOut m_carryOut;
-    std::function<void()> m_endTurn;
+    ActionHandler m_onAction;
+    std::function<void()> m_onIterationEnd;
     SystemClock m_clock;
     asio::steady_timer m_timer;
-    std::optional<TimePoint> m_armedFor;
+    std::optional<TimePoint> m_armedDeadline;
     Actions m_actions;
-    Mailbox<Event> m_inbox;
+    Mailbox<Event> m_mailbox;
 };
 
 } // namespace berylridge
--- a/lib/Net/Datagram.cpp
+++ b/lib/Net/Datagram.cpp
@@ -11,43 +11,43 @@
 
 namespace {
 
-constexpr std::uint32_t datagramFormat = 1;
+constexpr std::uint32_t datagramFormatVersion = 1;
 /// Fleet messages are numbered from 0 and the other lists from here, so that each list can grow.
 constexpr std::uint32_t firstKeyType = 100;
 constexpr std::uint32_t firstBalancerType = 200;
 /// Largest heads of the arrays and numbers around the packed messages, the node's name apart.
-constexpr std::size_t envelopeBytes = 32;
+constexpr std::size_t maxEnvelopeBytes = 32;
 /// Bounds what a datagram's own length fields can make the reader allocate.
-constexpr std::size_t listLimit = 1 << 16;
-constexpr std::size_t textLimit = 8 << 20;
-constexpr std::size_t depthLimit = 16;
+constexpr std::size_t maxListElements = 1 << 16;
+constexpr std::size_t maxTextBytes = 8 << 20;
+constexpr std::size_t maxNestingDepth = 16;
 
-constexpr std::size_t fleetKinds = std::variant_size_v<FleetMessage>;
-constexpr std::size_t keyKinds = std::variant_size_v<KeyMessage>;
-constexpr std::size_t balancerKinds = std::variant_size_v<BalancerMessage>;
+constexpr std::size_t fleetKindCount = std::variant_size_v<FleetMessage>;
+constexpr std::size_t keyKindCount = std::variant_size_v<KeyMessage>;
+constexpr std::size_t balancerKindCount = std::variant_size_v<BalancerMessage>;
 
 /// A type's name without its namespace, as the compiler gives it: a list of names by hand would
 /// have to follow each change of the vocabularies.
 template <typename T>
 constexpr std::string_view typeName()
 {
-    constexpr std::string_view before = "T = berylridge::";
+    constexpr std::string_view prefix = "T = berylridge::";
     const std::string_view text = __PRETTY_FUNCTION__;
-    const std::size_t begin = text.find(before) + before.size();
+    const std::size_t begin = text.find(prefix) + prefix.size();
     return text.substr(begin, text.find_first_of(";]", begin) - begin);
 }
 
-template <typename Vocabulary, std::size_t... Indices>
+template <typename MessageVariant, std::size_t... Indices>
 constexpr auto typeNames(std::index_sequence<Indices...>)
 {
     return std::array<std::string_view, sizeof...(Indices)> {
-        typeName<std::variant_alternative_t<Indices, Vocabulary>>()...};
+        typeName<std::variant_alternative_t<Indices, MessageVariant>>()...};
 }
 
-constexpr auto fleetNames = typeNames<FleetMessage>(std::make_index_sequence<fleetKinds>());
-constexpr auto keyNames = typeNames<KeyMessage>(std::make_index_sequence<keyKinds>());
+constexpr auto fleetNames = typeNames<FleetMessage>(std::make_index_sequence<fleetKindCount>());
+constexpr auto keyNames = typeNames<KeyMessage>(std::make_index_sequence<keyKindCount>());
 constexpr auto balancerNames
-    = typeNames<BalancerMessage>(std::make_index_sequence<balancerKinds>());
+    = typeNames<BalancerMessage>(std::make_index_sequence<balancerKindCount>());
 static_assert(fleetNames[0] == "Heartbeat");
 
 std::span<const std::byte> bytesOf(const std::string &text)
@@ -55,73 +55,74 @@
     return std::as_bytes(std::span(text));
 }
 
-template <typename Vocabulary, std::size_t Index>
-PeerMessage readAs(const msgpack::object &body)
+template <typename MessageVariant, std::size_t Index>
+PeerMessage parseAs(const msgpack::object &body)
 {
-    return PeerMessage(Vocabulary(std::in_place_index<Index>,
-                                  body.as<std::variant_alternative_t<Index, Vocabulary>>()));
+    return PeerMessage(MessageVariant(
+        std::in_place_index<Index>, body.as<std::variant_alternative_t<Index, MessageVariant>>()));
 }
 
-using ReadFunction = PeerMessage (*)(const msgpack::object &);
+using ParseFunction = PeerMessage (*)(const msgpack::object &);
 
-template <typename Vocabulary, std::size_t... Indices>
-constexpr auto readers(std::index_sequence<Indices...>)
+template <typename MessageVariant, std::size_t... Indices>
+constexpr auto parsers(std::index_sequence<Indices...>)
 {
-    return std::array<ReadFunction, sizeof...(Indices)> {&readAs<Vocabulary, Indices>...};
+    return std::array<ParseFunction, sizeof...(Indices)> {&parseAs<MessageVariant, Indices>...};
 }
 
-constexpr auto fleetReaders = readers<FleetMessage>(std::make_index_sequence<fleetKinds>());
-constexpr auto keyReaders = readers<KeyMessage>(std::make_index_sequence<keyKinds>());
-constexpr auto balancerReaders
-    = readers<BalancerMessage>(std::make_index_sequence<balancerKinds>());
+constexpr auto fleetParsers = parsers<FleetMessage>(std::make_index_sequence<fleetKindCount>());
+constexpr auto keyParsers = parsers<KeyMessage>(std::make_index_sequence<keyKindCount>());
+constexpr auto balancerParsers
+    = parsers<BalancerMessage>(std::make_index_sequence<balancerKindCount>());
 
-ReadFunction readerOf(std::uint32_t type)
+ParseFunction parserOf(std::uint32_t type)
 {
-    if (type < fleetKinds)
-        return fleetReaders[type];
-    if (type >= firstKeyType && type - firstKeyType < keyKinds)
-        return keyReaders[type - firstKeyType];
-    if (type >= firstBalancerType && type - firstBalancerType < balancerKinds)
-        return balancerReaders[type - firstBalancerType];
+    if (type < fleetKindCount)
+        return fleetParsers[type];
+    if (type >= firstKeyType && type - firstKeyType < keyKindCount)
+        return keyParsers[type - firstKeyType];
+    if (type >= firstBalancerType && type - firstBalancerType < balancerKindCount)
+        return balancerParsers[type - firstBalancerType];
     return nullptr;
 }
 
-/// The elements of an array of at least so many; throws msgpack::type_error otherwise.
-std::span<const msgpack::object> arrayOf(const msgpack::object &object, std::size_t least)
+/// The elements of an array of at minSize so many; throws msgpack::type_error otherwise.
+std::span<const msgpack::object> arrayOf(const msgpack::object &object, std::size_t minSize)
 {
-    if (object.type != msgpack::type::ARRAY || object.via.array.size < least)
+    if (object.type != msgpack::type::ARRAY || object.via.array.size < minSize)
         throw msgpack::type_error();
     return {object.via.array.ptr, object.via.array.size};
 }
 
-void readMessages(const msgpack::object &list, Datagram &datagram)
+void parseMessages(const msgpack::object &list, Datagram &datagram)
 {
     for (const msgpack::object &entry : arrayOf(list, 0)) {
         const auto parts = arrayOf(entry, 2);
-        const ReadFunction read = readerOf(parts[0].as<std::uint32_t>());
-        if (read == nullptr) {
-            ++datagram.unknownMessages;
+        const ParseFunction parse = parserOf(parts[0].as<std::uint32_t>());
+        if (parse == nullptr) {
+            ++datagram.unknownMessageCount;
             continue;
         }
-        datagram.messages.push_back(read(parts[1]));
+        datagram.messages.push_back(parse(parts[1]));
     }
 }
 
-Expected<Datagram> readEnvelope(std::span<const std::byte> bytes)
+Expected<Datagram> parseEnvelope(std::span<const std::byte> bytes)
 {
-    const msgpack::unpack_limit limit(listLimit, 0, textLimit, textLimit, 0, depthLimit);
+    const msgpack::unpack_limit limit(maxListElements, 0, maxTextBytes, maxTextBytes, 0,
+                                      maxNestingDepth);
     const std::string_view text(reinterpret_cast<const char *>(bytes.data()), bytes.size());
     try {
         std::size_t offset = 0;
         const auto handle
             = msgpack::unpack(text.data(), text.size(), offset, nullptr, nullptr, limit);
         const auto parts = arrayOf(handle.get(), 4);
-        if (parts[0].as<std::uint32_t>() != datagramFormat)
+        if (parts[0].as<std::uint32_t>() != datagramFormatVersion)
             return Reason {"datagram of an unknown format"};
         Datagram datagram;
         datagram.from = NodeId(parts[1].as<std::string>());
         datagram.incarnation = parts[2].as<Incarnation>();
-        readMessages(parts[3], datagram);
+        parseMessages(parts[3], datagram);
         return datagram;
     } catch (const std::exception &error) {
         return Reason {std::string("datagram can't be read: ") + error.what()};
@@ -135,24 +136,24 @@
     if (const auto *fleet = std::get_if<FleetMessage>(&message))
         return fleet->index();
     if (const auto *key = std::get_if<KeyMessage>(&message))
-        return fleetKinds + key->index();
-    return fleetKinds + keyKinds + std::get<BalancerMessage>(message).index();
+        return fleetKindCount + key->index();
+    return fleetKindCount + keyKindCount + std::get<BalancerMessage>(message).index();
 }
 
 std::string_view peerMessageKindName(std::size_t kind)
 {
-    assert(kind < peerMessageKinds && "no such kind of message");
-    if (kind < fleetKinds)
+    assert(kind < peerMessageKindCount && "no such kind of message");
+    if (kind < fleetKindCount)
         return fleetNames[kind];
-    kind -= fleetKinds;
-    return kind < keyKinds ? keyNames[kind] : balancerNames[kind - keyKinds];
+    kind -= fleetKindCount;
+    return kind < keyKindCount ? keyNames[kind] : balancerNames[kind - keyKindCount];
 }
 
 namespace {
 
-template <typename Vocabulary>
+template <typename MessageVariant>
 void packAs(msgpack::packer<msgpack::sbuffer> &packer, std::uint32_t firstType,
-            const Vocabulary &message)
+            const MessageVariant &message)
 {
     packer.pack(firstType + static_cast<std::uint32_t>(message.index()));
     std::visit([&](const auto &body) { packer.pack(body); }, message);
@@ -174,45 +175,45 @@
     return {buffer.data(), buffer.size()};
 }
 
-DatagramSealer::DatagramSealer(NodeId from, Incarnation incarnation, std::string fleetKey)
+DatagramEncoder::DatagramEncoder(NodeId from, Incarnation incarnation, std::string fleetKey)
     : m_from(std::move(from))
     , m_incarnation(incarnation)
     , m_fleetKey(std::move(fleetKey))
 {
-    assert(m_from.str().size() < datagramLimit / 2 && "node name leaves no room for messages");
+    assert(m_from.str().size() < maxDatagramBytes / 2 && "node name leaves no room for messages");
 }
 
-std::size_t DatagramSealer::capacity() const
+std::size_t DatagramEncoder::capacity() const
 {
-    return datagramLimit - authenticatorSize - envelopeBytes - m_from.str().size();
+    return maxDatagramBytes - authenticatorSize - maxEnvelopeBytes - m_from.str().size();
 }
 
-std::string DatagramSealer::seal(std::span<const std::string> packedMessages) const
+std::string DatagramEncoder::encode(std::span<const std::string> packedMessages) const
 {
     msgpack::sbuffer buffer;
     msgpack::packer packer(buffer);
     packer.pack_array(4);
-    packer.pack(datagramFormat);
+    packer.pack(datagramFormatVersion);
     packer.pack(m_from.str());
     packer.pack(m_incarnation);
     packer.pack_array(static_cast<std::uint32_t>(packedMessages.size()));
     for (const std::string &message : packedMessages)
         buffer.write(message.data(), message.size());
-    std::string sealed(buffer.data(), buffer.size());
-    std::array<std::byte, authenticatorSize> tag {};
-    computeAuthenticator(m_fleetKey, bytesOf(sealed), tag);
-    sealed.append(reinterpret_cast<const char *>(tag.data()), tag.size());
-    return sealed;
+    std::string encoded(buffer.data(), buffer.size());
+    std::array<std::byte, authenticatorSize> authenticator {};
+    computeAuthenticator(m_fleetKey, bytesOf(encoded), authenticator);
+    encoded.append(reinterpret_cast<const char *>(authenticator.data()), authenticator.size());
+    return encoded;
 }
 
-Expected<Datagram> openDatagram(std::string_view fleetKey, std::span<const std::byte> bytes)
+Expected<Datagram> decodeDatagram(std::string_view fleetKey, std::span<const std::byte> bytes)
 {
     if (bytes.size() <= authenticatorSize)
         return Reason {"datagram is too short"};
     const auto body = bytes.first(bytes.size() - authenticatorSize);
     if (!isAuthentic(fleetKey, body, bytes.last<authenticatorSize>()))
         return Reason {"datagram fails authentication"};
-    return readEnvelope(body);
+    return parseEnvelope(body);
 }
 
 } // namespace berylridge
--- a/lib/Net/DeliverServer.cpp
+++ b/lib/Net/DeliverRpcServer.cpp
@@ -1,4 +1,4 @@
-#include "DeliverServer.h"
+#include "DeliverRpcServer.h"
 
 #include "berylridge/Net/Base64.h"
 
@@ -8,7 +8,7 @@
 namespace berylridge {
 
 /// The library's server connector over whatever reads the requests.
-class DeliverServer::Connector : public jsonrpc::AbstractServerConnector
+class DeliverRpcServer::Connector : public jsonrpc::AbstractServerConnector
 {
 public:
     bool StartListening() override { return true; }                 // NOLINT: the library's name
@@ -19,7 +19,7 @@
         return true;
     }
 
-    std::string answer(const std::string &request)
+    std::string handleRequest(const std::string &request)
     {
         m_response.clear();
         OnRequest(request);
@@ -30,12 +30,12 @@
     std::string m_response;
 };
 
-class DeliverServer::Methods : public jsonrpc::AbstractServer<DeliverServer::Methods>
+class DeliverRpcServer::Methods : public jsonrpc::AbstractServer<DeliverRpcServer::Methods>
 {
 public:
-    Methods(Connector &connector, std::function<void(const std::string &)> take)
+    Methods(Connector &connector, std::function<void(const std::string &)> onDatagram)
         : AbstractServer(connector, jsonrpc::JSONRPC_SERVER_V2)
-        , m_take(std::move(take))
+        , m_onDatagram(std::move(onDatagram))
     {
         bindAndAddNotification(jsonrpc::Procedure(deliverMethod, jsonrpc::PARAMS_BY_NAME,
                                                   deliverParameter, jsonrpc::JSON_STRING, nullptr),
@@ -45,24 +45,24 @@
 private:
     void deliver(const Json::Value &parameters)
     {
-        const auto sealed = decodeBase64(parameters[deliverParameter].asString());
-        m_take(sealed.value_or(std::string()));
+        const auto datagram = decodeBase64(parameters[deliverParameter].asString());
+        m_onDatagram(datagram.value_or(std::string()));
     }
 
-    std::function<void(const std::string &)> m_take;
+    std::function<void(const std::string &)> m_onDatagram;
 };
 
-DeliverServer::DeliverServer(std::function<void(const std::string &)> deliver)
+DeliverRpcServer::DeliverRpcServer(std::function<void(const std::string &)> deliver)
     : m_connector(std::make_unique<Connector>())
     , m_methods(std::make_unique<Methods>(*m_connector, std::move(deliver)))
 {
 }
 
-DeliverServer::~DeliverServer() = default;
+DeliverRpcServer::~DeliverRpcServer() = default;
 
-std::string DeliverServer::handle(const std::string &request)
+std::string DeliverRpcServer::handle(const std::string &request)
 {
-    return m_connector->answer(request);
+    return m_connector->handleRequest(request);
 }
 
 } // namespace berylridge
--- a/lib/Net/DeliverServer.h
+++ b/lib/Net/DeliverRpcServer.h
@@ -7,12 +7,12 @@
 
 namespace berylridge {
 
-class DeliverServer
+class DeliverRpcServer
 {
 public:
     /// Called with the bytes of each sealed datagram; they are not yet authenticated.
-    explicit DeliverServer(std::function<void(const std::string &)> deliver);
-    ~DeliverServer();
+    explicit DeliverRpcServer(std::function<void(const std::string &)> deliver);
+    ~DeliverRpcServer();
 
     /// Takes in the body of one POST /rpc; the answer's body.
     std::string handle(const std::string &request);
--- a/lib/Net/Exchange.cpp
+++ b/lib/Net/Exchange.cpp
@@ -409,7 +409,7 @@
     if (!m_session)
         return;
     m_session.reset();
-    ++m_thread.metrics().callersGone;
+    ++m_thread.metrics().callerDisconnects;
     m_thread.report(CallerGone {m_handle});
     if (!m_attempt) {
         m_thread.removeExchange(m_handle);
@@ -421,7 +421,7 @@
 
 void Exchange::recordFirstByteLatency()
 {
-    m_thread.metrics().firstByte.add(
+    m_thread.metrics().firstByteLatency.add(
         std::chrono::duration_cast<Duration>(std::chrono::steady_clock::now() - m_arrival));
 }
 
@@ -432,7 +432,7 @@
     m_attempt.reset();
     m_session.reset();
     ++m_thread.metrics().requestsByVerdict[static_cast<std::size_t>(verdict)];
-    m_thread.metrics().whole.add(
+    m_thread.metrics().requestLatency.add(
         std::chrono::duration_cast<Duration>(std::chrono::steady_clock::now() - m_arrival));
     m_thread.removeExchange(m_handle);
 }
--- a/lib/Net/FileWatch.cpp
+++ b/lib/Net/FileWatcher.cpp
@@ -1,20 +1,21 @@
-#include "berylridge/Net/FileWatch.h"
+#include "berylridge/Net/FileWatcher.h"
 
 #include <filesystem>
 #include <utility>
 
 namespace berylridge {
 
-FileWatch::FileWatch(asio::io_context &context, std::string path, std::function<void()> changed)
+FileWatcher::FileWatcher(asio::io_context &context, std::string path,
+                         std::function<void()> onChanged)
     : m_timer(context)
     , m_path(std::move(path))
-    , m_changed(std::move(changed))
-    , m_stamp(stamp())
+    , m_onChanged(std::move(onChanged))
+    , m_fingerprint(readFingerprint())
 {
-    wait();
+    scheduleCheck();
 }
 
-std::string FileWatch::stamp() const
+std::string FileWatcher::readFingerprint() const
 {
     std::error_code error;
     const auto time = std::filesystem::last_write_time(m_path, error);
@@ -26,17 +27,17 @@
     return std::to_string(time.time_since_epoch().count()) + ' ' + std::to_string(size);
 }
 
-void FileWatch::wait()
+void FileWatcher::scheduleCheck()
 {
-    m_timer.expires_after(period);
+    m_timer.expires_after(checkPeriod);
     m_timer.async_wait([this](error_code error) {
         if (error)
             return;
-        std::string now = stamp();
+        std::string current = readFingerprint();
         // A file that is just being replaced is looked at again in a moment.
-        if (!now.empty() && std::exchange(m_stamp, now) != now)
-            m_changed();
-        wait();
+        if (!current.empty() && std::exchange(m_fingerprint, current) != current)
+            m_onChanged();
+        scheduleCheck();
     });
 }
 
--- a/lib/Net/HttpClient.cpp
+++ b/lib/Net/HttpClient.cpp
@@ -44,18 +44,19 @@
 {
 }
 
-void HttpClient::get(std::string_view target, Duration timeout, Done done)
+void HttpClient::get(std::string_view target, Duration timeout, CompletionHandler done)
 {
     enqueue(http::verb::get, target, {}, timeout, std::move(done));
 }
 
-void HttpClient::post(std::string_view target, std::string body, Duration timeout, Done done)
+void HttpClient::post(std::string_view target, std::string body, Duration timeout,
+                      CompletionHandler done)
 {
     enqueue(http::verb::post, target, std::move(body), timeout, std::move(done));
 }
 
 void HttpClient::enqueue(http::verb method, std::string_view target, std::string body,
-                         Duration timeout, Done done)
+                         Duration timeout, CompletionHandler done)
 {
     if (m_calls.size() >= queueLimit) {
         done({AttemptFailure::Timeout, 0, {}});
@@ -70,10 +71,10 @@
     m_calls.push_back({std::make_shared<const StringRequest>(std::move(request)), timeout,
                        std::move(done), false});
     if (m_calls.size() == 1)
-        begin();
+        startCall();
 }
 
-void HttpClient::begin()
+void HttpClient::startCall()
 {
     if (m_connection)
         send();
@@ -91,14 +92,14 @@
         });
         return;
     }
-    m_isKept = false;
+    m_hasServedCall = false;
     m_connection = std::make_shared<Connection>(m_context);
     m_connection->stream.expires_after(m_calls.front().timeout);
     m_connection->stream.async_connect(
         *endpoint, [self = shared_from_this(), connection = m_connection](error_code error) {
             error_code ignored;
             connection->stream.socket().set_option(tcp::no_delay(true), ignored);
-            self->goOn(connection, error, &HttpClient::send);
+            self->onOperationDone(connection, error, &HttpClient::send);
         });
 }
 
@@ -109,23 +110,23 @@
     http::async_write(
         m_connection->stream, *m_connection->request,
         [self = shared_from_this(), connection = m_connection](error_code error, std::size_t) {
-            self->goOn(connection, error, &HttpClient::receive);
+            self->onOperationDone(connection, error, &HttpClient::receive);
         });
 }
 
 void HttpClient::receive()
 {
     m_connection->parser.emplace();
-    m_connection->parser->body_limit(answerLimit);
+    m_connection->parser->body_limit(maxResponseBytes);
     http::async_read(
         m_connection->stream, m_connection->buffer, *m_connection->parser,
         [self = shared_from_this(), connection = m_connection](error_code error, std::size_t) {
-            self->goOn(connection, error, &HttpClient::onAnswer);
+            self->onOperationDone(connection, error, &HttpClient::onResponse);
         });
 }
 
-void HttpClient::goOn(const std::shared_ptr<Connection> &connection, error_code error,
-                      void (HttpClient::*next)())
+void HttpClient::onOperationDone(const std::shared_ptr<Connection> &connection, error_code error,
+                                 void (HttpClient::*next)())
 {
     if (m_connection != connection || m_calls.empty())
         return; // It was given up meanwhile.
@@ -135,7 +136,7 @@
         (this->*next)();
 }
 
-void HttpClient::drop()
+void HttpClient::closeConnection()
 {
     if (const auto connection = std::exchange(m_connection, nullptr))
         connection->stream.close();
@@ -143,26 +144,26 @@
 
 void HttpClient::onFailure(AttemptFailure failure)
 {
-    drop();
-    const bool wasKept = std::exchange(m_isKept, false);
+    closeConnection();
+    const bool hadServedCall = std::exchange(m_hasServedCall, false);
     // The server may have closed a kept connection just as the call was sent.
-    if (wasKept && failure == AttemptFailure::Reset && !m_calls.front().isRepeated) {
-        m_calls.front().isRepeated = true;
-        begin();
+    if (hadServedCall && failure == AttemptFailure::Reset && !m_calls.front().isRetried) {
+        m_calls.front().isRetried = true;
+        startCall();
         return;
     }
     complete({failure, 0, {}});
 }
 
-void HttpClient::onAnswer()
+void HttpClient::onResponse()
 {
-    auto &answer = m_connection->parser->get();
-    HttpReply reply {std::nullopt, answer.result_int(), std::move(answer.body())};
-    m_isKept = m_connection->parser->keep_alive() && m_connection->buffer.size() == 0;
-    if (m_isKept)
+    auto &response = m_connection->parser->get();
+    HttpReply reply {std::nullopt, response.result_int(), std::move(response.body())};
+    m_hasServedCall = m_connection->parser->keep_alive() && m_connection->buffer.size() == 0;
+    if (m_hasServedCall)
         m_connection->stream.expires_never();
     else
-        drop();
+        closeConnection();
     complete(std::move(reply));
 }
 
@@ -172,14 +173,14 @@
     m_calls.pop_front();
     const auto self = shared_from_this(); // done() may close this client.
     if (!m_calls.empty())
-        begin();
+        startCall();
     done(std::move(reply));
 }
 
 void HttpClient::close()
 {
     m_calls.clear();
-    drop();
+    closeConnection();
 }
 
 } // namespace berylridge
--- a/lib/Net/JsonRpcClient.cpp
+++ b/lib/Net/JsonRpcClient.cpp
@@ -27,9 +27,9 @@
 
 } // namespace
 
-void notifyByJsonRpc(const std::string &method, const std::string &parameter,
-                     const std::string &value,
-                     const std::function<void(const std::string &message)> &send)
+void sendJsonRpcNotification(const std::string &method, const std::string &parameter,
+                             const std::string &value,
+                             const std::function<void(const std::string &message)> &send)
 {
     FunctionConnector connector(send);
     jsonrpc::Client client(connector, jsonrpc::JSONRPC_CLIENT_V2);
--- a/lib/Net/JsonRpcClient.h
+++ b/lib/Net/JsonRpcClient.h
@@ -9,8 +9,8 @@
 
 /// Makes a JSON-RPC 2.0 notification with one text parameter and hands it to send, which is the
 /// library's client connector: it queues the message and returns.
-void notifyByJsonRpc(const std::string &method, const std::string &parameter,
-                     const std::string &value,
-                     const std::function<void(const std::string &message)> &send);
+void sendJsonRpcNotification(const std::string &method, const std::string &parameter,
+                             const std::string &value,
+                             const std::function<void(const std::string &message)> &send);
 
 } // namespace berylridge
--- a/lib/Net/LogLine.cpp
+++ b/lib/Net/LogLine.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-std::string timeText(WallTime time)
+std::string formatTime(WallTime time)
 {
     const auto seconds = std::chrono::floor<std::chrono::seconds>(time);
-    const std::time_t whole = seconds.time_since_epoch().count();
+    const std::time_t wholeSeconds = seconds.time_since_epoch().count();
     std::tm parts {};
-    gmtime_r(&whole, &parts);
+    gmtime_r(&wholeSeconds, &parts);
     std::array<char, 32> text {};
     std::strftime(text.data(), text.size(), "%Y-%m-%dT%H:%M:%S", &parts);
     const auto ms = std::to_string((time - seconds).count());
@@ -23,10 +23,10 @@
 const Json::StreamWriterBuilder &compactWriter()
 {
     static const Json::StreamWriterBuilder builder = [] {
-        Json::StreamWriterBuilder made;
-        made["indentation"] = "";
-        made["precision"] = 6;
-        return made;
+        Json::StreamWriterBuilder writer;
+        writer["indentation"] = "";
+        writer["precision"] = 6;
+        return writer;
     }();
     return builder;
 }
@@ -38,10 +38,10 @@
 
 } // namespace
 
-std::string logLine(const LogRecord &record, WallTime time)
+std::string formatLogLine(const LogRecord &record, WallTime time)
 {
     const LogEventInfo &info = logEventInfo(record.id);
-    std::string line = "{\"time\":\"" + timeText(time) + "\",\"level\":\"";
+    std::string line = "{\"time\":\"" + formatTime(time) + "\",\"level\":\"";
     line.append(logLevelName(info.level)).append("\",\"event\":");
     line.append(std::to_string(static_cast<unsigned>(info.id)));
     line.append(",\"name\":\"").append(info.name).append("\"");
--- a/lib/Net/LogLine.h
+++ b/lib/Net/LogLine.h
@@ -10,6 +10,6 @@
 
 /// The record as one line of JSON without its end: `time` (UTC), `level`, `event` (its number) and
 /// `name`, then `request`, `detail` and the record's fields where it has them.
-std::string logLine(const LogRecord &record, WallTime time);
+std::string formatLogLine(const LogRecord &record, WallTime time);
 
 } // namespace berylridge
--- a/lib/Net/LogSink.cpp
+++ b/lib/Net/LogSink.cpp
@@ -23,11 +23,11 @@
 
 namespace {
 
-constexpr std::chrono::seconds closeLimit {1};
+constexpr std::chrono::seconds closeTimeout {1};
 /// Between lines that tell of dropped ones.
-constexpr Duration tellPeriod = std::chrono::seconds(1);
+constexpr Duration dropReportPeriod = std::chrono::seconds(1);
 
-log4cplus::LogLevel levelOf(LogLevel level)
+log4cplus::LogLevel log4cplusLevel(LogLevel level)
 {
     switch (level) {
     case LogLevel::Error:
@@ -51,8 +51,8 @@
         WallTime time;
     };
 
-    /// The next record to write; nothing once the sink closes and all is written.
-    std::optional<Entry> next()
+    /// The waitForEntry record to write; nothing once the sink closes and all is written.
+    std::optional<Entry> waitForEntry()
     {
         std::unique_lock lock(mutex);
         changed.wait(lock, [this] { return isClosing || !entries.empty(); });
@@ -66,19 +66,19 @@
     void drop(LogEventId id)
     {
         ++dropped;
-        ++droppedUntold[id];
+        ++unreportedDrops[id];
     }
 
     /// What was dropped since this was last asked, as a record; nothing where it was nothing, or
     /// too short a time ago.
-    std::optional<LogRecord> takeDropped(TimePoint now)
+    std::optional<LogRecord> takeDropReport(TimePoint now)
     {
         const std::lock_guard lock(mutex);
-        if (droppedUntold.empty() || now - toldAt < tellPeriod)
+        if (unreportedDrops.empty() || now - lastDropReportAt < dropReportPeriod)
             return std::nullopt;
-        toldAt = now;
+        lastDropReportAt = now;
         LogRecord record {LogEventId::LogLinesDropped, ""};
-        for (const auto &[id, count] : std::exchange(droppedUntold, {}))
+        for (const auto &[id, count] : std::exchange(unreportedDrops, {}))
             record.fields[std::string(logEventInfo(id).name)] = Json::UInt64(count);
         return record;
     }
@@ -91,8 +91,8 @@
     std::condition_variable changed;
     std::deque<Entry> entries;
     std::uint64_t dropped = 0;
-    std::map<LogEventId, std::uint64_t> droppedUntold;
-    TimePoint toldAt {};
+    std::map<LogEventId, std::uint64_t> unreportedDrops;
+    TimePoint lastDropReportAt {};
     bool isClosing = false;
     bool isDone = false;
 };
@@ -100,25 +100,25 @@
 void LogSink::Shared::writeAll()
 {
     const SystemClock clock;
-    LogRateLimiter budget {LogRateLimiter::Limits()};
-    while (const auto entry = next()) {
+    LogRateLimiter rateLimiter {LogRateLimiter::Limits()};
+    while (const auto entry = waitForEntry()) {
         const LogLevel level = logEventInfo(entry->record.id).level;
-        const std::string line = logLine(entry->record, entry->time);
-        if (!budget.tryTake(line.size(), level, clock.now())) {
+        const std::string line = formatLogLine(entry->record, entry->time);
+        if (!rateLimiter.tryTake(line.size(), level, clock.now())) {
             const std::lock_guard lock(mutex);
             drop(entry->record.id);
             continue;
         }
-        if (const auto untold = takeDropped(clock.now()))
-            write(LogLevel::Warning, logLine(*untold, clock.wallNow()));
+        if (const auto dropReport = takeDropReport(clock.now()))
+            write(LogLevel::Warning, formatLogLine(*dropReport, clock.wallNow()));
         write(level, line);
     }
-    if (const auto untold = takeDropped(clock.now() + tellPeriod))
-        write(LogLevel::Warning, logLine(*untold, clock.wallNow()));
+    if (const auto dropReport = takeDropReport(clock.now() + dropReportPeriod))
+        write(LogLevel::Warning, formatLogLine(*dropReport, clock.wallNow()));
 }
 
-LogSink::LogSink(LogLevel lowest, Write write)
-    : m_lowest(lowest)
+LogSink::LogSink(LogLevel minLevel, Write write)
+    : m_minLevel(minLevel)
     , m_shared(std::make_shared<Shared>())
 {
     m_shared->write = std::move(write);
@@ -139,7 +139,8 @@
         std::unique_lock lock(m_shared->mutex);
         m_shared->isClosing = true;
         m_shared->changed.notify_all();
-        isDone = m_shared->changed.wait_for(lock, closeLimit, [this] { return m_shared->isDone; });
+        isDone
+            = m_shared->changed.wait_for(lock, closeTimeout, [this] { return m_shared->isDone; });
     }
     if (isDone)
         m_writer.join();
@@ -150,7 +151,7 @@
 void LogSink::add(LogRecord record)
 {
     const LogLevel level = logEventInfo(record.id).level;
-    if (level < m_lowest || level == LogLevel::Retired)
+    if (level < m_minLevel || level == LogLevel::Retired)
         return;
     const WallTime time = SystemClock().wallNow();
     const std::lock_guard lock(m_shared->mutex);
@@ -176,11 +177,11 @@
     log4cplus::Logger logger = log4cplus::Logger::getInstance(LOG4CPLUS_TEXT("berylridge"));
     logger.addAppender(appender);
     return [library, logger](LogLevel level, const std::string &line) {
-        logger.log(levelOf(level), LOG4CPLUS_STRING_TO_TSTRING(line));
+        logger.log(log4cplusLevel(level), LOG4CPLUS_STRING_TO_TSTRING(line));
     };
 }
 
-LogLevel logLevelOf(std::string_view name)
+LogLevel parseLogLevel(std::string_view name)
 {
     if (name == "error")
         return LogLevel::Error;
--- a/lib/Net/Metrics.cpp
+++ b/lib/Net/Metrics.cpp
@@ -13,28 +13,28 @@
 using LogAxis = histogram::axis::regular<double, histogram::axis::transform::log>;
 
 constexpr unsigned bucketCount = 40;
-constexpr double lowestBound = 0.0001; ///< Seconds.
-constexpr double highestBound = 1000;
+constexpr double minBucketSeconds = 0.0001; ///< Seconds.
+constexpr double maxBucketSeconds = 1000;
 
-void printHead(std::string_view name, std::string_view help, std::string_view type,
-               std::string &out)
+void printMetadata(std::string_view name, std::string_view help, std::string_view type,
+                   std::string &out)
 {
     out.append("# HELP ").append(name).append(" ").append(help).append("\n# TYPE ");
     out.append(name).append(" ").append(type).append("\n");
 }
 
 template <typename Number>
-void printValue(std::string_view name, std::string_view labels, Number value, std::string &out)
+void printSample(std::string_view name, std::string_view labels, Number value, std::string &out)
 {
     out.append(name).append(labels).append(" ").append(std::to_string(value)).append("\n");
 }
 
 template <typename Number>
-void printOne(std::string_view name, std::string_view help, std::string_view type, Number value,
-              std::string &out)
+void printMetric(std::string_view name, std::string_view help, std::string_view type, Number value,
+                 std::string &out)
 {
-    printHead(name, help, type, out);
-    printValue(name, "", value, out);
+    printMetadata(name, help, type, out);
+    printSample(name, "", value, out);
 }
 
 std::string label(std::string_view name, std::string_view value)
@@ -42,23 +42,23 @@
     return std::string("{").append(name).append("=\"").append(value).append("\"}");
 }
 
-using MessageCounters = std::array<MessageCounter, peerMessageKinds>;
+using MessageCounters = std::array<MessageCounter, peerMessageKindCount>;
 
 void printMessages(const std::string &prefix, const MessageCounters &counters, std::string &out)
 {
     const std::string messages = prefix + "_messages_total";
-    printHead(messages, "control messages by kind", "counter", out);
+    printMetadata(messages, "control messages by kind", "counter", out);
     for (std::size_t kind = 0; kind < counters.size(); ++kind)
-        printValue(messages, label("kind", peerMessageKindName(kind)),
-                   counters[kind].messages.load(), out);
+        printSample(messages, label("kind", peerMessageKindName(kind)),
+                    counters[kind].messages.load(), out);
     const std::string bytes = prefix + "_bytes_total";
-    printHead(bytes, "packed bytes of control messages by kind", "counter", out);
+    printMetadata(bytes, "packed bytes of control messages by kind", "counter", out);
     for (std::size_t kind = 0; kind < counters.size(); ++kind)
-        printValue(bytes, label("kind", peerMessageKindName(kind)), counters[kind].bytes.load(),
-                   out);
+        printSample(bytes, label("kind", peerMessageKindName(kind)), counters[kind].bytes.load(),
+                    out);
 }
 
-double processSeconds()
+double processCpuSeconds()
 {
     timespec used {};
     clock_gettime(CLOCK_PROCESS_CPUTIME_ID, &used);
@@ -73,7 +73,8 @@
     using Histogram = decltype(histogram::make_histogram(LogAxis(1, 1., 2.)));
 
     std::mutex mutex;
-    Histogram buckets = histogram::make_histogram(LogAxis(bucketCount, lowestBound, highestBound));
+    Histogram buckets
+        = histogram::make_histogram(LogAxis(bucketCount, minBucketSeconds, maxBucketSeconds));
     double sum = 0;
 };
 
@@ -96,17 +97,17 @@
                              std::string &out) const
 {
     const std::lock_guard lock(m_impl->mutex);
-    printHead(name, help, "histogram", out);
-    double below = 0;
+    printMetadata(name, help, "histogram", out);
+    double cumulativeCount = 0;
     for (const auto &bucket : histogram::indexed(m_impl->buckets, histogram::coverage::all)) {
-        below += *bucket;
+        cumulativeCount += *bucket;
         const double upper = bucket.bin(0).upper();
         const bool isLast = upper == std::numeric_limits<double>::infinity();
-        printValue(name, "_bucket" + label("le", isLast ? "+Inf" : std::to_string(upper)),
-                   static_cast<std::uint64_t>(below), out);
+        printSample(name, "_bucket" + label("le", isLast ? "+Inf" : std::to_string(upper)),
+                    static_cast<std::uint64_t>(cumulativeCount), out);
     }
-    printValue(name, "_sum", m_impl->sum, out);
-    printValue(name, "_count", static_cast<std::uint64_t>(below), out);
+    printSample(name, "_sum", m_impl->sum, out);
+    printSample(name, "_count", static_cast<std::uint64_t>(cumulativeCount), out);
 }
 
 void Metrics::addRefusal(const std::string &type)
@@ -115,43 +116,44 @@
     ++m_refusals[type];
 }
 
-std::string Metrics::print(double controlSeconds) const
+std::string Metrics::print(double controlCpuSeconds) const
 {
     std::string out;
     const auto counter
         = [&out](std::string_view name, std::string_view help, const Counter &value) {
-              printOne(name, help, "counter", value.load(), out);
+              printMetric(name, help, "counter", value.load(), out);
           };
     counter("berylridge_requests_received_total", "requests read whole", requestsReceived);
-    printHead("berylridge_requests_total", "requests that ended, by verdict", "counter", out);
+    printMetadata("berylridge_requests_total", "requests that ended, by verdict", "counter", out);
     for (const Verdict verdict : {Verdict::NotRun, Verdict::MayHaveRun, Verdict::Ran})
-        printValue("berylridge_requests_total", label("verdict", verdictName(verdict)),
-                   requestsByVerdict[static_cast<std::size_t>(verdict)].load(), out);
-    printHead("berylridge_refusals_total", "refusals by problem type", "counter", out);
+        printSample("berylridge_requests_total", label("verdict", verdictName(verdict)),
+                    requestsByVerdict[static_cast<std::size_t>(verdict)].load(), out);
+    printMetadata("berylridge_refusals_total", "refusals by problem type", "counter", out);
     {
         const std::lock_guard lock(m_mutex);
         for (const auto &[type, count] : m_refusals)
-            printValue("berylridge_refusals_total", label("type", type), count, out);
+            printSample("berylridge_refusals_total", label("type", type), count, out);
     }
-    counter("berylridge_callers_gone_total", "callers that left before their answer", callersGone);
+    counter("berylridge_callers_gone_total", "callers that left before their answer",
+            callerDisconnects);
     counter("berylridge_callers_gone_unread_total",
-            "requests that were read when their callers had left", callersGoneUnread);
+            "requests that were read when their callers had left", requestsReadAfterDisconnect);
     counter("berylridge_caller_connections_accepted_total", "connections of callers",
             connectionsAccepted);
     counter("berylridge_accept_failures_total", "connections that could not be accepted",
             acceptFailures);
-    printOne("berylridge_traffic_lag_seconds", "how late a traffic thread ran", "gauge",
-             static_cast<double>(trafficLagMicroseconds.load()) * 1e-6, out);
-    printOne("berylridge_caller_connections", "open connections of callers", "gauge",
-             connectionsOpen.load(), out);
+    printMetric("berylridge_traffic_lag_seconds", "how late a traffic thread ran", "gauge",
+                static_cast<double>(trafficLagMicroseconds.load()) * 1e-6, out);
+    printMetric("berylridge_caller_connections", "open connections of callers", "gauge",
+                connectionsOpen.load(), out);
     counter("berylridge_caller_connections_refused_total", "connections beyond the limit",
-            connectionsRefused);
+            connectionsRejected);
     counter("berylridge_attempts_total", "attempts at targets", attemptsStarted);
     counter("berylridge_attempts_failed_total", "attempts that failed", attemptsFailed);
     counter("berylridge_target_connections_reused_total", "attempts on a kept connection",
             connectionsReused);
-    firstByte.print("berylridge_first_byte_seconds", "from request to first byte", out);
-    whole.print("berylridge_request_seconds", "from request to end of answer", out);
+    firstByteLatency.print("berylridge_first_byte_seconds", "from request to first byte", out);
+    requestLatency.print("berylridge_request_seconds", "from request to end of answer", out);
     printMessages("berylridge_control_sent", sent, out);
     printMessages("berylridge_control_received", received, out);
     counter("berylridge_datagrams_sent_total", "datagrams sent", datagramsSent);
@@ -168,10 +170,10 @@
     counter("berylridge_target_polls_total", "load polls of targets", targetPolls);
     counter("berylridge_log_lines_dropped_total", "log lines that found no room", logLinesDropped);
     counter("berylridge_control_events_total", "events of the decision core", controlEvents);
-    printOne("berylridge_control_cpu_seconds_total", "processor time of the control thread",
-             "counter", controlSeconds, out);
-    printOne("process_cpu_seconds_total", "processor time of the process", "counter",
-             processSeconds(), out);
+    printMetric("berylridge_control_cpu_seconds_total", "processor time of the control thread",
+                "counter", controlCpuSeconds, out);
+    printMetric("process_cpu_seconds_total", "processor time of the process", "counter",
+                processCpuSeconds(), out);
     return out;
 }
 
--- a/lib/Net/PeerLink.cpp
+++ b/lib/Net/PeerTransport.cpp
@@ -1,4 +1,4 @@
-#include "PeerLink.h"
+#include "PeerTransport.h"
 
 #include "JsonRpcClient.h"
 #include "berylridge/Net/Base64.h"
@@ -12,44 +12,47 @@
 constexpr Duration callTimeout = std::chrono::seconds(5);
 constexpr std::chrono::milliseconds probeTimeout {500};
 constexpr std::chrono::seconds idleSweepPeriod {10};
-constexpr std::chrono::seconds rejectLogPeriod {1};
-constexpr std::uint64_t callBodyLimit = 16 << 20;
+constexpr std::chrono::seconds rejectionLogPeriod {1};
+constexpr std::uint64_t maxCallBodyBytes = 16 << 20;
 /// Datagrams of one wake-up; timers and operators have their turn between.
-constexpr int datagramsPerTurn = 64;
+constexpr int maxDatagramsPerWakeUp = 64;
 constexpr int socketBufferBytes = 1 << 20;
 
 } // namespace
 
-PeerLink::PeerLink(asio::io_context &context, PeerOptions options, Metrics &metrics, Events events)
+PeerTransport::PeerTransport(asio::io_context &context, PeerOptions options, Metrics &metrics,
+                             Callbacks callbacks)
     : m_context(context)
     , m_fleetKey(options.fleetKey)
     , m_metrics(metrics)
-    , m_events(std::move(events))
-    , m_sealer(std::move(options.node), options.incarnation, options.fleetKey)
+    , m_callbacks(std::move(callbacks))
+    , m_encoder(std::move(options.node), options.incarnation, options.fleetKey)
     , m_socket(context)
-    , m_deliver([this](const std::string &sealed) { takeSealed(std::as_bytes(std::span(sealed))); })
-    , m_calls(context, {callBodyLimit, 1024, std::chrono::seconds(60)},
-              [this](const StringRequest &request) { return answerCall(request); })
+    , m_deliverServer([this](const std::string &encoded) {
+        receiveDatagram(std::as_bytes(std::span(encoded)));
+    })
+    , m_callListener(context, {maxCallBodyBytes, 1024, std::chrono::seconds(60)},
+                     [this](const StringRequest &request) { return handleCall(request); })
     , m_idleTimer(context)
 {
 }
 
-PeerLink::~PeerLink()
+PeerTransport::~PeerTransport()
 {
     for (const auto &[endpoint, client] : m_clients)
         client->close();
 }
 
-std::string PeerLink::listen(const Endpoint &endpoint)
+std::string PeerTransport::listen(const Endpoint &endpoint)
 {
-    std::string reason = m_calls.listen(endpoint);
+    std::string reason = m_callListener.listen(endpoint);
     if (!reason.empty())
         return reason;
-    const auto place = asioEndpoint<udp>(m_calls.endpoint());
+    const auto socketAddress = asioEndpoint<udp>(m_callListener.endpoint());
     error_code error;
-    m_socket.open(place->protocol(), error);
+    m_socket.open(socketAddress->protocol(), error);
     if (!error)
-        m_socket.bind(*place, error);
+        m_socket.bind(*socketAddress, error);
     if (!error)
         m_socket.non_blocking(true, error);
     if (error)
@@ -61,86 +64,88 @@
     return {};
 }
 
-void PeerLink::receive()
+void PeerTransport::receive()
 {
     m_socket.async_wait(udp::socket::wait_read, [this](error_code error) {
         if (error)
             return;
         receiveAll();
-        m_events.endTurn();
+        m_callbacks.endIteration();
         receive();
     });
 }
 
-void PeerLink::receiveAll()
+void PeerTransport::receiveAll()
 {
-    for (int i = 0; i < datagramsPerTurn; ++i) {
+    for (int i = 0; i < maxDatagramsPerWakeUp; ++i) {
         udp::endpoint from;
         error_code error;
-        const std::size_t size = m_socket.receive_from(asio::buffer(m_received), from, 0, error);
+        const std::size_t size
+            = m_socket.receive_from(asio::buffer(m_receiveBuffer), from, 0, error);
         if (error == asio::error::would_block)
             return;
         if (error)
             continue; // An earlier datagram's port was closed; not this socket's fault.
         ++m_metrics.datagramsReceived;
         m_metrics.datagramBytesReceived += size;
-        takeSealed(std::span(m_received).first(size));
+        receiveDatagram(std::span(m_receiveBuffer).first(size));
     }
 }
 
-void PeerLink::takeSealed(std::span<const std::byte> bytes)
+void PeerTransport::receiveDatagram(std::span<const std::byte> bytes)
 {
-    auto datagram = openDatagram(m_fleetKey, bytes);
+    auto datagram = decodeDatagram(m_fleetKey, bytes);
     if (!datagram) {
-        reject(datagram.failureReason());
+        recordRejectedDatagram(datagram.failureReason());
         return;
     }
     for (PeerMessage &message : (*datagram).messages) {
         MessageCounter &counter = m_metrics.received[peerMessageKind(message)];
         ++counter.messages;
-        m_events.take(NodeMessage {datagram->from, datagram->incarnation, std::move(message)});
+        m_callbacks.onEvent(
+            NodeMessage {datagram->from, datagram->incarnation, std::move(message)});
     }
 }
 
-void PeerLink::reject(const std::string &reason)
+void PeerTransport::recordRejectedDatagram(const std::string &reason)
 {
     ++m_metrics.datagramsRejected;
     ++m_rejectedSinceLog;
     // Anyone can send such datagrams; a line for each would let them fill the log.
     const auto now = std::chrono::steady_clock::now();
-    if (now - m_lastRejectLog < rejectLogPeriod)
+    if (now - m_lastRejectionLogAt < rejectionLogPeriod)
         return;
-    m_lastRejectLog = now;
-    m_events.log({LogEventId::DatagramRejected,
-                  reason + ", " + std::to_string(std::exchange(m_rejectedSinceLog, 0))
-                      + " since the last line"});
+    m_lastRejectionLogAt = now;
+    m_callbacks.log({LogEventId::DatagramRejected,
+                     reason + ", " + std::to_string(std::exchange(m_rejectedSinceLog, 0))
+                         + " since the last line"});
 }
 
-void PeerLink::send(const SendToNode &order)
+void PeerTransport::send(const SendToNode &action)
 {
-    std::string packed = packPeerMessage(order.message);
-    MessageCounter &counter = m_metrics.sent[peerMessageKind(order.message)];
+    std::string packed = packPeerMessage(action.message);
+    MessageCounter &counter = m_metrics.sent[peerMessageKind(action.message)];
     ++counter.messages;
     counter.bytes += packed.size();
-    m_outgoing[order.endpoint].push_back(std::move(packed));
+    m_pendingMessages[action.endpoint].push_back(std::move(packed));
 }
 
-void PeerLink::flush()
+void PeerTransport::flush()
 {
-    for (const auto &[endpoint, messages] : m_outgoing)
+    for (const auto &[endpoint, messages] : m_pendingMessages)
         sendPacked(endpoint, messages);
-    m_outgoing.clear();
+    m_pendingMessages.clear();
 }
 
-void PeerLink::sendPacked(const Endpoint &to, const PackedMessages &messages)
+void PeerTransport::sendPacked(const Endpoint &to, const PackedMessages &messages)
 {
     const std::span<const std::string> all(messages);
     std::size_t first = 0;
     std::size_t bytes = 0;
     for (std::size_t i = 0; i < all.size(); ++i) {
         const std::size_t size = all[i].size();
-        const bool isTooLarge = size > m_sealer.capacity();
-        if (i > first && (isTooLarge || bytes + size > m_sealer.capacity())) {
+        const bool isTooLarge = size > m_encoder.capacity();
+        if (i > first && (isTooLarge || bytes + size > m_encoder.capacity())) {
             sendDatagram(to, all.subspan(first, i - first));
             first = i;
             bytes = 0;
@@ -156,33 +161,33 @@
         sendDatagram(to, all.subspan(first));
 }
 
-void PeerLink::sendDatagram(const Endpoint &to, std::span<const std::string> messages)
+void PeerTransport::sendDatagram(const Endpoint &to, std::span<const std::string> messages)
 {
-    const auto place = asioEndpoint<udp>(to);
-    if (!place)
+    const auto socketAddress = asioEndpoint<udp>(to);
+    if (!socketAddress)
         return;
-    const std::string sealed = m_sealer.seal(messages);
+    const std::string encoded = m_encoder.encode(messages);
     error_code ignored; // A lost datagram heals with the next.
-    m_socket.send_to(asio::buffer(sealed), *place, 0, ignored);
+    m_socket.send_to(asio::buffer(encoded), *socketAddress, 0, ignored);
     ++m_metrics.datagramsSent;
-    m_metrics.datagramBytesSent += sealed.size();
+    m_metrics.datagramBytesSent += encoded.size();
 }
 
-void PeerLink::call(const Endpoint &to, const std::string &message)
+void PeerTransport::call(const Endpoint &to, const std::string &message)
 {
     auto &client = m_clients[to];
     if (!client)
         client = std::make_shared<HttpClient>(m_context, to);
-    const std::string sealed = m_sealer.seal(std::span(&message, 1));
-    notifyByJsonRpc(deliverMethod, deliverParameter, encodeBase64(sealed),
-                    [&](const std::string &body) {
-                        ++m_metrics.callsSent;
-                        m_metrics.callBytesSent += body.size();
-                        client->post("/rpc", body, callTimeout, [](const HttpReply &) {});
-                    });
+    const std::string encoded = m_encoder.encode(std::span(&message, 1));
+    sendJsonRpcNotification(deliverMethod, deliverParameter, encodeBase64(encoded),
+                            [&](const std::string &body) {
+                                ++m_metrics.callsSent;
+                                m_metrics.callBytesSent += body.size();
+                                client->post("/rpc", body, callTimeout, [](const HttpReply &) {});
+                            });
 }
 
-StringResponse PeerLink::answerCall(const StringRequest &request)
+StringResponse PeerTransport::handleCall(const StringRequest &request)
 {
     StringResponse response;
     if (request.method() != http::verb::post || view(request.target()) != "/rpc") {
@@ -193,18 +198,18 @@
     m_metrics.callBytesReceived += request.body().size();
     response.result(http::status::ok);
     response.set(http::field::content_type, "application/json");
-    response.body() = m_deliver.handle(request.body());
-    m_events.endTurn();
+    response.body() = m_deliverServer.handle(request.body());
+    m_callbacks.endIteration();
     return response;
 }
 
-void PeerLink::probe(const ProbeNode &order)
+void PeerTransport::probe(const ProbeNode &action)
 {
-    const auto place = asioEndpoint<tcp>(order.endpoint);
-    if (!place) {
-        asio::post(m_context, [this, order] {
-            m_events.take(ProbeEnded {order.node, order.incarnation, false});
-            m_events.endTurn();
+    const auto socketAddress = asioEndpoint<tcp>(action.endpoint);
+    if (!socketAddress) {
+        asio::post(m_context, [this, action] {
+            m_callbacks.onEvent(ProbeEnded {action.node, action.incarnation, false});
+            m_callbacks.endIteration();
         });
         return;
     }
@@ -225,17 +230,17 @@
         if (!error)
             probe->socket.close(ignored);
     });
-    probe->socket.async_connect(*place, [this, probe, order](error_code error) {
+    probe->socket.async_connect(*socketAddress, [this, probe, action](error_code error) {
         error_code ignored;
         probe->timer.cancel(ignored);
         probe->socket.close(ignored);
-        m_events.take(
-            ProbeEnded {order.node, order.incarnation, error == asio::error::connection_refused});
-        m_events.endTurn();
+        m_callbacks.onEvent(
+            ProbeEnded {action.node, action.incarnation, error == asio::error::connection_refused});
+        m_callbacks.endIteration();
     });
 }
 
-void PeerLink::closeIdleClients()
+void PeerTransport::closeIdleClients()
 {
     std::erase_if(m_clients, [](const auto &entry) {
         const bool isIdle = entry.second->pending() == 0;
--- a/lib/Net/PeerLink.h
+++ b/lib/Net/PeerTransport.h
@@ -1,7 +1,7 @@
 // Messages to and from other nodes: datagrams, calls for what is too large for one, and probes.
 #pragma once
 
-#include "DeliverServer.h"
+#include "DeliverRpcServer.h"
 #include "HttpListener.h"
 #include "berylridge/Net/Asio.h"
 #include "berylridge/Net/HttpClient.h"
@@ -29,57 +29,58 @@
 };
 
 /// Lives on the control thread.
-class PeerLink
+class PeerTransport
 {
 public:
-    struct Events
+    struct Callbacks
     {
-        std::function<void(Event)> take; ///< Called once for each event...
-        std::function<void()> endTurn;   ///< ...and once after those of one wake-up.
+        std::function<void(Event)> onEvent; ///< Called once for each event...
+        std::function<void()> endIteration; ///< ...and once after those of one wake-up.
         std::function<void(LogRecord)> log;
     };
 
-    PeerLink(asio::io_context &context, PeerOptions options, Metrics &metrics, Events events);
-    ~PeerLink();
-    PeerLink(const PeerLink &) = delete;
-    PeerLink &operator=(const PeerLink &) = delete;
+    PeerTransport(asio::io_context &context, PeerOptions options, Metrics &metrics,
+                  Callbacks callbacks);
+    ~PeerTransport();
+    PeerTransport(const PeerTransport &) = delete;
+    PeerTransport &operator=(const PeerTransport &) = delete;
 
     /// Opens the datagram socket and the listener for calls on the same port. Empty where it
     /// listens, else why it can't.
     std::string listen(const Endpoint &endpoint);
-    Endpoint endpoint() const { return m_calls.endpoint(); }
+    Endpoint endpoint() const { return m_callListener.endpoint(); }
 
     /// Kept until flush(), so that messages to one node share datagrams.
-    void send(const SendToNode &order);
+    void send(const SendToNode &action);
     void flush();
-    void probe(const ProbeNode &order);
+    void probe(const ProbeNode &action);
 
 private:
     using PackedMessages = std::vector<std::string>;
 
     void receive();
     void receiveAll();
-    void takeSealed(std::span<const std::byte> bytes);
-    void reject(const std::string &reason);
+    void receiveDatagram(std::span<const std::byte> bytes);
+    void recordRejectedDatagram(const std::string &reason);
     void sendPacked(const Endpoint &to, const PackedMessages &messages);
     void sendDatagram(const Endpoint &to, std::span<const std::string> messages);
     void call(const Endpoint &to, const std::string &message);
-    StringResponse answerCall(const StringRequest &request);
+    StringResponse handleCall(const StringRequest &request);
     void closeIdleClients();
 
     asio::io_context &m_context;
     const std::string m_fleetKey;
     Metrics &m_metrics;
-    Events m_events;
-    DatagramSealer m_sealer;
+    Callbacks m_callbacks;
+    DatagramEncoder m_encoder;
     udp::socket m_socket;
-    std::array<std::byte, 65536> m_received {};
-    DeliverServer m_deliver;
-    HttpListener m_calls;
-    std::map<Endpoint, PackedMessages> m_outgoing;
+    std::array<std::byte, 65536> m_receiveBuffer {};
+    DeliverRpcServer m_deliverServer;
+    HttpListener m_callListener;
+    std::map<Endpoint, PackedMessages> m_pendingMessages;
     std::map<Endpoint, std::shared_ptr<HttpClient>> m_clients;
     asio::steady_timer m_idleTimer;
-    std::chrono::steady_clock::time_point m_lastRejectLog {};
+    std::chrono::steady_clock::time_point m_lastRejectionLogAt {};
     std::uint64_t m_rejectedSinceLog = 0;
 };
 
--- a/lib/Net/PlatformWatch.cpp
+++ b/lib/Net/PlatformWatcher.cpp
@@ -1,4 +1,4 @@
-#include "PlatformWatch.h"
+#include "PlatformWatcher.h"
 
 #include <algorithm>
 #include <json/json.h>
@@ -8,14 +8,14 @@
 
 namespace {
 
-constexpr int waitSeconds = 10;
-constexpr Duration callTimeout = std::chrono::seconds(waitSeconds + 5);
-constexpr Duration firstBackOff = std::chrono::milliseconds(200);
-constexpr Duration longestBackOff = std::chrono::seconds(5);
+constexpr int longPollSeconds = 10;
+constexpr Duration callTimeout = std::chrono::seconds(longPollSeconds + 5);
+constexpr Duration minBackoff = std::chrono::milliseconds(200);
+constexpr Duration maxBackoff = std::chrono::seconds(5);
 constexpr unsigned okStatus = 200;
 constexpr unsigned notModifiedStatus = 304;
 
-std::optional<Json::Value> readJson(const std::string &text)
+std::optional<Json::Value> parseRevisionedJson(const std::string &text)
 {
     Json::CharReaderBuilder builder;
     const std::unique_ptr<Json::CharReader> reader(builder.newCharReader());
@@ -27,7 +27,7 @@
     return value;
 }
 
-std::optional<DocumentText> readDocument(const Json::Value &value)
+std::optional<DocumentText> parseDocument(const Json::Value &value)
 {
     if (!value.isObject() || !value["name"].isString() || !value["version"].isUInt64()
         || !value["text"].isString())
@@ -36,7 +36,7 @@
                          value["text"].asString()};
 }
 
-std::optional<VmEntry> readVm(const Json::Value &value)
+std::optional<VmEntry> parseVm(const Json::Value &value)
 {
     if (!value.isObject() || !value["node"].isString() || !value["zone"].isString()
         || !value["address"].isString() || !value["port"].isUInt()
@@ -50,31 +50,31 @@
 
 } // namespace
 
-std::optional<DocumentsAnswer> readDocumentsAnswer(const std::string &body)
+std::optional<DocumentsResponse> parseDocumentsResponse(const std::string &body)
 {
-    const auto json = readJson(body);
+    const auto json = parseRevisionedJson(body);
     if (!json || !(*json)["documents"].isArray())
         return std::nullopt;
-    DocumentsAnswer answer;
-    answer.revision = (*json)["revision"].asUInt64();
+    DocumentsResponse response;
+    response.revision = (*json)["revision"].asUInt64();
     for (const Json::Value &each : (*json)["documents"]) {
-        auto document = readDocument(each);
+        auto document = parseDocument(each);
         if (!document)
             return std::nullopt;
-        answer.documents.push_back(std::move(*document));
+        response.documents.push_back(std::move(*document));
     }
-    return answer;
+    return response;
 }
 
-std::optional<VmList> readVmsAnswer(const std::string &body)
+std::optional<VmList> parseVmListResponse(const std::string &body)
 {
-    const auto json = readJson(body);
+    const auto json = parseRevisionedJson(body);
     if (!json || !(*json)["vms"].isArray())
         return std::nullopt;
     VmList list;
     list.revision = (*json)["revision"].asUInt64();
     for (const Json::Value &each : (*json)["vms"]) {
-        auto vm = readVm(each);
+        auto vm = parseVm(each);
         if (!vm)
             return std::nullopt;
         list.vms.push_back(std::move(*vm));
@@ -82,8 +82,8 @@
     return list;
 }
 
-LongPoll::LongPoll(asio::io_context &context, const std::vector<Endpoint> &endpoints,
-                   std::string path, std::uint64_t seed, Metrics &metrics, Handlers handlers)
+LongPoller::LongPoller(asio::io_context &context, const std::vector<Endpoint> &endpoints,
+                       std::string path, std::uint64_t seed, Metrics &metrics, Handlers handlers)
     : m_context(context)
     , m_endpoints(endpoints)
     , m_path(std::move(path))
@@ -94,14 +94,14 @@
 {
 }
 
-void LongPoll::start()
+void LongPoller::start()
 {
     // Readers of a fleet begin at different endpoints, so that one doesn't carry them all.
-    m_current = m_random() % m_endpoints.size();
+    m_endpointIndex = m_random() % m_endpoints.size();
     poll();
 }
 
-void LongPoll::stop()
+void LongPoller::stop()
 {
     m_isStopped = true;
     m_timer.cancel();
@@ -109,13 +109,13 @@
         m_client->close();
 }
 
-void LongPoll::poll()
+void LongPoller::poll()
 {
     if (!m_client)
-        m_client = std::make_shared<HttpClient>(m_context, m_endpoints[m_current]);
+        m_client = std::make_shared<HttpClient>(m_context, m_endpoints[m_endpointIndex]);
     ++m_metrics.platformCalls;
     // Without a revision the endpoint is asked for what there is now.
-    const int wait = m_revision == 0 ? 0 : waitSeconds;
+    const int wait = m_revision == 0 ? 0 : longPollSeconds;
     m_client->get(m_path + "?since=" + std::to_string(m_revision) + "&wait=" + std::to_string(wait),
                   callTimeout, [weak = weak_from_this()](const HttpReply &reply) {
                       const auto self = weak.lock();
@@ -124,11 +124,11 @@
                   });
 }
 
-void LongPoll::onReply(const HttpReply &reply)
+void LongPoller::onReply(const HttpReply &reply)
 {
     if (!reply.failure && reply.status == notModifiedStatus && m_revision != 0) {
-        m_failures = 0;
-        m_handlers.reached();
+        m_consecutiveFailures = 0;
+        m_handlers.onReachable();
         poll();
         return;
     }
@@ -136,41 +136,41 @@
         onFailure();
         return;
     }
-    const auto revision = m_handlers.take(reply.body);
+    const auto revision = m_handlers.onEvent(reply.body);
     if (!revision) {
         onFailure();
         return;
     }
     // An endpoint that answers at once with what it said before must not be asked without a pause.
-    const bool isNews = *revision != m_revision;
+    const bool hasChanged = *revision != m_revision;
     m_revision = *revision;
-    m_failures = 0;
-    m_handlers.reached();
-    if (isNews && m_revision != 0)
+    m_consecutiveFailures = 0;
+    m_handlers.onReachable();
+    if (hasChanged && m_revision != 0)
         poll();
     else
-        waitThenPoll();
+        pollAfterBackoff();
 }
 
-void LongPoll::onFailure()
+void LongPoller::onFailure()
 {
-    ++m_failures;
+    ++m_consecutiveFailures;
     m_client->close();
     m_client.reset();
-    m_current = (m_current + 1) % m_endpoints.size();
+    m_endpointIndex = (m_endpointIndex + 1) % m_endpoints.size();
     m_revision = 0;
-    if (m_failures >= m_endpoints.size())
-        m_handlers.missed();
-    waitThenPoll();
+    if (m_consecutiveFailures >= m_endpoints.size())
+        m_handlers.onUnreachable();
+    pollAfterBackoff();
 }
 
-void LongPoll::waitThenPoll()
+void LongPoller::pollAfterBackoff()
 {
-    const unsigned rounds = std::min<unsigned>(m_failures / m_endpoints.size(), 6);
-    const Duration longest = std::min(longestBackOff, firstBackOff * (1 << rounds));
+    const unsigned failedPasses = std::min<unsigned>(m_consecutiveFailures / m_endpoints.size(), 6);
+    const Duration backoff = std::min(maxBackoff, minBackoff * (1 << failedPasses));
     // Jitter, so that the readers of all zones don't come back in step after an outage.
-    const double part = 0.5 + 0.5 * uniform(m_random);
-    m_timer.expires_after(fromSeconds(toSeconds(longest) * part));
+    const double jitter = 0.5 + 0.5 * uniform(m_random);
+    m_timer.expires_after(fromSeconds(toSeconds(backoff) * jitter));
     m_timer.async_wait([weak = weak_from_this()](error_code error) {
         const auto self = weak.lock();
         if (!error && self && !self->m_isStopped)
@@ -178,24 +178,25 @@
     });
 }
 
-PlatformWatch::PlatformWatch(asio::io_context &context, std::vector<Endpoint> endpoints,
-                             std::uint64_t seed, Metrics &metrics, std::function<void(Event)> take)
+PlatformWatcher::PlatformWatcher(asio::io_context &context, std::vector<Endpoint> endpoints,
+                                 std::uint64_t seed, Metrics &metrics,
+                                 std::function<void(Event)> onEvent)
     : m_context(context)
     , m_endpoints(std::move(endpoints))
     , m_seed(seed)
     , m_metrics(metrics)
-    , m_take(std::move(take))
+    , m_onEvent(std::move(onEvent))
 {
 }
 
-PlatformWatch::~PlatformWatch()
+PlatformWatcher::~PlatformWatcher()
 {
     stop();
 }
 
-void PlatformWatch::set(bool isOn)
+void PlatformWatcher::setEnabled(bool isOn)
 {
-    if (isOn == (m_documents != nullptr))
+    if (isOn == (m_documentPoller != nullptr))
         return;
     if (isOn)
         start();
@@ -203,56 +204,56 @@
         stop();
 }
 
-void PlatformWatch::start()
+void PlatformWatcher::start()
 {
     if (m_endpoints.empty())
         return;
-    m_seen.clear();
-    const auto reached = [this] { m_take(PlatformReachability {true}); };
+    m_reportedVersions.clear();
+    const auto onReachable = [this] { m_onEvent(PlatformReachability {true}); };
     // The VM list alone failing is no outage: documents say what is in force.
-    m_documents = std::make_shared<LongPoll>(
+    m_documentPoller = std::make_shared<LongPoller>(
         m_context, m_endpoints, "/v1/documents", ++m_seed, m_metrics,
-        LongPoll::Handlers {[this](const std::string &body) { return takeDocuments(body); },
-                            reached, [this] { m_take(PlatformReachability {false}); }});
-    m_vms = std::make_shared<LongPoll>(
+        LongPoller::Handlers {[this](const std::string &body) { return handleDocuments(body); },
+                              onReachable, [this] { m_onEvent(PlatformReachability {false}); }});
+    m_vmListPoller = std::make_shared<LongPoller>(
         m_context, m_endpoints, "/v1/vms", ++m_seed, m_metrics,
-        LongPoll::Handlers {[this](const std::string &body) { return takeVms(body); }, [] {},
-                            [] {}});
-    m_documents->start();
-    m_vms->start();
+        LongPoller::Handlers {[this](const std::string &body) { return handleVms(body); }, [] {},
+                              [] {}});
+    m_documentPoller->start();
+    m_vmListPoller->start();
 }
 
-void PlatformWatch::stop()
+void PlatformWatcher::stop()
 {
-    if (m_documents)
-        m_documents->stop();
-    if (m_vms)
-        m_vms->stop();
-    m_documents.reset();
-    m_vms.reset();
+    if (m_documentPoller)
+        m_documentPoller->stop();
+    if (m_vmListPoller)
+        m_vmListPoller->stop();
+    m_documentPoller.reset();
+    m_vmListPoller.reset();
 }
 
-std::optional<std::uint64_t> PlatformWatch::takeDocuments(const std::string &body)
+std::optional<std::uint64_t> PlatformWatcher::handleDocuments(const std::string &body)
 {
-    auto answer = readDocumentsAnswer(body);
-    if (!answer)
+    auto response = parseDocumentsResponse(body);
+    if (!response)
         return std::nullopt;
-    for (DocumentText &document : answer->documents) {
-        // Each answer holds all documents; only those that changed are news to the core.
-        DocumentVersion &seen = m_seen[document.name];
-        if (std::exchange(seen, document.version) != document.version)
-            m_take(DocumentArrived {std::move(document)});
+    for (DocumentText &document : response->documents) {
+        // Each response holds all documents; only those that changed are news to the core.
+        DocumentVersion &reportedVersion = m_reportedVersions[document.name];
+        if (std::exchange(reportedVersion, document.version) != document.version)
+            m_onEvent(DocumentArrived {std::move(document)});
     }
-    return answer->revision;
+    return response->revision;
 }
 
-std::optional<std::uint64_t> PlatformWatch::takeVms(const std::string &body)
+std::optional<std::uint64_t> PlatformWatcher::handleVms(const std::string &body)
 {
-    auto list = readVmsAnswer(body);
+    auto list = parseVmListResponse(body);
     if (!list)
         return std::nullopt;
     const std::uint64_t revision = list->revision;
-    m_take(VmListArrived {std::move(*list)});
+    m_onEvent(VmListArrived {std::move(*list)});
     return revision;
 }
 
--- a/lib/Net/PlatformWatch.h
+++ b/lib/Net/PlatformWatcher.h
@@ -19,30 +19,30 @@
 namespace berylridge {
 
 /// Reads the answer to GET /v1/documents; nothing where it is not one.
-struct DocumentsAnswer
+struct DocumentsResponse
 {
     std::uint64_t revision = 0;
     std::vector<DocumentText> documents;
 };
-std::optional<DocumentsAnswer> readDocumentsAnswer(const std::string &body);
+std::optional<DocumentsResponse> parseDocumentsResponse(const std::string &body);
 
 /// Reads the answer to GET /v1/vms.
-std::optional<VmList> readVmsAnswer(const std::string &body);
+std::optional<VmList> parseVmListResponse(const std::string &body);
 
 /// One long poll after another, over the endpoints in turn.
-class LongPoll : public std::enable_shared_from_this<LongPoll>
+class LongPoller : public std::enable_shared_from_this<LongPoller>
 {
 public:
     struct Handlers
     {
         /// Takes in a new answer; its revision, or nothing where it can't be read.
-        std::function<std::optional<std::uint64_t>(const std::string &body)> take;
-        std::function<void()> reached; ///< Any proper answer.
-        std::function<void()> missed;  ///< No endpoint has answered in a whole round.
+        std::function<std::optional<std::uint64_t>(const std::string &body)> onEvent;
+        std::function<void()> onReachable;   ///< Any proper answer.
+        std::function<void()> onUnreachable; ///< No endpoint has answered in a whole round.
     };
 
-    LongPoll(asio::io_context &context, const std::vector<Endpoint> &endpoints, std::string path,
-             std::uint64_t seed, Metrics &metrics, Handlers handlers);
+    LongPoller(asio::io_context &context, const std::vector<Endpoint> &endpoints, std::string path,
+               std::uint64_t seed, Metrics &metrics, Handlers handlers);
 
     void start();
     void stop();
@@ -51,7 +51,7 @@
     void poll();
     void onReply(const HttpReply &reply);
     void onFailure();
-    void waitThenPoll();
+    void pollAfterBackoff();
 
     asio::io_context &m_context;
     const std::vector<Endpoint> m_endpoints;
@@ -61,38 +61,39 @@
     asio::steady_timer m_timer;
     RandomEngine m_random;
     std::shared_ptr<HttpClient> m_client; ///< For the current endpoint.
-    std::size_t m_current = 0;
+    std::size_t m_endpointIndex = 0;
     std::uint64_t m_revision = 0; ///< Of the current endpoint; another one may count differently.
-    unsigned m_failures = 0;      ///< In a row.
+    unsigned m_consecutiveFailures = 0; ///< In a row.
     bool m_isStopped = false;
 };
 
 /// Lives on the control thread.
-class PlatformWatch
+class PlatformWatcher
 {
 public:
-    PlatformWatch(asio::io_context &context, std::vector<Endpoint> endpoints, std::uint64_t seed,
-                  Metrics &metrics, std::function<void(Event)> take);
-    ~PlatformWatch();
-    PlatformWatch(const PlatformWatch &) = delete;
-    PlatformWatch &operator=(const PlatformWatch &) = delete;
+    PlatformWatcher(asio::io_context &context, std::vector<Endpoint> endpoints, std::uint64_t seed,
+                    Metrics &metrics, std::function<void(Event)> onEvent);
+    ~PlatformWatcher();
+    PlatformWatcher(const PlatformWatcher &) = delete;
+    PlatformWatcher &operator=(const PlatformWatcher &) = delete;
 
-    void set(bool isOn);
+    void setEnabled(bool isOn);
 
 private:
     void start();
     void stop();
-    std::optional<std::uint64_t> takeDocuments(const std::string &body);
-    std::optional<std::uint64_t> takeVms(const std::string &body);
+    std::optional<std::uint64_t> handleDocuments(const std::string &body);
+    std::optional<std::uint64_t> handleVms(const std::string &body);
 
     asio::io_context &m_context;
     const std::vector<Endpoint> m_endpoints;
     std::uint64_t m_seed;
     Metrics &m_metrics;
-    std::function<void(Event)> m_take;
-    std::shared_ptr<LongPoll> m_documents;
-    std::shared_ptr<LongPoll> m_vms;
-    std::map<std::string, DocumentVersion> m_seen; ///< Passed on since this watch began.
+    std::function<void(Event)> m_onEvent;
+    std::shared_ptr<LongPoller> m_documentPoller;
+    std::shared_ptr<LongPoller> m_vmListPoller;
+    std::map<std::string, DocumentVersion>
+        m_reportedVersions; ///< Passed on since this watch began.
 };
 
 } // namespace berylridge
--- a/lib/Net/RouterNode.cpp
+++ b/lib/Net/RouterNode.cpp
@@ -1,10 +1,10 @@
 #include "berylridge/Net/RouterNode.h"
 
-#include "AdminFace.h"
+#include "AdminHttpServer.h"
 #include "CallerListener.h"
 #include "ControlLoop.h"
-#include "PeerLink.h"
-#include "PlatformWatch.h"
+#include "PeerTransport.h"
+#include "PlatformWatcher.h"
 #include "TargetPoller.h"
 #include "ThreadName.h"
 #include "TrafficThread.h"
@@ -22,9 +22,9 @@
 namespace {
 
 /// Part of the descriptors that callers' connections may use; the rest is for targets and nodes.
-constexpr double callersPart = 0.6;
+constexpr double callerDescriptorFraction = 0.6;
 
-std::string idPrefixOf(const Settings &settings, Incarnation incarnation)
+std::string requestIdPrefix(const Settings &settings, Incarnation incarnation)
 {
     return settings.node.str() + "-" + std::to_string(incarnation) + "-";
 }
@@ -32,13 +32,15 @@
 TrafficOptions trafficOptions(const Settings &settings, Incarnation incarnation)
 {
     TrafficOptions options;
-    options.idPrefix = idPrefixOf(settings, incarnation);
+    options.idPrefix = requestIdPrefix(settings, incarnation);
     options.headerLimit = settings.headerLimit;
     options.bodyLimit = settings.bodyLimit;
     options.connectionLimit = settings.connectionLimit;
     if (settings.descriptorLimit > 0) {
-        const auto part = static_cast<std::uint32_t>(callersPart * settings.descriptorLimit);
-        options.connectionLimit = std::min(options.connectionLimit, std::max(part, 1U));
+        const auto callerDescriptors
+            = static_cast<std::uint32_t>(callerDescriptorFraction * settings.descriptorLimit);
+        options.connectionLimit
+            = std::min(options.connectionLimit, std::max(callerDescriptors, 1U));
     }
     options.readTimeout = settings.readTimeout;
     options.acceptedLag = settings.acceptedLag;
@@ -47,14 +49,14 @@
 }
 
 /// Processor time of the calling thread.
-double threadSeconds()
+double threadCpuSeconds()
 {
     timespec used {};
     clock_gettime(CLOCK_THREAD_CPUTIME_ID, &used);
     return static_cast<double>(used.tv_sec) + static_cast<double>(used.tv_nsec) * 1e-9;
 }
 
-std::string auditText(const AuditEntry &entry)
+std::string formatAuditEntry(const AuditEntry &entry)
 {
     std::string text = auditKindName(entry.kind);
     text.append(" by ").append(entry.who).append(": ").append(entry.what);
@@ -73,8 +75,8 @@
     Impl(const Impl &) = delete;
     Impl &operator=(const Impl &) = delete;
 
-    /// Empty where all listeners are open, else why one is not.
-    std::string open(const Settings &settings);
+    /// Empty where all listeners are openListeners, else why one is not.
+    std::string openListeners(const Settings &settings);
     void handleSignals(std::function<void()> reload);
     void run();
     void stop() { m_context.stop(); }
@@ -99,18 +101,18 @@
 
     Metrics m_metrics; // NOLINT: used by the face
     CallerListener &listener() { return *m_listener; }
-    PeerLink &peers() { return m_peers; }
+    PeerTransport &peers() { return m_peers; }
     void setPlatformReader(std::function<void(bool)> reader)
     {
         m_platformReader = std::move(reader);
     }
-    AdminFace &admin() { return m_admin; }
+    AdminHttpServer &admin() { return m_admin; }
 
 private:
-    PeerLink::Events peerEvents();
-    AdminFace::Sources adminSources(const Settings &settings, RpcHandler rpc);
+    PeerTransport::Callbacks peerCallbacks();
+    AdminHttpServer::Handlers adminHandlers(const Settings &settings, RpcHandler rpc);
     TrafficThread &threadOf(RequestHandle handle);
-    void awaitSignal();
+    void waitForSignal();
     std::string printMetrics();
 
     // The order matters: what stands below uses what stands above while it is destroyed.
@@ -121,15 +123,15 @@
     TrafficOptions m_options;
     std::vector<std::unique_ptr<TrafficThread>> m_threads;
     std::unique_ptr<CallerListener> m_listener;
-    PeerLink m_peers;
-    PlatformWatch m_watch;
+    PeerTransport m_peers;
+    PlatformWatcher m_platformWatcher;
     TargetPoller m_poller;
-    AdminFace m_admin;
+    AdminHttpServer m_admin;
     asio::signal_set m_signals;
     std::function<void(bool)> m_platformReader;
     std::function<void()> m_reload;
-    int m_signalsSeen = 0;
-    std::atomic<std::size_t> m_threadsLeft {0};
+    int m_signalCount = 0;
+    std::atomic<std::size_t> m_drainingThreads {0};
     bool m_isReady = false;
     bool m_isStopping = false;
 };
@@ -143,13 +145,14 @@
           m_context, std::move(core), m_metrics,
           [this](Action &action) { std::visit(*this, action); }, [this] { m_peers.flush(); })
     , m_options(trafficOptions(settings, incarnation))
-    , m_peers(m_context, {settings.node, incarnation, settings.fleetKey}, m_metrics, peerEvents())
-    , m_watch(m_context, settings.platform, incarnation, m_metrics,
-              [this](Event event) { m_loop.post(std::move(event)); })
+    , m_peers(m_context, {settings.node, incarnation, settings.fleetKey}, m_metrics,
+              peerCallbacks())
+    , m_platformWatcher(m_context, settings.platform, incarnation, m_metrics,
+                        [this](Event event) { m_loop.post(std::move(event)); })
     , m_poller(m_context, m_metrics, [this](Event event) { m_loop.post(std::move(event)); })
-    , m_admin(m_context, adminSources(settings, std::move(rpc)))
+    , m_admin(m_context, adminHandlers(settings, std::move(rpc)))
     , m_signals(m_context)
-    , m_platformReader([this](bool isOn) { m_watch.set(isOn); })
+    , m_platformReader([this](bool isOn) { m_platformWatcher.setEnabled(isOn); })
 {
     m_options.protocol = std::move(protocol);
     m_options.report = [this](std::vector<Event> &events) { m_loop.postAll(events); };
@@ -168,19 +171,19 @@
     m_threads.clear();
 }
 
-PeerLink::Events RouterNode::Impl::peerEvents()
+PeerTransport::Callbacks RouterNode::Impl::peerCallbacks()
 {
-    return {[this](const Event &event) { m_loop.handle(event); }, [this] { m_loop.endTurn(); },
+    return {[this](const Event &event) { m_loop.handle(event); }, [this] { m_loop.endIteration(); },
             [this](const LogRecord &record) { m_log.add(record); }};
 }
 
-AdminFace::Sources RouterNode::Impl::adminSources(const Settings &settings, RpcHandler rpc)
+AdminHttpServer::Handlers RouterNode::Impl::adminHandlers(const Settings &settings, RpcHandler rpc)
 {
     return {[this] { return m_isReady; }, [this] { return printMetrics(); }, std::move(rpc),
             settings.operatorsKeyDigest};
 }
 
-std::string RouterNode::Impl::open(const Settings &settings)
+std::string RouterNode::Impl::openListeners(const Settings &settings)
 {
     std::string reason = m_listener->listen(settings.callers);
     if (reason.empty())
@@ -198,10 +201,10 @@
     m_signals.add(SIGTERM);
     m_signals.add(SIGINT);
     m_signals.add(SIGHUP);
-    awaitSignal();
+    waitForSignal();
 }
 
-void RouterNode::Impl::awaitSignal()
+void RouterNode::Impl::waitForSignal()
 {
     m_signals.async_wait([this](error_code error, int number) {
         if (error)
@@ -209,15 +212,15 @@
         if (number == SIGHUP) {
             if (m_reload)
                 m_reload();
-            awaitSignal();
+            waitForSignal();
             return;
         }
-        if (++m_signalsSeen > 1) {
+        if (++m_signalCount > 1) {
             stop();
             return;
         }
         handleNow(LeaveOrdered {number == SIGINT ? "SIGINT" : "SIGTERM"});
-        awaitSignal();
+        waitForSignal();
     });
 }
 
@@ -235,7 +238,7 @@
 void RouterNode::Impl::handleNow(const Event &event)
 {
     m_loop.handle(event);
-    m_loop.endTurn();
+    m_loop.endIteration();
 }
 
 TrafficThread &RouterNode::Impl::threadOf(RequestHandle handle)
@@ -283,10 +286,10 @@
     if (std::exchange(m_isStopping, true))
         return;
     m_listener->close();
-    m_threadsLeft = m_threads.size();
+    m_drainingThreads = m_threads.size();
     for (const auto &thread : m_threads) {
         thread->drain([this] {
-            if (--m_threadsLeft == 0)
+            if (--m_drainingThreads == 0)
                 stop();
         });
     }
@@ -294,7 +297,7 @@
 
 void RouterNode::Impl::operator()(const Audit &action)
 {
-    m_log.add({LogEventId::AuditEntryMade, auditText(action.entry)});
+    m_log.add({LogEventId::AuditEntryMade, formatAuditEntry(action.entry)});
     if (m_audit)
         m_audit(action.entry);
 }
@@ -302,7 +305,7 @@
 std::string RouterNode::Impl::printMetrics()
 {
     m_metrics.logLinesDropped = m_log.dropped();
-    return m_metrics.print(threadSeconds()); // Operators' calls run on the control thread.
+    return m_metrics.print(threadCpuSeconds()); // Operators' calls run on the control thread.
 }
 
 RouterNode::RouterNode(std::unique_ptr<Impl> impl)
@@ -413,7 +416,7 @@
     assert(m_settings.trafficThreads > 0 && "a node needs a traffic thread");
     auto impl = std::make_unique<RouterNode::Impl>(m_settings, m_incarnation, m_log, m_core, m_rpc,
                                                    m_audit, m_protocol);
-    std::string reason = impl->open(m_settings);
+    std::string reason = impl->openListeners(m_settings);
     if (!reason.empty())
         return Reason {std::move(reason)};
     if (m_platformReader)
--- a/lib/Net/TrafficThread.h
+++ b/lib/Net/TrafficThread.h
@@ -113,7 +113,7 @@
     void countAbandonedRequest()
     {
         ++m_abandonedRequests;
-        ++m_metrics.callersGoneUnread;
+        ++m_metrics.requestsReadAfterDisconnect;
     }
     /// Queues an event for the core, together with the other events of this event loop iteration.
     void report(Event event);
--- a/test/berylctl/fake_routers.cpp
+++ b/test/berylctl/fake_routers.cpp
@@ -71,7 +71,7 @@
                 : std::vector<std::string>();
         };
         made.leave = [this](const std::string & /*who*/) { m_state = "leaving"; };
-        made.comeBack = [this](const std::string & /*who*/) { m_state = "ready"; };
+        made.returnToService = [this](const std::string & /*who*/) { m_state = "ready"; };
         made.documents = [this] {
             return std::vector<DocumentText> {{"fleet", m_fleetVersion, R"({"zonesOut":["a"]})"}};
         };
--- a/test/rig/FakeNode.cpp
+++ b/test/rig/FakeNode.cpp
@@ -270,7 +270,7 @@
 {
     if (m_outbox.empty())
         return;
-    const DatagramSealer sealer(m_options.node, m_options.incarnation, fleetKey);
+    const DatagramEncoder sealer(m_options.node, m_options.incarnation, fleetKey);
     for (auto &[to, packed] : m_outbox) {
         std::vector<std::string> batch;
         std::size_t bytes = 0;
@@ -290,13 +290,13 @@
 
 void FakeNode::sendPacked(PlaceId to, const std::vector<std::string> &packed)
 {
-    const DatagramSealer sealer(m_options.node, m_options.incarnation, fleetKey);
-    auto sealed = std::make_shared<const std::string>(sealer.seal(packed));
+    const DatagramEncoder sealer(m_options.node, m_options.incarnation, fleetKey);
+    auto sealed = std::make_shared<const std::string>(sealer.encode(packed));
     m_traffic.sentBytes += sealed->size() + headerBytes;
     ++m_traffic.sentDatagrams;
     FakeNode *receiver = m_world.nodes.at(to);
     const auto arrive = [receiver, sealed] { receiver->deliver(*sealed); };
-    if (sealed->size() <= datagramLimit)
+    if (sealed->size() <= maxDatagramBytes)
         m_world.links.datagram(m_place, to, arrive);
     else if (m_world.links.isOpen(m_place, to))
         m_world.links.stream(m_place, to, arrive);
@@ -307,7 +307,7 @@
     if (!isUp())
         return;
     m_traffic.receivedBytes += sealed.size() + headerBytes;
-    auto datagram = openDatagram(fleetKey, std::as_bytes(std::span(sealed)));
+    auto datagram = decodeDatagram(fleetKey, std::as_bytes(std::span(sealed)));
     if (!datagram) {
         m_world.journal.fail("codec", datagram.failureReason());
         return;
--- a/tools/berylctl/Audit.cpp
+++ b/tools/berylctl/Audit.cpp
@@ -27,7 +27,7 @@
     parameters["after"] = 0;
     while (true) {
         auto reply = remote.call(router, "audit", parameters);
-        if (!reply.isFine)
+        if (!reply.isSuccess)
             return reply;
         const auto node = reply.result["node"].asString();
         if (reply.result["hasGap"].asBool())
--- a/tools/berylctl/Operate.cpp
+++ b/tools/berylctl/Operate.cpp
@@ -21,7 +21,7 @@
         return *status;
     const auto replies = remote.callAll(method, Json::objectValue);
     for (const auto &[router, reply] : replies) {
-        if (reply.isFine) {
+        if (reply.isSuccess) {
             std::cout << reply.result["node"].asString() << ": " << reply.result["state"].asString()
                       << '\n';
         }
--- a/tools/berylctl/Remote.cpp
+++ b/tools/berylctl/Remote.cpp
@@ -130,7 +130,7 @@
 {
     int status = exitSuccess;
     for (const auto &[router, reply] : replies) {
-        if (reply.isFine)
+        if (reply.isSuccess)
             continue;
         complain(endpointText(router) + ": " + reply.reason);
         status = exitErrorsFound;
--- a/tools/berylctl/Status.cpp
+++ b/tools/berylctl/Status.cpp
@@ -57,7 +57,7 @@
     Table table({"router", "node", "zone", "state", "reader", "vms", "members", "owns", "waiting",
                  "running"});
     for (const auto &[router, reply] : replies) {
-        if (!reply.isFine)
+        if (!reply.isSuccess)
             continue;
         const auto &node = reply.result;
         table.add({endpointText(router), node["node"].asString(), node["zone"].asString(),
@@ -142,7 +142,7 @@
     printNodes(replies);
     printDocuments(replies);
     for (const auto &[router, reply] : replies) {
-        if (detail.getValue() && reply.isFine)
+        if (detail.getValue() && reply.isSuccess)
             printDetail(reply.result);
     }
     return reportFailures(replies);
--- a/tools/berylreplay/Trace.cpp
+++ b/tools/berylreplay/Trace.cpp
@@ -160,7 +160,7 @@
                 Json::Value json = typed("message");
                 const std::string packed = packPeerMessage(e.message);
                 json["datagram"] = toHex(
-                    DatagramSealer(e.from, e.incarnation, traceKey).seal(std::span(&packed, 1)));
+                    DatagramEncoder(e.from, e.incarnation, traceKey).encode(std::span(&packed, 1)));
                 return json;
             },
             [](const ProbeEnded &e) {
@@ -213,7 +213,7 @@
 std::optional<Event> messageOf(const Json::Value &json)
 {
     const std::string bytes = fromHex(json["datagram"].asString());
-    auto datagram = openDatagram(traceKey, std::as_bytes(std::span(bytes)));
+    auto datagram = decodeDatagram(traceKey, std::as_bytes(std::span(bytes)));
     if (!datagram || datagram->messages.size() != 1)
         return std::nullopt;
     return NodeMessage {datagram->from, datagram->incarnation, datagram->messages.front()};
--- a/tools/berylridged/Main.cpp
+++ b/tools/berylridged/Main.cpp
@@ -71,7 +71,7 @@
         return exitUsageError;
     }
     RouterCore &decisions = **core;
-    LogSink log(logLevelOf(settings.logLevel), log4cplusWriter());
+    LogSink log(parseLogLevel(settings.logLevel), log4cplusWriter());
     AuditTrail trail;
     std::unique_ptr<RouterNode> node;
 
@@ -80,7 +80,7 @@
     hooks.status = [&] { return decisions.status(); };
     hooks.explain = [&](const std::string &id) { return decisions.explain(id); };
     hooks.leave = [&](const std::string &who) { node->handleNow(LeaveOrdered {who}); };
-    hooks.comeBack = [&](const std::string &who) { node->handleNow(ReturnOrdered {who}); };
+    hooks.returnToService = [&](const std::string &who) { node->handleNow(ReturnOrdered {who}); };
     hooks.documents = [&] { return decisions.documents(); };
     hooks.log = [&](const LogRecord &record) { log.add(record); };
     hooks.wallNow = [&] { return clock.wallNow(); };
--- a/unittests/Admin/AdminApiTest.cpp
+++ b/unittests/Admin/AdminApiTest.cpp
@@ -19,28 +19,28 @@
 
     AdminHooks hooks()
     {
-        AdminHooks made;
-        made.node = NodeId("a1");
-        made.status = [this] { return status(); };
-        made.explain = [](const std::string &id) { return std::vector {"request " + id, id}; };
-        made.leave = [this](const std::string &who) { order("leave " + who, "leaving"); };
-        made.comeBack = [this](const std::string &who) { order("return " + who, "ready"); };
-        made.documents = [] { return std::vector<DocumentText> {{"fleet", 3, "{}"}}; };
-        made.log = [this](const LogRecord &record) { logged.push_back(record.id); };
-        made.wallNow = [] { return WallTime(std::chrono::milliseconds(1767225600123)); };
-        return made;
+        AdminHooks built;
+        built.node = NodeId("a1");
+        built.status = [this] { return status(); };
+        built.explain = [](const std::string &id) { return std::vector {"request " + id, id}; };
+        built.leave = [this](const std::string &who) { order("leave " + who, "leaving"); };
+        built.returnToService = [this](const std::string &who) { order("return " + who, "ready"); };
+        built.documents = [] { return std::vector<DocumentText> {{"fleet", 3, "{}"}}; };
+        built.log = [this](const LogRecord &record) { logged.push_back(record.id); };
+        built.wallNow = [] { return WallTime(std::chrono::milliseconds(1767225600123)); };
+        return built;
     }
 
     NodeStatus status() const
     {
-        NodeStatus made;
-        made.node = NodeId("a1");
-        made.state = state;
-        made.documents = {DocumentVersionEntry {"fleet", 3}};
-        made.members.push_back({NodeId("b1"), ZoneId("b"), "live", 7, 0.5});
-        made.targets.emplace_back();
-        made.workspaces.emplace_back();
-        return made;
+        NodeStatus built;
+        built.node = NodeId("a1");
+        built.state = state;
+        built.documents = {DocumentVersionEntry {"fleet", 3}};
+        built.members.push_back({NodeId("b1"), ZoneId("b"), "live", 7, 0.5});
+        built.targets.emplace_back();
+        built.workspaces.emplace_back();
+        return built;
     }
 
     void order(std::string what, std::string next)
@@ -53,8 +53,8 @@
                   bool isOperator = true)
     {
         return callRpc(
-            [&](const std::string &request, std::string &answer) {
-                answer = api.handleRpc(request, isOperator);
+            [&](const std::string &request, std::string &response) {
+                response = api.handleRpc(request, isOperator);
                 return true;
             },
             method, parameters);
@@ -63,18 +63,18 @@
 
 Json::Value parameters(const std::string &name, const Json::Value &value)
 {
-    Json::Value made;
-    made[name] = value;
-    return made;
+    Json::Value built;
+    built[name] = value;
+    return built;
 }
 
 } // namespace
 
-TEST(AdminApi, TellsTheStatus)
+TEST(AdminApi, ReturnsStatus)
 {
     FakeNode node;
     const auto reply = node.call("status");
-    ASSERT_TRUE(reply.isFine) << reply.reason;
+    ASSERT_TRUE(reply.isSuccess) << reply.reason;
     EXPECT_EQ(reply.result["node"].asString(), "a1");
     EXPECT_EQ(reply.result["documents"][0]["version"].asUInt(), 3U);
     EXPECT_EQ(reply.result["members"][0]["state"].asString(), "live");
@@ -82,7 +82,7 @@
     EXPECT_EQ(reply.result["workspaces"].size(), 1U);
 }
 
-TEST(AdminApi, LeaveAndReturnNameWhoOrderedThem)
+TEST(AdminApi, LeaveAndReturnAreAuditedWithOperatorName)
 {
     FakeNode node;
     EXPECT_EQ(node.call("leave", parameters("who", "lan")).result["state"].asString(), "leaving");
@@ -97,12 +97,12 @@
     EXPECT_EQ(trail[0]["whenMs"].asInt64(), 1767225600123);
 }
 
-TEST(AdminApi, EveryCallStandsInTheTrail)
+TEST(AdminApi, EveryCallIsAudited)
 {
     FakeNode node;
     for (const auto *method : {"status", "documents", "events"})
-        EXPECT_TRUE(node.call(method).isFine) << method;
-    EXPECT_TRUE(node.call("explain", parameters("requestId", "r-1")).isFine);
+        EXPECT_TRUE(node.call(method).isSuccess) << method;
+    EXPECT_TRUE(node.call("explain", parameters("requestId", "r-1")).isSuccess);
     const auto page = node.call("audit").result;
     EXPECT_EQ(page["node"].asString(), "a1");
     ASSERT_EQ(page["entries"].size(), 4U);
@@ -114,30 +114,30 @@
 
 // A stranger reaches the admin port and orders the node to leave. Without the operators' key
 // nothing in the request is looked at; the try is logged and stands in the trail.
-TEST(AdminApi, WithoutTheKeyNothingHappens)
+TEST(AdminApi, CallWithoutKeyIsRejected)
 {
     FakeNode node;
     const auto reply = node.call("leave", parameters("who", "lan"), false);
-    EXPECT_FALSE(reply.isFine);
+    EXPECT_FALSE(reply.isSuccess);
     EXPECT_EQ(node.state, "ready");
     EXPECT_TRUE(node.orders.empty());
     EXPECT_EQ(node.logged, std::vector {LogEventId::OperatorRejected});
     EXPECT_EQ(node.trail.after(0, 10).entries.at(0).entry.what, "rejected");
 }
 
-TEST(AdminApi, WrongParametersAreRefusedWithWhatIsAllowed)
+TEST(AdminApi, InvalidParametersAreRejected)
 {
     FakeNode node;
     EXPECT_NE(node.call("explain").reason.find("requestId is missing"), std::string::npos);
-    EXPECT_FALSE(node.call("leave", parameters("who", std::string(65, 'x'))).isFine);
-    EXPECT_FALSE(node.call("leave", parameters("who", "a\nb")).isFine);
-    EXPECT_FALSE(node.call("audit", parameters("after", -1)).isFine);
-    EXPECT_FALSE(node.call("documents", parameters("withText", 1)).isFine);
-    EXPECT_FALSE(node.call("reboot").isFine);
+    EXPECT_FALSE(node.call("leave", parameters("who", std::string(65, 'x'))).isSuccess);
+    EXPECT_FALSE(node.call("leave", parameters("who", "a\nb")).isSuccess);
+    EXPECT_FALSE(node.call("audit", parameters("after", -1)).isSuccess);
+    EXPECT_FALSE(node.call("documents", parameters("withText", 1)).isSuccess);
+    EXPECT_FALSE(node.call("reboot").isSuccess);
     EXPECT_TRUE(node.orders.empty());
 }
 
-TEST(AdminApi, AnswersBodiesThatAreNoRequest)
+TEST(AdminApi, RespondsWithErrorToInvalidBodies)
 {
     FakeNode node;
     for (const std::string body :
@@ -148,7 +148,7 @@
     EXPECT_TRUE(node.orders.empty());
 }
 
-TEST(AdminApi, GivesDocumentsWithTheirTextOnRequest)
+TEST(AdminApi, ReturnsDocumentTextOnlyOnRequest)
 {
     FakeNode node;
     EXPECT_FALSE(node.call("documents").result["documents"][0].isMember("text"));
@@ -156,19 +156,19 @@
     EXPECT_EQ(reply.result["documents"][0]["text"].asString(), "{}");
 }
 
-TEST(AdminApi, ATransportThatFailsIsTold)
+TEST(AdminApi, TransportFailureIsReported)
 {
     const auto reply = callRpc(
-        [](const std::string & /*request*/, std::string &answer) {
-            answer = "connection refused";
+        [](const std::string & /*request*/, std::string &response) {
+            response = "connection refused";
             return false;
         },
         "status", Json::objectValue);
-    EXPECT_FALSE(reply.isFine);
+    EXPECT_FALSE(reply.isSuccess);
     EXPECT_EQ(reply.reason, "connection refused");
 }
 
-TEST(OperatorsKey, OnlyTheBearerOfTheKeyIsOne)
+TEST(OperatorsKey, AcceptsOnlyBearerTokenWithTheKey)
 {
     const auto digest = credentialDigest("secret");
     EXPECT_TRUE(isOperatorsKey("Bearer secret", digest));
--- a/unittests/Admin/AdminFuzzTest.cpp
+++ b/unittests/Admin/AdminFuzzTest.cpp
@@ -6,29 +6,29 @@
 
 using namespace berylridge;
 
-// Whatever the body, the answer is empty (a notification) or JSON-RPC, and no exception passes the
-// face of the component: it would end the control thread, and with it the router.
-TEST(AdminFuzz, AnyBodyIsAnswered)
+// Whatever the body, the response is empty (a notification) or JSON-RPC, and no exception passes
+// the face of the component: it would end the control thread, and with it the router.
+TEST(AdminFuzz, MutatedBodiesNeverThrow)
 {
     AuditTrail trail;
     AdminHooks hooks;
     hooks.status = [] { return NodeStatus(); };
     hooks.explain = [](const std::string & /*id*/) { return std::vector<std::string>(); };
     hooks.leave = [](const std::string & /*who*/) {};
-    hooks.comeBack = [](const std::string & /*who*/) {};
+    hooks.returnToService = [](const std::string & /*who*/) {};
     hooks.log = [](const LogRecord & /*record*/) {};
     hooks.wallNow = [] { return WallTime(); };
     AdminApi api(hooks, trail);
 
     Mutator mutator(20261203);
     for (
-        const std::string good :
+        const std::string seedBody :
         {R"({"jsonrpc":"2.0","id":1,"method":"audit","params":{"after":3,"limit":10,"who":"lan"}})",
          R"([{"jsonrpc":"2.0","id":"x","method":"explain","params":{"requestId":"r-1"}}])"}) {
         for (int i = 0; i < 10000; ++i) {
-            const auto body = mutator.mutate(good);
-            const auto answer = api.handleRpc(body, true);
-            ASSERT_TRUE(answer.empty() || answer.find("jsonrpc") != std::string::npos) << body;
+            const auto body = mutator.mutate(seedBody);
+            const auto response = api.handleRpc(body, true);
+            ASSERT_TRUE(response.empty() || response.find("jsonrpc") != std::string::npos) << body;
         }
     }
 }
--- a/unittests/Admin/AuditTrailTest.cpp
+++ b/unittests/Admin/AuditTrailTest.cpp
@@ -10,12 +10,12 @@
 
 AuditEntry entry(std::string what)
 {
-    AuditEntry made;
-    made.what = std::move(what);
-    return made;
+    AuditEntry built;
+    built.what = std::move(what);
+    return built;
 }
 
-std::vector<std::string> whats(const AuditPage &page)
+std::vector<std::string> actionsOf(const AuditPage &page)
 {
     std::vector<std::string> names;
     for (const auto &numbered : page.entries)
@@ -27,7 +27,7 @@
 
 } // namespace
 
-TEST(AuditTrail, AReaderGoesOnWhereItStopped)
+TEST(AuditTrail, ReaderResumesAfterLastSequence)
 {
     AuditTrail trail;
     trail.appendChange(entry("a"));
@@ -35,10 +35,10 @@
     trail.appendChange(entry("c"));
 
     const auto first = trail.after(0, 2);
-    EXPECT_EQ(whats(first), (Names {"a", "b"}));
+    EXPECT_EQ(actionsOf(first), (Names {"a", "b"}));
     EXPECT_TRUE(first.hasMore);
     const auto second = trail.after(first.last, 2);
-    EXPECT_EQ(whats(second), Names {"c"});
+    EXPECT_EQ(actionsOf(second), Names {"c"});
     EXPECT_FALSE(second.hasMore);
     EXPECT_FALSE(second.hasGap);
     EXPECT_EQ(trail.after(second.last, 2).last, second.last);
@@ -46,30 +46,30 @@
 
 // A dashboard asks for the status each second for an hour after an operator took a zone out. The
 // trail is bounded, so its calls drop out, but the operator's entry must still be there.
-TEST(AuditTrail, CallsThatLookDontPushOutChanges)
+TEST(AuditTrail, ReadsDontEvictChanges)
 {
     AuditTrail trail({4, 4});
     trail.appendChange(entry("zone b out"));
     for (int i = 0; i < 3600; ++i)
         trail.appendRead(entry("status"));
     const auto page = trail.after(0, 100);
-    EXPECT_EQ(whats(page), (Names {"zone b out", "status", "status", "status", "status"}));
+    EXPECT_EQ(actionsOf(page), (Names {"zone b out", "status", "status", "status", "status"}));
     EXPECT_EQ(page.last, 3601U);
 }
 
 // A reader that was away while more was written than is kept must see that it missed some, else it
 // would report a whole trail that isn't.
-TEST(AuditTrail, WhatWasGivenUpIsTold)
+TEST(AuditTrail, EvictedEntriesAreReportedAsGap)
 {
     AuditTrail trail({2, 2});
     for (const auto *what : {"a", "b", "c"})
         trail.appendChange(entry(what));
     EXPECT_TRUE(trail.after(0, 10).hasGap);
     EXPECT_FALSE(trail.after(1, 10).hasGap);
-    EXPECT_EQ(whats(trail.after(1, 10)), (Names {"b", "c"}));
+    EXPECT_EQ(actionsOf(trail.after(1, 10)), (Names {"b", "c"}));
 }
 
-TEST(AuditTrail, TwoThreadsMayWriteAndAThirdRead)
+TEST(AuditTrail, ConcurrentAppendsAndReadsAreSafe)
 {
     AuditTrail trail({100, 100});
     const auto write = [&] {
--- a/unittests/Net/AdminTest.cpp
+++ b/unittests/Net/AdminTest.cpp
@@ -53,7 +53,7 @@
         EXPECT_NE(text.find(line), std::string::npos) << line << text;
 }
 
-TEST(AdminTest, rpcIsToldWhetherAnOperatorCalls)
+TEST(AdminTest, rpcHandlerReceivesOperatorFlag)
 {
     FakeCore core;
     TestNode node(
@@ -62,9 +62,9 @@
             return std::string(request) + (isOperator ? " by operator" : " by stranger");
         });
     EXPECT_TRUE(rpc(node.node().admin(), "secret").ends_with("call by operator"));
-    const std::string refused = rpc(node.node().admin(), "guess");
-    EXPECT_TRUE(refused.starts_with("HTTP/1.1 401 ")) << refused;
-    EXPECT_TRUE(refused.ends_with("call by stranger")) << refused;
+    const std::string rejected = rpc(node.node().admin(), "guess");
+    EXPECT_TRUE(rejected.starts_with("HTTP/1.1 401 ")) << rejected;
+    EXPECT_TRUE(rejected.ends_with("call by stranger")) << rejected;
 }
 
 } // namespace
--- a/unittests/Net/CallerHttpTest.cpp
+++ b/unittests/Net/CallerHttpTest.cpp
@@ -3,7 +3,7 @@
 namespace berylridge::test {
 namespace {
 
-FakeCore::Rule rejectAll()
+FakeCore::EventHandler rejectAll()
 {
     return [](const Event &event, Actions &actions) {
         if (const auto *arrived = std::get_if<RequestArrived>(&event))
@@ -38,7 +38,7 @@
     EXPECT_TRUE(response.starts_with(std::string("HTTP/1.1 ") + GetParam().status)) << response;
     EXPECT_NE(response.find("application/problem+json"), std::string::npos) << response;
     EXPECT_NE(response.find("\"verdict\":\"not-run\""), std::string::npos) << response;
-    EXPECT_TRUE(core.seen<RequestArrived>().empty());
+    EXPECT_TRUE(core.receivedEvents<RequestArrived>().empty());
     FakeCaller good = node.caller();
     good.send(requestText("GET", "/v1/services/shop/x"));
     EXPECT_TRUE(good.readUntil("queue-full").starts_with("HTTP/1.1 429 "));
@@ -101,7 +101,7 @@
     FakeCaller caller = node.caller();
     caller.send(requestText("POST", "/v1/idempotency-keys"));
     EXPECT_TRUE(caller.readUntil("}").starts_with("HTTP/1.1 201 "));
-    EXPECT_EQ(core.seen<KeyIssueRequested>().at(0).credential, "key");
+    EXPECT_EQ(core.receivedEvents<KeyIssueRequested>().at(0).credential, "key");
 }
 
 TEST(CallerHttpTest, rejectionHasRetryAfterVerdictAndRequestId)
@@ -130,7 +130,7 @@
     caller.take();
     caller.send("4\r\nclay\r\n0\r\n\r\n");
     EXPECT_TRUE(caller.readUntil("}").starts_with("HTTP/1.1 429 "));
-    EXPECT_EQ(core.seen<RequestArrived>().at(0).bodyBytes, 4U);
+    EXPECT_EQ(core.receivedEvents<RequestArrived>().at(0).bodyBytes, 4U);
 }
 
 TEST(CallerHttpTest, rejectsConnectionsAboveTheLimit)
@@ -175,9 +175,9 @@
     TestNode node(core);
     FakeCaller caller = node.caller();
     caller.send(requestText("GET", "/v1/services/shop/x"));
-    const auto arrived = core.await<RequestArrived>(1);
+    const auto arrived = core.waitForEvents<RequestArrived>(1);
     caller.close();
-    EXPECT_EQ(core.await<CallerGone>(1)[0].handle, arrived[0].handle);
+    EXPECT_EQ(core.waitForEvents<CallerGone>(1)[0].handle, arrived[0].handle);
     EXPECT_TRUE(eventually([&] { return node.node().metrics().connectionsOpen == 0; }));
 }
 
@@ -187,14 +187,14 @@
     // its request. The command finds no request, and the thread must report that nothing was sent.
     FakeCore core([](const Event &event, Actions &actions) {
         if (const auto *gone = std::get_if<CallerGone>(&event))
-            actions.emplace_back(dispatchOf(gone->handle, closedPort()));
+            actions.emplace_back(makeDispatch(gone->handle, closedPort()));
     });
     TestNode node(core);
     FakeCaller caller = node.caller();
     caller.send(requestText("GET", "/v1/services/shop/x"));
-    core.await<RequestArrived>(1);
+    core.waitForEvents<RequestArrived>(1);
     caller.close();
-    EXPECT_FALSE(core.await<AttemptFailed>(1)[0].sentAny);
+    EXPECT_FALSE(core.waitForEvents<AttemptFailed>(1)[0].sentAny);
 }
 
 TEST(CallerHttpTest, limitsBufferedPipelinedRequests)
@@ -205,7 +205,7 @@
     TestNode node(core);
     FakeCaller caller = node.caller();
     caller.send(requestText("GET", "/v1/services/shop/x"));
-    core.await<RequestArrived>(1);
+    core.waitForEvents<RequestArrived>(1);
     std::thread flood([&] {
         const std::string more = requestText("GET", "/v1/services/shop/y");
         std::string all;
@@ -214,8 +214,8 @@
         caller.send(all);
     });
     node.node().post(TimerDue {});
-    EXPECT_TRUE(eventually([&] { return core.seen<TimerDue>().size() >= 2; }));
-    EXPECT_EQ(core.seen<RequestArrived>().size(), 1U);
+    EXPECT_TRUE(eventually([&] { return core.receivedEvents<TimerDue>().size() >= 2; }));
+    EXPECT_EQ(core.receivedEvents<RequestArrived>().size(), 1U);
     node.node().stop();
     caller.shutdown();
     flood.join();
--- a/unittests/Net/ForwardingTest.cpp
+++ b/unittests/Net/ForwardingTest.cpp
@@ -17,13 +17,13 @@
 {
     std::string head;
     std::string body;
-    FakeTarget target([&](TargetPeer &peer) {
+    FakeTarget target([&](FakeTargetConnection &peer) {
         head = peer.readRequest();
         body = peer.body();
         peer.send(okResponse("done",
                              "Content-Type: text/plain\r\nX-Boot-Id: b1\r\nX-Attempt-Id: "
                                  + peer.field("X-Attempt-Id") + "\r\n"));
-        peer.awaitEnd();
+        peer.waitForClose();
     });
     FakeCore core(forwardTo(target.endpoint()));
     std::string response;
@@ -35,7 +35,7 @@
                                 "text/x\r\nConnection: x-hop\r\nX-Hop: 1\r\n",
                                 "clay"));
         response = caller.readUntil("done");
-        const auto done = core.await<AttemptDone>(1);
+        const auto done = core.waitForEvents<AttemptDone>(1);
         EXPECT_EQ(done[0].bootId, "b1");
         EXPECT_EQ(done[0].storedBody, "done");
         ASSERT_EQ(done[0].storedHeaders.size(), 1U);
@@ -55,7 +55,7 @@
 
 TEST(ForwardingTest, answersPipelinedRequestsInOrder)
 {
-    FakeTarget target([](TargetPeer &peer) {
+    FakeTarget target([](FakeTargetConnection &peer) {
         while (true) {
             const std::string head = peer.readRequest();
             if (head.empty())
@@ -81,7 +81,7 @@
 
 TEST(ForwardingTest, reusesConnectionForNonResendableRequests)
 {
-    FakeTarget target([](TargetPeer &peer) {
+    FakeTarget target([](FakeTargetConnection &peer) {
         while (!peer.readRequest().empty())
             peer.send(okResponse("x", "Keep-Alive: timeout=10\r\n"));
     });
@@ -104,7 +104,7 @@
 {
     for (const bool isReset : {true, false}) {
         std::atomic<int> received {0};
-        FakeTarget target([&](TargetPeer &peer) {
+        FakeTarget target([&](FakeTargetConnection &peer) {
             while (!peer.readRequest().empty()) {
                 if (++received == 2) {
                     if (isReset)
@@ -125,7 +125,7 @@
         EXPECT_NE(response.find("502"), std::string::npos) << response;
         EXPECT_NE(response.find("Berylridge-Verdict: may-have-run\r\n"), std::string::npos)
             << response;
-        const auto failed = core.await<AttemptFailed>(1);
+        const auto failed = core.waitForEvents<AttemptFailed>(1);
         EXPECT_TRUE(failed[0].sentAny);
         EXPECT_EQ(received, 2);
         EXPECT_EQ(target.connections(), 1);
@@ -150,7 +150,7 @@
     // Guards against truncated or mismatched responses that look complete to the caller. The caller
     // must receive a rejection with the verdict may-have-run, or its connection must close before
     // the response ends.
-    FakeTarget target([](TargetPeer &peer) {
+    FakeTarget target([](FakeTargetConnection &peer) {
         peer.readRequest();
         peer.send(GetParam().response);
     });
@@ -159,11 +159,11 @@
     FakeCaller caller = node.caller();
     caller.send(requestText("GET", path, "Connection: close\r\n"));
     const std::string response = caller.readAll();
-    const auto failed = core.await<AttemptFailed>(1);
+    const auto failed = core.waitForEvents<AttemptFailed>(1);
     EXPECT_EQ(failed[0].failure, GetParam().failure);
     EXPECT_TRUE(failed[0].sentAny);
     EXPECT_EQ(failed[0].answerBegun, GetParam().isResponseStarted);
-    EXPECT_TRUE(core.seen<AttemptDone>().empty());
+    EXPECT_TRUE(core.receivedEvents<AttemptDone>().empty());
     if (GetParam().isResponseStarted) {
         EXPECT_TRUE(response.starts_with("HTTP/1.1 200 OK\r\n")) << response;
         EXPECT_EQ(response.find("\r\n0\r\n"), std::string::npos) << response;
@@ -211,7 +211,7 @@
     caller.send(requestText("POST", path, {}, "b"));
     const std::string response = caller.readUntil("}");
     EXPECT_NE(response.find("\"verdict\":\"not-run\""), std::string::npos) << response;
-    const auto failed = core.await<AttemptFailed>(1);
+    const auto failed = core.waitForEvents<AttemptFailed>(1);
     EXPECT_EQ(failed[0].failure, AttemptFailure::ConnectRefused);
     EXPECT_FALSE(failed[0].sentAny);
 }
@@ -221,10 +221,10 @@
     // Guards against overload of a target: the dispatch is delayed, for example in a paused
     // process, until its lease has expired and another node may use the slot. Nothing may be sent;
     // the core may dispatch the request again.
-    FakeTarget target([](TargetPeer &peer) { EXPECT_EQ(peer.readRequest(), ""); });
+    FakeTarget target([](FakeTargetConnection &peer) { EXPECT_EQ(peer.readRequest(), ""); });
     FakeCore core([&](const Event &event, Actions &actions) {
         if (const auto *arrived = std::get_if<RequestArrived>(&event)) {
-            Dispatch dispatch = dispatchOf(arrived->handle, target.endpoint());
+            Dispatch dispatch = makeDispatch(arrived->handle, target.endpoint());
             dispatch.notAfter = SystemClock().now() - std::chrono::milliseconds(1);
             actions.emplace_back(dispatch);
         }
@@ -232,18 +232,18 @@
     TestNode node(core);
     FakeCaller caller = node.caller();
     caller.send(requestText("GET", path));
-    EXPECT_FALSE(core.await<AttemptFailed>(1)[0].sentAny);
+    EXPECT_FALSE(core.waitForEvents<AttemptFailed>(1)[0].sentAny);
 }
 
 TEST(ForwardingTest, timesOutOnUnresponsiveTarget)
 {
-    FakeTarget target([](TargetPeer &peer) {
+    FakeTarget target([](FakeTargetConnection &peer) {
         peer.readRequest();
-        peer.awaitEnd();
+        peer.waitForClose();
     });
     FakeCore core([&](const Event &event, Actions &actions) {
         if (const auto *arrived = std::get_if<RequestArrived>(&event)) {
-            Dispatch dispatch = dispatchOf(arrived->handle, target.endpoint());
+            Dispatch dispatch = makeDispatch(arrived->handle, target.endpoint());
             dispatch.idleTimeout = std::chrono::milliseconds(20);
             actions.emplace_back(dispatch);
         }
@@ -251,7 +251,7 @@
     TestNode node(core);
     FakeCaller caller = node.caller();
     caller.send(requestText("GET", path));
-    EXPECT_EQ(core.await<AttemptFailed>(1)[0].failure, AttemptFailure::Timeout);
+    EXPECT_EQ(core.waitForEvents<AttemptFailed>(1)[0].failure, AttemptFailure::Timeout);
 }
 
 TEST(ForwardingTest, closesTargetConnectionWhenTheCallerDisconnects)
@@ -261,10 +261,10 @@
     // cancel.
     std::atomic<bool> isTargetClosed {false};
     std::atomic<bool> hasRequest {false};
-    FakeTarget target([&](TargetPeer &peer) {
+    FakeTarget target([&](FakeTargetConnection &peer) {
         peer.readRequest();
         hasRequest = true;
-        isTargetClosed = peer.awaitEnd();
+        isTargetClosed = peer.waitForClose();
     });
     FakeCore core(forwardTo(target.endpoint()));
     TestNode node(core);
@@ -272,7 +272,7 @@
     caller.send(requestText("GET", path));
     EXPECT_TRUE(eventually([&] { return hasRequest.load(); }));
     caller.close();
-    core.await<CallerGone>(1);
+    core.waitForEvents<CallerGone>(1);
     EXPECT_TRUE(eventually([&] { return isTargetClosed.load(); }));
 }
 
@@ -283,7 +283,7 @@
     // so that the repeat is answered with it instead of being rejected.
     std::atomic<bool> hasRequest {false};
     std::atomic<bool> canRespond {false};
-    FakeTarget target([&](TargetPeer &peer) {
+    FakeTarget target([&](FakeTargetConnection &peer) {
         peer.readRequest();
         hasRequest = true;
         EXPECT_TRUE(eventually([&] { return canRespond.load(); }));
@@ -291,7 +291,7 @@
     });
     FakeCore core([&](const Event &event, Actions &actions) {
         if (const auto *arrived = std::get_if<RequestArrived>(&event)) {
-            Dispatch dispatch = dispatchOf(arrived->handle, target.endpoint());
+            Dispatch dispatch = makeDispatch(arrived->handle, target.endpoint());
             dispatch.storesResponse = true;
             actions.emplace_back(dispatch);
         }
@@ -301,9 +301,9 @@
     caller.send(requestText("POST", path, "Idempotency-Key: k\r\n", "b"));
     EXPECT_TRUE(eventually([&] { return hasRequest.load(); }));
     caller.close();
-    core.await<CallerGone>(1);
+    core.waitForEvents<CallerGone>(1);
     canRespond = true;
-    EXPECT_EQ(core.await<AttemptDone>(1)[0].storedBody, "bought");
+    EXPECT_EQ(core.waitForEvents<AttemptDone>(1)[0].storedBody, "bought");
 }
 
 TEST(ForwardingTest, relaysEachChunkImmediately)
@@ -311,7 +311,7 @@
     // Guards against delayed tokens: the target sends the next chunk only after the caller has
     // received the previous one, so a router that waits for more data would hang.
     std::atomic<int> receivedTokens {0};
-    FakeTarget target([&](TargetPeer &peer) {
+    FakeTarget target([&](FakeTargetConnection &peer) {
         peer.readRequest();
         peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         for (int i = 0; i < 3; ++i) {
@@ -338,7 +338,7 @@
     constexpr std::size_t total = 64 << 20;
     constexpr std::size_t step = 1 << 20;
     std::atomic<std::size_t> sent {0};
-    FakeTarget target([&](TargetPeer &peer) {
+    FakeTarget target([&](FakeTargetConnection &peer) {
         peer.readRequest();
         peer.send("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(total) + "\r\n\r\n");
         const std::string piece(step, 'x');
@@ -366,7 +366,7 @@
 
 TEST(ForwardingTest, relaysHeadAndEmptyResponses)
 {
-    FakeTarget target([](TargetPeer &peer) {
+    FakeTarget target([](FakeTargetConnection &peer) {
         while (true) {
             const std::string head = peer.readRequest();
             if (head.empty())
--- a/unittests/Net/FuzzTest.cpp
+++ b/unittests/Net/FuzzTest.cpp
@@ -49,7 +49,7 @@
 
 std::vector<std::string> sampleDatagrams()
 {
-    const DatagramSealer sealer(NodeId("a1"), 3, TestNode::fleetKey);
+    const DatagramEncoder encoder(NodeId("a1"), 3, TestNode::fleetKey);
     DocumentsReply reply;
     reply.documents.push_back({"fleet", 1, "{}"});
     KeyState state;
@@ -59,9 +59,9 @@
          {PeerMessage(FleetMessage(Heartbeat())), PeerMessage(FleetMessage(reply)),
           PeerMessage(KeyMessage(state))}) {
         const std::vector<std::string> packed(3, packPeerMessage(message));
-        std::string sealed = sealer.seal(packed);
-        sealed.resize(sealed.size() - authenticatorSize);
-        samples.push_back(std::move(sealed));
+        std::string encoded = encoder.encode(packed);
+        encoded.resize(encoded.size() - authenticatorSize);
+        samples.push_back(std::move(encoded));
     }
     return samples;
 }
@@ -73,7 +73,7 @@
     int readCount = 0;
     for (int i = 0; i < datagramRounds; ++i) {
         const std::string bytes = reseal(mutated(samples[random() % samples.size()], random));
-        readCount += openDatagram(TestNode::fleetKey, std::as_bytes(std::span(bytes))) ? 1 : 0;
+        readCount += decodeDatagram(TestNode::fleetKey, std::as_bytes(std::span(bytes))) ? 1 : 0;
     }
     EXPECT_GT(readCount, 0);
     EXPECT_LT(readCount, datagramRounds);
--- a/unittests/Net/HttpClientTest.cpp
+++ b/unittests/Net/HttpClientTest.cpp
@@ -8,24 +8,26 @@
 namespace berylridge::test {
 namespace {
 
-/// Runs `then` after so many turns of the context's queue.
-void afterTurns(asio::io_context &context, int turns, const std::function<void()> &then)
+/// Runs `then` after so many iterations of the context's queue.
+void runAfterIterations(asio::io_context &context, int iterations,
+                        const std::function<void()> &then)
 {
-    if (turns == 0) {
+    if (iterations == 0) {
         then();
         return;
     }
-    asio::post(context, [&context, turns, then] { afterTurns(context, turns - 1, then); });
+    asio::post(context,
+               [&context, iterations, then] { runAfterIterations(context, iterations - 1, then); });
 }
 
 // A node drops a call and makes another by the same client, while the answer to the dropped one is
 // already in its socket. The operation that has read it ends after the client has begun anew. It
 // must touch neither the new connection nor the new call: the new call got the old answer, or the
 // process ended with a segmentation fault.
-TEST(HttpClientTest, givesNoCallTheAnswerOfADroppedOne)
+TEST(HttpClientTest, newCallNeverReceivesResponseOfClosedCall)
 {
-    for (int turns = 0; turns < 6; ++turns) {
-        FakeTarget server([](TargetPeer &peer) {
+    for (int iterations = 0; iterations < 6; ++iterations) {
+        FakeTarget server([](FakeTargetConnection &peer) {
             while (true) {
                 const std::string head = peer.readRequest();
                 if (head.empty())
@@ -37,22 +39,23 @@
         });
         asio::io_context context;
         const auto client = std::make_shared<HttpClient>(context, server.endpoint());
-        std::vector<std::string> answers;
-        const auto take = [&](const HttpReply &reply) { answers.push_back(reply.body); };
-        client->get("/dropped", patience, take);
+        std::vector<std::string> bodies;
+        const auto onReply = [&](const HttpReply &reply) { bodies.push_back(reply.body); };
+        client->get("/dropped", testTimeout, onReply);
         while (server.connections() == 0)
             context.run_one_for(std::chrono::milliseconds(1));
         std::this_thread::sleep_for(std::chrono::milliseconds(5)); // The answer is in the socket.
-        bool hasBegunAnew = false;
-        afterTurns(context, turns, [&] {
+        bool hasStartedNewCall = false;
+        runAfterIterations(context, iterations, [&] {
             client->close();
-            client->get("/new", patience, take);
-            hasBegunAnew = true;
+            client->get("/new", testTimeout, onReply);
+            hasStartedNewCall = true;
         });
-        while ((!hasBegunAnew || client->pending() > 0) && context.run_one_for(patience) > 0)
+        while ((!hasStartedNewCall || client->pending() > 0)
+               && context.run_one_for(testTimeout) > 0)
             continue;
-        ASSERT_FALSE(answers.empty());
-        EXPECT_EQ(answers.back(), "/new") << turns;
+        ASSERT_FALSE(bodies.empty());
+        EXPECT_EQ(bodies.back(), "/new") << iterations;
         client->close();
         context.run();
     }
--- a/unittests/Net/LogSinkTest.cpp
+++ b/unittests/Net/LogSinkTest.cpp
@@ -10,7 +10,7 @@
 namespace berylridge::test {
 namespace {
 
-TEST(LogSinkTest, writesTheNumberAndTheName)
+TEST(LogSinkTest, writesEventNumberAndName)
 {
     std::vector<std::string> lines;
     {
@@ -26,19 +26,20 @@
 }
 
 /// The number after "name": in a line; 0 where the line has none.
-std::uint64_t countIn(const std::string &line, const std::string &name)
+std::uint64_t parseDropCount(const std::string &line, const std::string &name)
 {
     const std::size_t at = line.find("\"" + name + "\":");
     return at == std::string::npos ? 0 : std::stoull(line.substr(at + name.size() + 3));
 }
 
-TEST(LogSinkTest, neverWaitsForAReaderThatHasStopped)
+TEST(LogSinkTest, addDoesNotBlockOnStalledReader)
 {
     // What the caller sees: nothing; traffic goes on while the log's reader hangs.
     // What happens: the first write blocks, the queue fills, further records are dropped; when the
-    // reader goes on, lines beyond the budget are dropped too. Each is written or counted by name.
-    std::promise<void> readerGoesOn;
-    const auto gate = readerGoesOn.get_future().share();
+    // reader goes on, lines beyond the rateLimiter are dropped too. Each is written or counted by
+    // name.
+    std::promise<void> resumeReader;
+    const auto gate = resumeReader.get_future().share();
     std::vector<std::string> lines;
     const std::size_t count = LogSink::queueLimit + 100;
     {
@@ -49,42 +50,43 @@
         for (std::size_t i = 0; i < count; ++i)
             sink.add({LogEventId::TargetState, "line"});
         EXPECT_GE(sink.dropped(), 99U);
-        readerGoesOn.set_value();
+        resumeReader.set_value();
     }
     std::uint64_t written = 0;
-    std::uint64_t told = 0;
+    std::uint64_t reportedDrops = 0;
     for (const std::string &line : lines) {
-        const bool tells = line.find("\"event\":1008,") != std::string::npos;
-        told += tells ? countIn(line, "TargetState") : 0;
-        written += tells ? 0 : 1;
+        const bool isDropReport = line.find("\"event\":1008,") != std::string::npos;
+        reportedDrops += isDropReport ? parseDropCount(line, "TargetState") : 0;
+        written += isDropReport ? 0 : 1;
     }
     EXPECT_GT(written, 100U);
-    EXPECT_GT(told, 99U);
-    EXPECT_EQ(written + told, count);
+    EXPECT_GT(reportedDrops, 99U);
+    EXPECT_EQ(written + reportedDrops, count);
 }
 
-TEST(LogSinkTest, writesWhatARecordHolds)
+TEST(LogSinkTest, writesAllFieldsOfARecord)
 {
     LogRecord record {LogEventId::RequestRefused, "say \"when\"\n", "r1"};
     record.fields["waitMs"] = 12;
     record.fields["steps"][0]["target"] = "t1";
-    EXPECT_EQ(logLine(record, WallTime(std::chrono::milliseconds(1767225600007))),
+    EXPECT_EQ(formatLogLine(record, WallTime(std::chrono::milliseconds(1767225600007))),
               R"({"time":"2026-01-01T00:00:00.007Z","level":"info","event":5001,)"
               R"("name":"RequestRefused","request":"r1","detail":"say \"when\"\n",)"
               R"("steps":[{"target":"t1"}],"waitMs":12})");
 }
 
-TEST(LogBudgetTest, AFloodOfRequestsLeavesRoomForWarnings)
+TEST(LogRateLimiterTest, RequestLinesLeaveBudgetForWarnings)
 {
-    // What the reader sees: a thousand refusals a second, and still the warning that tells why.
+    // What the reader sees: a thousand refusals a second, and still the warning that isDropReport
+    // why.
     const ManualClock clock;
-    LogRateLimiter budget({10, 1000});
+    LogRateLimiter rateLimiter({10, 1000});
     int written = 0;
     for (int i = 0; i < 1000; ++i)
-        written += budget.tryTake(10, LogLevel::Info, clock.now()) ? 1 : 0;
+        written += rateLimiter.tryTake(10, LogLevel::Info, clock.now()) ? 1 : 0;
     EXPECT_EQ(written, 15);
-    EXPECT_TRUE(budget.tryTake(10, LogLevel::Warning, clock.now()));
-    EXPECT_FALSE(budget.tryTake(2000, LogLevel::Error, clock.now()));
+    EXPECT_TRUE(rateLimiter.tryTake(10, LogLevel::Warning, clock.now()));
+    EXPECT_FALSE(rateLimiter.tryTake(2000, LogLevel::Error, clock.now()));
 }
 
 } // namespace
--- a/unittests/Net/NodeFixture.cpp
+++ b/unittests/Net/NodeFixture.cpp
@@ -20,9 +20,9 @@
 }
 
 /// Sockets of the fakes give up by themselves, so that a failing test ends.
-void limitReads(tcp::socket &socket)
+void setReadTimeout(tcp::socket &socket)
 {
-    const timeval limit {patience.count(), 0};
+    const timeval limit {testTimeout.count(), 0};
     ::setsockopt(socket.native_handle(), SOL_SOCKET, SO_RCVTIMEO, &limit, sizeof(limit));
 }
 
@@ -36,7 +36,7 @@
 
 bool eventually(const std::function<bool()> &condition)
 {
-    const auto end = std::chrono::steady_clock::now() + patience;
+    const auto end = std::chrono::steady_clock::now() + testTimeout;
     while (!condition()) {
         if (std::chrono::steady_clock::now() > end)
             return false;
@@ -51,28 +51,28 @@
         const std::lock_guard lock(m_mutex);
         m_events.push_back(event);
     }
-    if (m_rule)
-        m_rule(event, actions);
+    if (m_handler)
+        m_handler(event, actions);
 }
 
-Dispatch dispatchOf(RequestHandle handle, Endpoint endpoint, AttemptNumber attempt)
+Dispatch makeDispatch(RequestHandle handle, Endpoint endpoint, AttemptNumber attempt)
 {
     Dispatch dispatch;
     dispatch.handle = handle;
     dispatch.attempt = attempt;
     dispatch.target = TargetId("t");
     dispatch.endpoint = std::move(endpoint);
-    dispatch.attemptTimeout = patience;
-    dispatch.idleTimeout = patience;
+    dispatch.attemptTimeout = testTimeout;
+    dispatch.idleTimeout = testTimeout;
     dispatch.workspace = WorkspaceId("potters");
     return dispatch;
 }
 
-FakeCore::Rule forwardTo(Endpoint endpoint, bool isIdempotent)
+FakeCore::EventHandler forwardTo(Endpoint endpoint, bool isIdempotent)
 {
     return [endpoint = std::move(endpoint), isIdempotent](const Event &event, Actions &actions) {
         if (const auto *arrived = std::get_if<RequestArrived>(&event)) {
-            Dispatch dispatch = dispatchOf(arrived->handle, endpoint);
+            Dispatch dispatch = makeDispatch(arrived->handle, endpoint);
             dispatch.resendPolicy = isIdempotent ? ResendPolicy::Allowed : ResendPolicy::Forbidden;
             dispatch.storesResponse = arrived->idempotencyKey.has_value();
             actions.emplace_back(std::move(dispatch));
@@ -87,7 +87,7 @@
     };
 }
 
-std::string TargetPeer::readRequest()
+std::string FakeTargetConnection::readRequest()
 {
     std::array<char, 4096> bytes {};
     std::size_t end = std::string::npos;
@@ -106,7 +106,7 @@
     return m_head;
 }
 
-std::string TargetPeer::field(const std::string &name) const
+std::string FakeTargetConnection::field(const std::string &name) const
 {
     const std::size_t at = m_head.find("\r\n" + name + ": ");
     if (at == std::string::npos)
@@ -115,14 +115,14 @@
     return m_head.substr(begin, m_head.find("\r\n", begin) - begin);
 }
 
-bool TargetPeer::send(std::string_view bytes)
+bool FakeTargetConnection::send(std::string_view bytes)
 {
     error_code error;
     asio::write(m_socket, asio::buffer(bytes.data(), bytes.size()), error);
     return !error;
 }
 
-bool TargetPeer::awaitEnd()
+bool FakeTargetConnection::waitForClose()
 {
     std::array<char, 64> bytes {};
     error_code error;
@@ -130,7 +130,7 @@
     return error == asio::error::eof || error == asio::error::connection_reset;
 }
 
-void TargetPeer::reset()
+void FakeTargetConnection::reset()
 {
     error_code ignored;
     m_socket.set_option(asio::socket_base::linger(true, 0), ignored);
@@ -162,10 +162,10 @@
         m_acceptor.accept(socket, error);
         if (error)
             return;
-        limitReads(socket);
+        setReadTimeout(socket);
         ++m_connections;
         m_threads.emplace_back(
-            [this, peer = TargetPeer(std::move(socket))]() mutable { m_script(peer); });
+            [this, peer = FakeTargetConnection(std::move(socket))]() mutable { m_script(peer); });
     }
 }
 
@@ -180,7 +180,7 @@
     : m_socket(m_context)
 {
     m_socket.connect(*asioEndpoint<tcp>(endpoint));
-    limitReads(m_socket);
+    setReadTimeout(m_socket);
 }
 
 void FakeCaller::send(std::string_view bytes)
--- a/unittests/Net/NodeFixture.h
+++ b/unittests/Net/NodeFixture.h
@@ -20,19 +20,19 @@
 namespace berylridge::test {
 
 /// Longest wait for something that must happen; never a measure of time.
-inline constexpr std::chrono::seconds patience {20};
+inline constexpr std::chrono::seconds testTimeout {20};
 
-/// Waits until the condition holds; false if it doesn't within patience.
+/// Waits until the condition holds; false if it doesn't within testTimeout.
 bool eventually(const std::function<bool()> &condition);
 
-/// A core that passes each event to a rule and remembers all of them.
+/// A core that passes each event to a handler and remembers all of them.
 class FakeCore
 {
 public:
-    using Rule = std::function<void(const Event &, Actions &)>;
+    using EventHandler = std::function<void(const Event &, Actions &)>;
 
-    explicit FakeCore(Rule rule = {})
-        : m_rule(std::move(rule))
+    explicit FakeCore(EventHandler handler = {})
+        : m_handler(std::move(handler))
     {
     }
 
@@ -41,7 +41,7 @@
 
     /// The events of a kind so far.
     template <typename T>
-    std::vector<T> seen() const
+    std::vector<T> receivedEvents() const
     {
         const std::lock_guard lock(m_mutex);
         std::vector<T> found;
@@ -53,33 +53,33 @@
 
     /// Waits for so many events of a kind.
     template <typename T>
-    std::vector<T> await(std::size_t count)
+    std::vector<T> waitForEvents(std::size_t count)
     {
-        EXPECT_TRUE(eventually([&] { return seen<T>().size() >= count; }));
-        auto found = seen<T>();
+        EXPECT_TRUE(eventually([&] { return receivedEvents<T>().size() >= count; }));
+        auto found = receivedEvents<T>();
         found.resize(std::max(found.size(), count)); // Tests go on to look at so many.
         return found;
     }
 
 private:
-    Rule m_rule;
+    EventHandler m_handler;
     mutable std::mutex m_mutex;
     std::vector<Event> m_events;
 };
 
 static_assert(DecisionCore<FakeCore>);
 
-/// A rule that sends each request to the endpoint, once; a failure is refused as may-have-run.
-FakeCore::Rule forwardTo(Endpoint endpoint, bool isIdempotent = false);
+/// A handler that sends each request to the endpoint, once; a failure is refused as may-have-run.
+FakeCore::EventHandler forwardTo(Endpoint endpoint, bool isIdempotent = false);
 
 /// The order that sends a request to an endpoint.
-Dispatch dispatchOf(RequestHandle handle, Endpoint endpoint, AttemptNumber attempt = 1);
+Dispatch makeDispatch(RequestHandle handle, Endpoint endpoint, AttemptNumber attempt = 1);
 
 /// One connection of a target under a test's script.
-class TargetPeer
+class FakeTargetConnection
 {
 public:
-    explicit TargetPeer(tcp::socket socket)
+    explicit FakeTargetConnection(tcp::socket socket)
         : m_socket(std::move(socket))
     {
     }
@@ -92,7 +92,7 @@
     /// False where the connection is gone.
     bool send(std::string_view bytes);
     /// Waits until the router has closed the connection.
-    bool awaitEnd();
+    bool waitForClose();
     /// Closes with a reset.
     void reset();
 
@@ -107,7 +107,7 @@
 class FakeTarget
 {
 public:
-    using Script = std::function<void(TargetPeer &)>;
+    using Script = std::function<void(FakeTargetConnection &)>;
 
     explicit FakeTarget(Script script);
     ~FakeTarget();
--- a/unittests/Net/OverloadTest.cpp
+++ b/unittests/Net/OverloadTest.cpp
@@ -92,7 +92,7 @@
         context().run_one();
     context().poll();
     EXPECT_EQ(reported.size(), 1U);
-    EXPECT_EQ(metrics.callersGoneUnread, floodSize);
+    EXPECT_EQ(metrics.requestsReadAfterDisconnect, floodSize);
 }
 
 // Guards against rejections that cost an overloaded thread as much as served requests: they must be
--- a/unittests/Net/PeerLinkTest.cpp
+++ b/unittests/Net/PeerTransportTest.cpp
@@ -5,14 +5,14 @@
 namespace berylridge::test {
 namespace {
 
-PeerMessage heartbeat(std::uint64_t sequence)
+PeerMessage makeHeartbeat(std::uint64_t sequence)
 {
     Heartbeat beat;
     beat.sequence = sequence;
     return FleetMessage(beat);
 }
 
-PeerMessage longMessage(std::size_t bytes)
+PeerMessage largeMessage(std::size_t bytes)
 {
     DocumentsReply reply;
     reply.documents.push_back({"service/shop", 3, std::string(bytes, 'x')});
@@ -20,7 +20,8 @@
 }
 
 /// A core that sends the messages to the endpoint at each PlatformReachability.
-FakeCore::Rule sendAtReach(std::vector<PeerMessage> messages, const Endpoint &to)
+FakeCore::EventHandler sendOnPlatformReachability(std::vector<PeerMessage> messages,
+                                                  const Endpoint &to)
 {
     return [messages = std::move(messages), to](const Event &event, Actions &actions) {
         if (std::get_if<PlatformReachability>(&event) == nullptr)
@@ -37,54 +38,55 @@
     socket.send_to(asio::buffer(bytes), *asioEndpoint<udp>(to));
 }
 
-TEST(PeerLinkTest, messagesToOneNodeShareADatagram)
+TEST(PeerTransportTest, batchesMessagesToOneNodeIntoOneDatagram)
 {
     FakeCore receiver;
     TestNode to(receiver);
-    FakeCore sender(sendAtReach({heartbeat(1), heartbeat(2), heartbeat(3)}, to.node().peers()));
+    FakeCore sender(sendOnPlatformReachability(
+        {makeHeartbeat(1), makeHeartbeat(2), makeHeartbeat(3)}, to.node().peers()));
     TestNode from(sender, [](Settings &settings) { settings.node = NodeId("a2"); });
     from.node().post(PlatformReachability {true});
-    const auto messages = receiver.await<NodeMessage>(3);
+    const auto messages = receiver.waitForEvents<NodeMessage>(3);
     EXPECT_EQ(messages[2].from, NodeId("a2"));
     EXPECT_EQ(messages[2].incarnation, 7U);
     EXPECT_EQ(std::get<Heartbeat>(std::get<FleetMessage>(messages[2].message)).sequence, 3U);
     EXPECT_EQ(from.node().metrics().datagramsSent, 1U);
 }
 
-TEST(PeerLinkTest, largeMessagesTravelByCall)
+TEST(PeerTransportTest, sendsLargeMessagesByRpc)
 {
     FakeCore receiver;
     TestNode to(receiver);
-    FakeCore sender(
-        sendAtReach({heartbeat(1), longMessage(300000), heartbeat(2)}, to.node().peers()));
+    FakeCore sender(sendOnPlatformReachability(
+        {makeHeartbeat(1), largeMessage(300000), makeHeartbeat(2)}, to.node().peers()));
     TestNode from(sender);
     from.node().post(PlatformReachability {true});
-    receiver.await<NodeMessage>(3);
-    std::size_t longest = 0;
-    for (const NodeMessage &message : receiver.seen<NodeMessage>()) {
+    receiver.waitForEvents<NodeMessage>(3);
+    std::size_t documentBytes = 0;
+    for (const NodeMessage &message : receiver.receivedEvents<NodeMessage>()) {
         const auto &fleet = std::get<FleetMessage>(message.message);
         if (const auto *reply = std::get_if<DocumentsReply>(&fleet))
-            longest = reply->documents.at(0).text.size();
+            documentBytes = reply->documents.at(0).text.size();
     }
-    EXPECT_EQ(longest, 300000U);
+    EXPECT_EQ(documentBytes, 300000U);
     EXPECT_EQ(from.node().metrics().callsSent, 1U);
     EXPECT_EQ(to.node().metrics().callsReceived, 1U);
 }
 
-TEST(PeerLinkTest, strangersChangeNothing)
+TEST(PeerTransportTest, ignoresDatagramsWithWrongKey)
 {
     // What the caller sees: nothing. What happens: datagrams with another key, cut or random ones
     // arrive in a burst; none reaches the core, and the log has a line, not one for each.
     FakeCore core;
     TestNode node(core);
-    const DatagramSealer stranger(NodeId("a2"), 9, "another key of thirty-two bytes!");
-    const std::string packed = packPeerMessage(heartbeat(1));
+    const DatagramEncoder wrongKeyEncoder(NodeId("a2"), 9, "another key of thirty-two bytes!");
+    const std::string packed = packPeerMessage(makeHeartbeat(1));
     for (int i = 0; i < 50; ++i)
-        sendRaw(node.node().peers(), stranger.seal(std::span(&packed, 1)));
+        sendRaw(node.node().peers(), wrongKeyEncoder.encode(std::span(&packed, 1)));
     EXPECT_TRUE(eventually([&] { return node.node().metrics().datagramsRejected >= 50; }));
-    const DatagramSealer member(NodeId("a2"), 9, TestNode::fleetKey);
-    sendRaw(node.node().peers(), member.seal(std::span(&packed, 1)));
-    EXPECT_EQ(core.await<NodeMessage>(1).size(), 1U);
+    const DatagramEncoder memberEncoder(NodeId("a2"), 9, TestNode::fleetKey);
+    sendRaw(node.node().peers(), memberEncoder.encode(std::span(&packed, 1)));
+    EXPECT_EQ(core.waitForEvents<NodeMessage>(1).size(), 1U);
     EXPECT_TRUE(eventually([&] { return !node.logLines().empty(); }));
     EXPECT_LE(node.logLines().size(), 10U);
     EXPECT_NE(node.logLines()[0].find(R"("event":2005,"name":"DatagramRejected","detail":")"),
@@ -92,7 +94,7 @@
         << node.logLines()[0];
 }
 
-TEST(PeerLinkTest, probeTellsARefusedPortFromALiveOne)
+TEST(PeerTransportTest, probeDistinguishesClosedPortFromListeningNode)
 {
     FakeCore other;
     TestNode live(other);
@@ -105,7 +107,7 @@
     });
     TestNode node(core);
     node.node().post(PlatformReachability {true});
-    for (const ProbeEnded &ended : core.await<ProbeEnded>(2))
+    for (const ProbeEnded &ended : core.waitForEvents<ProbeEnded>(2))
         EXPECT_EQ(ended.isRefused, ended.node == NodeId("dead"));
 }
 
--- a/unittests/Net/PlatformTest.cpp
+++ b/unittests/Net/PlatformTest.cpp
@@ -5,7 +5,7 @@
 namespace berylridge::test {
 namespace {
 
-std::string jsonAnswer(const std::string &body)
+std::string jsonResponse(const std::string &body)
 {
     return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
@@ -20,7 +20,7 @@
 constexpr const char *vms = R"({"revision": 5, "vms": [{"node": "a1", "zone": "a", )"
                             R"("address": "127.0.1.1", "port": 7400, "leaving": true}]})";
 
-FakeCore::Rule watchAtStart()
+FakeCore::EventHandler watchPlatformOnFirstEvent()
 {
     return [isOn = false](const Event &, Actions &actions) mutable {
         if (!std::exchange(isOn, true))
@@ -28,59 +28,60 @@
     };
 }
 
-TEST(PlatformTest, passesOnWhatIsNew)
+TEST(PlatformTest, reportsOnlyChangedDocuments)
 {
     // The first platform is closed; the second answers, changes one document, then waits.
-    FakeTarget platform([](TargetPeer &peer) {
+    FakeTarget platform([](FakeTargetConnection &peer) {
         for (int revision = 1; true; ++revision) {
             const std::string head = peer.readRequest();
-            const bool isNews = head.find("since=2&") == std::string::npos
+            const bool hasUpdate = head.find("since=2&") == std::string::npos
                 && head.find("since=5&") == std::string::npos;
-            if (head.empty() || !isNews) {
-                peer.awaitEnd();
+            if (head.empty() || !hasUpdate) {
+                peer.waitForClose();
                 return;
             }
             const bool isVms = head.starts_with("GET /v1/vms");
-            peer.send(jsonAnswer(isVms ? vms : documents(revision, revision)));
+            peer.send(jsonResponse(isVms ? vms : documents(revision, revision)));
         }
     });
-    FakeCore core(watchAtStart());
+    FakeCore core(watchPlatformOnFirstEvent());
     TestNode node(core, [&](Settings &settings) {
         settings.platform = {closedPort(), platform.endpoint()};
     });
-    const auto arrived = core.await<DocumentArrived>(3);
+    const auto arrived = core.waitForEvents<DocumentArrived>(3);
     EXPECT_EQ(arrived.size(), 3U) << "the unchanged document is no news";
     EXPECT_EQ(arrived[2].document.version, 2U);
-    const auto lists = core.await<VmListArrived>(1);
+    const auto lists = core.waitForEvents<VmListArrived>(1);
     EXPECT_EQ(lists[0].list.revision, 5U);
     EXPECT_TRUE(lists[0].list.vms.at(0).isLeaving);
-    core.await<PlatformReachability>(1);
+    core.waitForEvents<PlatformReachability>(1);
 }
 
-TEST(PlatformTest, saysThatThePlatformIsSilentAndBack)
+TEST(PlatformTest, reportsOutageAndRecovery)
 {
     // What happens: the platform answers nonsense at first, then properly. The nonsense is taken as
     // silence, never as an empty list of documents.
-    std::atomic<bool> isWell {false};
-    FakeTarget platform([&](TargetPeer &peer) {
+    std::atomic<bool> isHealthy {false};
+    FakeTarget platform([&](FakeTargetConnection &peer) {
         while (!peer.readRequest().empty())
-            peer.send(jsonAnswer(isWell ? documents(1, 1) : R"({"revision": 1})"));
+            peer.send(jsonResponse(isHealthy ? documents(1, 1) : R"({"revision": 1})"));
     });
-    FakeCore core(watchAtStart());
+    FakeCore core(watchPlatformOnFirstEvent());
     TestNode node(core, [&](Settings &settings) { settings.platform = {platform.endpoint()}; });
-    EXPECT_FALSE(core.await<PlatformReachability>(1)[0].isReachable);
-    EXPECT_TRUE(core.seen<DocumentArrived>().empty());
-    isWell = true;
-    EXPECT_TRUE(eventually([&] { return core.seen<PlatformReachability>().back().isReachable; }));
-    EXPECT_EQ(core.await<DocumentArrived>(2).size(), 2U);
+    EXPECT_FALSE(core.waitForEvents<PlatformReachability>(1)[0].isReachable);
+    EXPECT_TRUE(core.receivedEvents<DocumentArrived>().empty());
+    isHealthy = true;
+    EXPECT_TRUE(
+        eventually([&] { return core.receivedEvents<PlatformReachability>().back().isReachable; }));
+    EXPECT_EQ(core.waitForEvents<DocumentArrived>(2).size(), 2U);
 }
 
-TEST(PlatformTest, pollsATargetsLoad)
+TEST(PlatformTest, pollsTargetLoad)
 {
-    FakeTarget target([](TargetPeer &peer) {
+    FakeTarget target([](FakeTargetConnection &peer) {
         while (!peer.readRequest().empty())
             peer.send(
-                jsonAnswer(R"({"bootId": "b7", "running": 3, "completed": 17, "ageMs": 200})"));
+                jsonResponse(R"({"bootId": "b7", "running": 3, "completed": 17, "ageMs": 200})"));
     });
     const Endpoint closed = closedPort();
     FakeCore core([&](const Event &event, Actions &actions) {
@@ -91,12 +92,12 @@
     });
     TestNode node(core);
     node.node().post(PlatformReachability {true});
-    const auto report = core.await<TargetLoadReport>(1)[0];
+    const auto report = core.waitForEvents<TargetLoadReport>(1)[0];
     EXPECT_EQ(report.bootId, "b7");
     EXPECT_EQ(report.running, 3U);
     EXPECT_EQ(report.completed, 17U);
     EXPECT_EQ(report.age, Duration(std::chrono::milliseconds(200)));
-    const auto failed = core.await<TargetPollFailed>(1)[0];
+    const auto failed = core.waitForEvents<TargetPollFailed>(1)[0];
     EXPECT_EQ(failed.target, TargetId("t2"));
     EXPECT_EQ(failed.failure, AttemptFailure::ConnectRefused);
 }
--- a/unittests/Net/ResumeTest.cpp
+++ b/unittests/Net/ResumeTest.cpp
@@ -19,18 +19,18 @@
 }
 
 /// Dispatches first attempts to one target and resumes them at another.
-FakeCore::Rule resumeAt(const Endpoint &first, const Endpoint &second)
+FakeCore::EventHandler resumeAt(const Endpoint &first, const Endpoint &second)
 {
     return [=](const Event &event, Actions &actions) {
         if (const auto *arrived = std::get_if<RequestArrived>(&event))
-            actions.emplace_back(dispatchOf(arrived->handle, first));
+            actions.emplace_back(makeDispatch(arrived->handle, first));
         if (const auto *failed = std::get_if<AttemptFailed>(&event)) {
             if (failed->attempt > 1) {
                 actions.emplace_back(Refuse {failed->handle, 502, Verdict::MayHaveRun, "failed",
                                              "target-failed", std::nullopt});
                 return;
             }
-            Dispatch again = dispatchOf(failed->handle, second, 2);
+            Dispatch again = makeDispatch(failed->handle, second, 2);
             again.isResumed = true;
             actions.emplace_back(again);
         }
@@ -54,13 +54,13 @@
     // middle of event 3. The second one receives the id of the last event that the caller has, and
     // repeats one event more than requested. A partial event must not be relayed, because the
     // caller would then receive it partly twice.
-    FakeTarget first([](TargetPeer &peer) {
+    FakeTarget first([](FakeTargetConnection &peer) {
         peer.readRequest();
         peer.send(streamHead + chunk(event(1)) + chunk(event(2)) + chunk("id: 3\ndata: tok"));
         peer.reset();
     });
     std::string lastId;
-    FakeTarget second([&](TargetPeer &peer) {
+    FakeTarget second([&](FakeTargetConnection &peer) {
         peer.readRequest();
         lastId = peer.field("Last-Event-ID");
         peer.send(streamHead + chunk(event(2) + event(3)) + chunk("data: [DONE]\n\n")
@@ -75,9 +75,9 @@
         caller.send(
             requestText("POST", "/v1/services/assistant/chat", "Connection: close\r\n", "prompt"));
         response = caller.readAll();
-        core.await<AttemptDone>(1);
+        core.waitForEvents<AttemptDone>(1);
     }
-    const bool hasFirst = core.seen<AttemptFailed>().at(0).answerBegun;
+    const bool hasFirst = core.receivedEvents<AttemptFailed>().at(0).answerBegun;
     EXPECT_EQ(lastId.empty(), !hasFirst);
     const std::string all = eventsOf(response);
     EXPECT_TRUE(all.ends_with("id: 3\ndata: token3\ndata: [DONE]\n")) << response;
@@ -95,13 +95,13 @@
     // Guards against a stream that ends without [DONE]: its events and a valid last chunk arrive
     // together. The events must be relayed, the missing end must be detected, and the second
     // replica must continue after them.
-    FakeTarget first([](TargetPeer &peer) {
+    FakeTarget first([](FakeTargetConnection &peer) {
         peer.readRequest();
         peer.send(streamHead + chunk(event(1) + event(2)) + "0\r\n\r\n");
-        peer.awaitEnd();
+        peer.waitForClose();
     });
     std::string lastId;
-    FakeTarget second([&](TargetPeer &peer) {
+    FakeTarget second([&](FakeTargetConnection &peer) {
         peer.readRequest();
         lastId = peer.field("Last-Event-ID");
         peer.send(streamHead + chunk(event(3) + "data: [DONE]\n\n") + "0\r\n\r\n");
@@ -119,14 +119,15 @@
     EXPECT_EQ(eventsOf(response),
               "id: 1\ndata: token1\nid: 2\ndata: token2\nid: 3\ndata: token3\n"
               "data: [DONE]\n");
-    EXPECT_EQ(core.seen<AttemptFailed>().at(0).failure, AttemptFailure::TruncatedResponse);
+    EXPECT_EQ(core.receivedEvents<AttemptFailed>().at(0).failure,
+              AttemptFailure::TruncatedResponse);
 }
 
 TEST(ResumeTest, closesCallerConnectionIfTheSecondTargetFails)
 {
     // Guards against a truncated stream that looks complete: the caller's connection must close
     // without a last chunk.
-    const auto sendTruncatedStream = [](TargetPeer &peer) {
+    const auto sendTruncatedStream = [](FakeTargetConnection &peer) {
         peer.readRequest();
         peer.send(streamHead + chunk(event(1)));
     };
@@ -147,7 +148,7 @@
 {
     // Guards against a response that is joined from parts of two responses: the caller's connection
     // must close instead.
-    FakeTarget target([](TargetPeer &peer) {
+    FakeTarget target([](FakeTargetConnection &peer) {
         peer.readRequest();
         peer.send("HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\nhalf");
     });
@@ -157,7 +158,7 @@
     caller.send(requestText("GET", "/v1/services/shop/x"));
     const std::string response = caller.readAll();
     EXPECT_TRUE(response.ends_with("\r\n\r\nhalf")) << response;
-    EXPECT_EQ(core.await<AttemptFailed>(2)[1].failure, AttemptFailure::InvalidResponse);
+    EXPECT_EQ(core.waitForEvents<AttemptFailed>(2)[1].failure, AttemptFailure::InvalidResponse);
     EXPECT_EQ(target.connections(), 1);
 }
 
