--- a/include/berylridge/Admin/AdminApi.h
+++ b/include/berylridge/Admin/AdminApi.h
@@ -1,5 +1,6 @@
-// The administration API of one node: JSON-RPC 2.0 by libjsonrpccpp, without any HTTP. The shell
-// hands in each request's body and sends back what it is given.
+// Implements the administration API of one node as JSON-RPC 2.0 with libjsonrpccpp, without any
+// HTTP. The embedding HTTP server passes in the body of each request and sends back the body that
+// is returned.
 #pragma once
 
 #include "berylridge/Admin/AuditTrail.h"
@@ -16,27 +17,29 @@
 
 namespace berylridge {
 
-/// What the API asks of the node. All are called within handleRpc(), on its thread.
+/// The operations of the node that the API uses. All of them are called within handleRpc(), on its
+/// thread.
 struct AdminHooks
 {
-    NodeId node; ///< Stands in every answer that is an object.
+    NodeId node; ///< Is part of every result that is an object.
     std::function<NodeStatus()> status;
     std::function<std::vector<std::string>(const std::string &requestId)> explain;
     std::function<void(const std::string &who)> leave;
     std::function<void(const std::string &who)> returnToService;
-    /// Texts of the documents in force; may be empty, then only heads are given.
+    /// Returns the texts of the active documents. May be empty; then only names and versions are
+    /// reported.
     std::function<std::vector<DocumentText>()> documents;
     std::function<void(LogRecord)> log;
     std::function<WallTime()> wallNow;
 };
 
-/// Whether an Authorization header ("Bearer KEY") carries the key with this digest. Takes the same
-/// time for any wrong key.
+/// Returns whether an Authorization header ("Bearer KEY") contains the key with this digest. The
+/// comparison takes the same time for every wrong key.
 bool isOperatorsKey(std::string_view authorization, std::string_view operatorsKeyDigest);
 
-/// Methods: status, explain {requestId}, leave {who}, return {who}, audit {after, limit},
-/// documents {withText}, events. Each may carry {who}, which the audit trail names. Not safe for
-/// use by two threads at once: the control thread calls it.
+/// Methods: status, explain {requestId}, leave {who}, return {who}, audit {after, limit}, documents
+/// {withText}, events. Each accepts {who}, the operator's name in the audit trail. Not thread-safe:
+/// only the control thread calls it.
 class AdminApi
 {
 public:
@@ -45,8 +48,9 @@
     AdminApi(const AdminApi &) = delete;
     AdminApi &operator=(const AdminApi &) = delete;
 
-    /// The body to send back. Without the operators' key nothing in the request is looked at; the
-    /// shell sends such an answer with status 401. Empty for a notification: status 204.
+    /// Returns the body to send back. Without the operators' key the request isn't parsed, and the
+    /// HTTP server sends the returned error with status 401. The body is empty for a notification,
+    /// which gets status 204.
     std::string handleRpc(std::string_view request, bool isOperator);
 
 private:
--- a/include/berylridge/Admin/AuditTrail.h
+++ b/include/berylridge/Admin/AuditTrail.h
@@ -1,5 +1,6 @@
-// The audit trail of one node: bounded, in memory, numbered so that a reader can go on where it
-// stopped. Nodes keep nothing on disk; `berylctl audit` gathers the trails before they are lost.
+// Keeps the audit trail of one node: bounded, in memory, and numbered so that a reader can resume
+// after the last entry that it read. Nodes store nothing on disk; `berylctl audit` collects the
+// trails before they are lost.
 #pragma once
 
 #include "berylridge/Support/Audit.h"
@@ -14,26 +15,26 @@
 
 struct NumberedAuditEntry
 {
-    std::uint64_t sequence = 0; ///< From 1, without gaps over the node's whole run.
+    std::uint64_t sequence = 0; ///< Starts at 1; has no gaps while the process runs.
     AuditEntry entry;
 };
 
 struct AuditPage
 {
-    std::vector<NumberedAuditEntry> entries; ///< By rising sequence.
-    std::uint64_t last = 0; ///< Sequence to go on after; that of the last entry given.
-    bool hasGap = false;    ///< Entries after the asked one were already given up.
-    bool hasMore = false;   ///< The limit was hit.
+    std::vector<NumberedAuditEntry> entries; ///< In ascending order of sequence.
+    std::uint64_t last = 0; ///< The sequence of the last entry returned, to resume after.
+    bool hasGap = false;    ///< Entries after the requested sequence were evicted.
+    bool hasMore = false;   ///< The limit was reached.
 };
 
-/// Safe for use by several threads at once.
+/// Thread-safe.
 class AuditTrail
 {
 public:
     struct Limits
     {
-        std::size_t changes = 4096; ///< Entries kept of what changed something.
-        std::size_t reads = 512;    ///< Entries kept of calls that only looked, or were rejected.
+        std::size_t changes = 4096; ///< Maximum number of entries for calls that changed something.
+        std::size_t reads = 512;    ///< Maximum number of entries for reads and rejected calls.
     };
 
     AuditTrail()
@@ -43,11 +44,11 @@
     explicit AuditTrail(Limits limits);
 
     std::uint64_t appendChange(AuditEntry entry);
-    /// Calls that look are kept apart: a dashboard that asks each second, or a stranger who tries
-    /// keys, would else push out the entry that tells who took a zone out.
+    /// Reads and rejected calls have a buffer of their own. Otherwise a dashboard that polls every
+    /// second, or a client that tries keys, would evict the entry that names who evacuated a zone.
     std::uint64_t appendRead(AuditEntry entry);
 
-    /// At most limit entries with a sequence above the given one.
+    /// Returns at most limit entries with a sequence above the given one.
     AuditPage after(std::uint64_t sequence, std::size_t limit) const;
 
 private:
--- a/include/berylridge/Admin/RpcClient.h
+++ b/include/berylridge/Admin/RpcClient.h
@@ -1,6 +1,6 @@
-// A call by JSON-RPC 2.0 through libjsonrpccpp's client, over any transport. The library's client
-// headers carry dynamic exception specifications, which C++17 dropped: this face hides them, is
-// itself C++14, and its body is compiled as such.
+// Calls a JSON-RPC 2.0 method through libjsonrpccpp's client, over any transport. The library's
+// client headers have dynamic exception specifications, which C++17 removed. This header hides
+// them: it is valid C++14, and its implementation is compiled as C++14.
 #pragma once
 
 #include <functional>
@@ -9,15 +9,15 @@
 
 namespace berylridge {
 
-/// Sends a request body and puts the response's body into its second argument; on failure returns
-/// false and puts the reason there.
+/// Sends a request body and stores the response's body in its second argument. On failure it
+/// returns false and stores the reason there.
 using RpcTransport = std::function<bool(const std::string &request, std::string &response)>;
 
 struct RpcReply
 {
     bool isSuccess = false;
     Json::Value result;
-    std::string reason; ///< Why it failed; empty where it is fine.
+    std::string reason; ///< Why the call failed; empty on success.
 };
 
 /// Never throws.
--- a/include/berylridge/Net/Base64.h
+++ b/include/berylridge/Net/Base64.h
@@ -1,4 +1,4 @@
-// Base64 (RFC 4648) by libsodium, for sealed datagrams inside JSON.
+// Encodes and decodes base64 (RFC 4648) with libsodium, for datagrams inside JSON.
 #pragma once
 
 #include <optional>
--- a/include/berylridge/Net/Datagram.h
+++ b/include/berylridge/Net/Datagram.h
@@ -1,4 +1,5 @@
-// The datagrams between nodes: several messages packed by MessagePack into one sealed datagram.
+// Encodes the datagrams between nodes: several messages, packed with MessagePack, in one
+// authenticated datagram.
 #pragma once
 
 #include "berylridge/Fleet/BalancerMessages.h"
@@ -19,34 +20,35 @@
 
 using PeerMessage = std::variant<FleetMessage, KeyMessage, BalancerMessage>;
 
-/// Bytes of a datagram, its authenticator included: below the smallest usual path MTU.
+/// Maximum size of a datagram, including its authenticator. It is below the smallest path MTU that
+/// is common.
 inline constexpr std::size_t maxDatagramBytes = 1200;
 
-/// Kinds of messages, counted from 0 over all vocabularies.
+/// Number of message kinds; kinds are numbered from 0 across the three message variants.
 inline constexpr std::size_t peerMessageKindCount
     = std::variant_size_v<
           FleetMessage> + std::variant_size_v<KeyMessage> + std::variant_size_v<BalancerMessage>;
 
-/// Which kind a message is, below peerMessageKindCount.
+/// Returns the kind of a message, which is below peerMessageKindCount.
 std::size_t peerMessageKind(const PeerMessage &message);
 
-/// The name of a kind, as metrics show it.
+/// Returns the name of a kind, as the metrics show it.
 std::string_view peerMessageKindName(std::size_t kind);
 
-/// Packs one message as it stands in a datagram: [type, body].
+/// Packs one message in the form that a datagram contains: [type, body].
 std::string packPeerMessage(const PeerMessage &message);
 
-/// Seals packed messages of one node into datagrams.
+/// Encodes packed messages of one node into authenticated datagrams.
 class DatagramEncoder
 {
 public:
     DatagramEncoder(NodeId from, Incarnation incarnation, std::string fleetKey);
 
-    /// Bytes of packed messages that one datagram holds.
+    /// Returns how many bytes of packed messages fit into one datagram.
     std::size_t capacity() const;
 
-    /// One datagram of the packed messages. Larger than maxDatagramBytes where they exceed
-    /// capacity(); such a one travels by call.
+    /// Returns one datagram with the packed messages. It is larger than maxDatagramBytes if they
+    /// exceed capacity(); such a datagram is sent by an RPC call instead of UDP.
     std::string encode(std::span<const std::string> packedMessages) const;
 
 private:
@@ -60,10 +62,11 @@
     NodeId from;
     Incarnation incarnation = 0;
     std::vector<PeerMessage> messages;
-    std::uint32_t unknownMessageCount = 0; ///< Of a newer release; skipped.
+    std::uint32_t unknownMessageCount = 0; ///< Skipped; a newer release sent them.
 };
 
-/// Checks the encode, then reads the messages. Nothing of an unauthentic datagram is looked at.
+/// Verifies the authenticator, then parses the messages. A datagram that fails authentication isn't
+/// parsed.
 Expected<Datagram> decodeDatagram(std::string_view fleetKey, std::span<const std::byte> bytes);
 
 } // namespace berylridge
--- a/include/berylridge/Net/FileWatcher.h
+++ b/include/berylridge/Net/FileWatcher.h
@@ -1,4 +1,4 @@
-// Notices that a file was written, without the help of the system: some machines offer none.
+// Detects changes of a file by polling, because some machines have no file notification service.
 #pragma once
 
 #include "berylridge/Net/Asio.h"
@@ -10,17 +10,18 @@
 
 namespace berylridge {
 
-/// Looks at the file's time and size now and then. Lives on the context's thread.
+/// Polls the file's modification time and size. Runs on the context's thread.
 class FileWatcher
 {
 public:
-    /// Operators don't scheduleCheck for a change of settings that they don't signal.
+    /// Polling is fast enough: operators who need a change of settings at once send a signal.
     static constexpr std::chrono::milliseconds checkPeriod {2000};
 
     FileWatcher(asio::io_context &context, std::string path, std::function<void()> onChanged);
 
 private:
-    /// Equal as long as the file is the same; empty where it can't be looked at.
+    /// Returns a string that is the same while the file is unchanged, or an empty one if the file's
+    /// status can't be read.
     std::string readFingerprint() const;
     void scheduleCheck();
 
--- a/include/berylridge/Net/HttpClient.h
+++ b/include/berylridge/Net/HttpClient.h
@@ -1,4 +1,5 @@
-// Calls to one HTTP server, one after another on a kept connection: load polls, platform, nodes.
+// Sends HTTP calls to one server, one at a time on a persistent connection. Used for load polls and
+// for calls to the platform and to nodes.
 #pragma once
 
 #include "berylridge/Net/Asio.h"
@@ -17,13 +18,13 @@
 
 struct HttpReply
 {
-    std::optional<AttemptFailure> failure; ///< Why there is no answer.
+    std::optional<AttemptFailure> failure; ///< Why there is no response.
     unsigned status = 0;
     std::string body;
 };
 
-/// For calls that may be repeated: one that fails on a kept connection is sent once more on a new
-/// one. Lives on one thread.
+/// Only for calls that can be repeated safely: a call that fails on a reused connection is sent
+/// once more on a new one. Not thread-safe: runs on one thread.
 class HttpClient : public std::enable_shared_from_this<HttpClient>
 {
 public:
@@ -37,19 +38,20 @@
     void get(std::string_view target, Duration timeout, CompletionHandler done);
     void post(std::string_view target, std::string body, Duration timeout, CompletionHandler done);
 
-    /// Calls that are waiting or under way.
+    /// Returns the number of calls that are queued or in progress.
     std::size_t pending() const { return m_calls.size(); }
-    /// Drops all calls; none is answered.
+    /// Cancels all calls without calling their handlers.
     void close();
 
 private:
-    /// What operations under way refer to. They own it: one whose answer has already come when the
-    /// connection is given up still touches it after that.
+    /// The state that pending asynchronous operations use. They share its ownership, because an
+    /// operation whose response has already arrived when the connection is closed still accesses it
+    /// afterwards.
     struct Connection;
 
     struct Call
     {
-        std::shared_ptr<const StringRequest> request; ///< Shared with the write under way.
+        std::shared_ptr<const StringRequest> request; ///< Shared with the pending write.
         Duration timeout;
         CompletionHandler done;
         bool isRetried = false;
@@ -61,7 +63,7 @@
     void connect();
     void send();
     void receive();
-    /// An operation on the connection has ended: what comes next, unless it failed.
+    /// Handles the end of an operation on the connection: calls next, or handles the error.
     void onOperationDone(const std::shared_ptr<Connection> &connection, error_code error,
                          void (HttpClient::*next)());
     void closeConnection();
@@ -71,8 +73,8 @@
 
     asio::io_context &m_context;
     const Endpoint m_endpoint;
-    std::shared_ptr<Connection> m_connection; ///< Null where there is none.
-    bool m_hasServedCall = false;             ///< The connection has served a call before.
+    std::shared_ptr<Connection> m_connection; ///< Null if not connected.
+    bool m_hasServedCall = false;             ///< Whether the connection has served a call before.
     std::deque<Call> m_calls;
 };
 
--- a/include/berylridge/Net/LogSink.h
+++ b/include/berylridge/Net/LogSink.h
@@ -1,4 +1,4 @@
-// Writes numbered events to the log without ever making its callers wait.
+// Writes numbered events to the log without blocking its callers.
 #pragma once
 
 #include "berylridge/Support/LogEvent.h"
@@ -12,10 +12,10 @@
 
 namespace berylridge {
 
-/// A bounded queue before a writer thread, which turns records into lines of JSON. A reader of the
-/// log that is slow, or has stopped, blocks the writer alone. Records beyond the bound of the
-/// queue, and lines beyond the budget of lines and bytes a second, are dropped, counted by event,
-/// and told of in one line a second at most.
+/// A bounded queue and a writer thread, which formats records as lines of JSON. A log reader that
+/// is slow or has stopped blocks only the writer thread. Records that exceed the queue and lines
+/// that exceed the limits on lines and bytes per second are dropped, counted by event, and reported
+/// in at most one line per second.
 class LogSink
 {
 public:
@@ -23,31 +23,32 @@
 
     static constexpr std::size_t queueLimit = 4096;
 
-    /// write is called on the writer thread alone.
+    /// Calls write only on the writer thread.
     LogSink(LogLevel minLevel, Write write);
-    /// Writes what is queued, but waits no longer than a second for a reader that has stopped.
+    /// Writes the queued records, but waits at most one second for a log reader that has stopped.
     ~LogSink();
     LogSink(const LogSink &) = delete;
     LogSink &operator=(const LogSink &) = delete;
 
-    /// From any thread.
+    /// Queues a record. Thread-safe.
     void add(LogRecord record);
 
-    /// Records that were never written.
+    /// Returns the number of records that were dropped.
     std::uint64_t dropped() const;
 
 private:
     struct Shared;
 
     const LogLevel m_minLevel;
-    std::shared_ptr<Shared> m_shared; ///< With the writer, which may outlive a stuck write.
+    /// Shared with the writer thread, which outlives the sink if a write blocks.
+    std::shared_ptr<Shared> m_shared;
     std::thread m_writer;
 };
 
-/// A write function over log4cplus, to standard output.
+/// Returns a write function that uses log4cplus and writes to standard output.
 LogSink::Write log4cplusWriter();
 
-/// "debug" is not known: "info", "warning" or "error", as the settings have it.
+/// Converts "info", "warning" or "error", the levels of the settings. There is no "debug".
 LogLevel parseLogLevel(std::string_view name);
 
 } // namespace berylridge
--- a/include/berylridge/Net/Metrics.h
+++ b/include/berylridge/Net/Metrics.h
@@ -1,4 +1,5 @@
-// Counters and latency histograms of one process, in the Prometheus text format.
+// Keeps the counters and latency histograms of one process and prints them in the Prometheus text
+// format.
 #pragma once
 
 #include "berylridge/Net/Datagram.h"
@@ -15,7 +16,7 @@
 
 namespace berylridge {
 
-/// Latencies of requests in logarithmic buckets (Boost.Histogram); for any thread.
+/// Counts request latencies in logarithmic buckets (Boost.Histogram). Thread-safe.
 class LatencyHistogram
 {
 public:
@@ -24,7 +25,7 @@
 
     void add(Duration latency);
 
-    /// Appends the buckets, sum and count under the name.
+    /// Appends the buckets, the sum and the count under the name.
     void print(const std::string &name, const std::string &help, std::string &out) const;
 
 private:
@@ -32,27 +33,28 @@
     std::unique_ptr<Impl> m_impl;
 };
 
-/// Bytes and messages of one kind, in one direction.
+/// Counts messages and bytes of one kind in one direction.
 struct MessageCounter
 {
     std::atomic<std::uint64_t> messages {0};
     std::atomic<std::uint64_t> bytes {0};
 };
 
-/// Everything that /metrics shows but the core's own view.
+/// Holds every value that /metrics shows, except the core's own state.
 class Metrics
 {
 public:
     using Counter = std::atomic<std::uint64_t>;
 
-    std::array<Counter, 3> requestsByVerdict {}; ///< Indexed by Verdict: requests that ended.
+    std::array<Counter, 3> requestsByVerdict {}; ///< Requests that ended, indexed by Verdict.
     Counter requestsReceived {0};
     Counter callerDisconnects {0};
-    Counter requestsReadAfterDisconnect {
-        0}; ///< Of requests that were read when their caller had left.
+
+    /// Requests that were read after their caller had closed the connection.
+    Counter requestsReadAfterDisconnect {0};
     Counter connectionsAccepted {0};
     Counter acceptFailures {0};
-    Counter trafficLagMicroseconds {0}; ///< The last that a traffic thread reported.
+    Counter trafficLagMicroseconds {0}; ///< The latest value from any traffic thread.
     Counter connectionsOpen {0};
     Counter connectionsRejected {0};
     Counter attemptsStarted {0};
@@ -76,10 +78,10 @@
     LatencyHistogram firstByteLatency;
     LatencyHistogram requestLatency;
 
-    /// Counts a refusal under its problem type.
+    /// Counts a rejected request under its problem type.
     void addRefusal(const std::string &type);
 
-    /// controlCpuSeconds is the processor time of the control thread.
+    /// Prints all metrics. controlCpuSeconds is the processor time of the control thread.
     std::string print(double controlCpuSeconds) const;
 
 private:
--- a/include/berylridge/Net/RouterNode.h
+++ b/include/berylridge/Net/RouterNode.h
@@ -1,4 +1,5 @@
-// A router process around a decision core: sockets become events, actions become sockets.
+// A router process around a decision core. It turns socket input into events for the core and
+// carries out the core's actions on sockets.
 #pragma once
 
 #include "berylridge/Config/Settings.h"
@@ -18,7 +19,7 @@
 
 namespace berylridge {
 
-/// What the shell needs of a decision core.
+/// The interface of a decision core that the node uses.
 template <typename T>
 concept DecisionCore = requires(T &core, const T &constCore, const Event &event, TimePoint now,
                                 WallTime wall, Actions &actions)
@@ -29,7 +30,7 @@
         } -> std::same_as<TimePoint>;
 };
 
-/// A decision core as the shell holds it; the core itself must outlive it.
+/// Type-erased reference to a decision core, which must outlive it.
 struct CoreHandle
 {
     std::function<void(const Event &, TimePoint, WallTime, Actions &)> handle;
@@ -45,9 +46,9 @@
     }
 };
 
-/// Answers one JSON-RPC request of POST /rpc on the admin listener, on the control thread.
+/// Handles one JSON-RPC request of POST /rpc on the admin listener. Called on the control thread.
 using RpcHandler = std::function<std::string(std::string_view request, bool isOperator)>;
-/// Takes one entry of the audit trail, on the control thread.
+/// Receives one entry of the audit trail. Called on the control thread.
 using AuditHandler = std::function<void(const AuditEntry &entry)>;
 
 class RouterNode
@@ -57,22 +58,25 @@
     RouterNode(const RouterNode &) = delete;
     RouterNode &operator=(const RouterNode &) = delete;
 
-    /// Serves until the core says Stopped, or stop(). The calling thread is the control thread.
+    /// Serves until the core emits Stopped or stop() is called. The calling thread becomes the
+    /// control thread.
     void run();
 
-    /// From any thread: ends run() without waiting for requests.
+    /// Ends run() without waiting for requests. Thread-safe.
     void stop();
 
-    /// From any thread: one event for the core, such as an operator's LeaveOrdered.
+    /// Queues an event for the core, such as an operator's LeaveOrdered. Thread-safe.
     void post(Event event);
 
-    /// The control thread's, for parts that bring events of their own.
+    /// Returns the control thread's context, for components that produce events of their own.
     asio::io_context &context();
 
-    /// On the control thread only (from an RpcHandler): carried out before it returns.
+    /// Handles an event and carries out its actions before it returns. Only for the control thread,
+    /// for example in an RpcHandler.
     void handleNow(const Event &event);
 
-    /// Where it listens, with ports that the system chose where the settings say 0.
+    /// Return the addresses of the listeners, with the ports that the system chose if the settings
+    /// give 0.
     Endpoint callers() const;
     Endpoint peers() const;
     Endpoint admin() const;
@@ -95,17 +99,19 @@
     RouterNodeBuilder &core(CoreHandle core);
     RouterNodeBuilder &rpc(RpcHandler handler);
     RouterNodeBuilder &audit(AuditHandler handler);
-    /// How requests and answers look; the product's own protocol unless given.
+    /// Sets the format of requests and responses; the default is the native protocol.
     RouterNodeBuilder &protocol(WireProtocolHandle protocol);
-    /// What begins (true) or ceases to read the platform's state when the core says so, on the
-    /// control thread; the product's own watch of documents and VM list unless given.
+    /// Sets a function that starts (true) or stops (false) reading the platform's state when the
+    /// core requests it. It is called on the control thread. The default reads the documents and
+    /// the VM list with PlatformWatcher.
     RouterNodeBuilder &platformReader(std::function<void(bool)> reader);
-    /// What SIGHUP calls, on the control thread; without it SIGHUP is ignored.
+    /// Sets the function that SIGHUP calls on the control thread; without it SIGHUP is ignored.
     RouterNodeBuilder &reload(std::function<void()> reload);
-    /// Whether SIGTERM and SIGINT order a planned stop, and a second one ends the process.
+    /// Sets whether SIGTERM and SIGINT start a planned stop, where a second signal ends the
+    /// process.
     RouterNodeBuilder &handlesSignals(bool isHandling);
 
-    /// Fails where a listener can't be opened.
+    /// Fails if a listener can't be opened.
     Expected<std::unique_ptr<RouterNode>> build();
 
 private:
--- a/lib/Admin/AdminApi.cpp
+++ b/lib/Admin/AdminApi.cpp
@@ -1,4 +1,5 @@
-// The JSON-RPC methods, and the connector that carries a request from a string into a string.
+// Implements the JSON-RPC methods, and a connector that takes a request and returns a response as
+// strings.
 #include "berylridge/Admin/AdminApi.h"
 
 #include "StatusJson.h"
@@ -73,8 +74,8 @@
 
 } // namespace
 
-/// libjsonrpccpp's HTTP connectors in Debian run threads of their own and block; this one is handed
-/// a body by whoever read it.
+/// Passes request bodies to the library. The HTTP connectors of libjsonrpccpp in Debian use threads
+/// of their own and block, so the HTTP server of the node receives the requests instead.
 class AdminApi::Connector : public jsonrpc::AbstractServerConnector
 {
 public:
@@ -113,7 +114,8 @@
 
     void recordRejectedCall()
     {
-        m_hooks.log({LogEventId::OperatorRejected, "a call without the operators' key"});
+        m_hooks.log(
+            {LogEventId::OperatorRejected, "rejected a call without a valid operators' key"});
         m_trail.appendRead(makeAuditEntry("unknown", "rejected"));
     }
 
@@ -122,7 +124,7 @@
     {
         [[maybe_unused]] const bool isNew = bindAndAddMethod(
             jsonrpc::Procedure(name, jsonrpc::PARAMS_BY_NAME, result, nullptr), method);
-        assert(isNew && "two methods of one name");
+        assert(isNew && "duplicate method name");
     }
 
     Json::Value resultWithNode() const
@@ -152,7 +154,8 @@
         m_trail.appendRead(makeAuditEntry(operatorNameOf(parameters), what));
     }
 
-    /// Changes are logged too: the log leaves the VM, the trail does so only when it is gathered.
+    /// Changes are also logged, because the log leaves the VM, while the trail does so only when it
+    /// is collected.
     std::string auditChange(const Json::Value &parameters, const std::string &what)
     {
         auto who = operatorNameOf(parameters);
@@ -200,7 +203,8 @@
                                     maxAuditPageEntries);
         result = auditValue(m_trail.after(after, limit));
         result["node"] = m_hooks.node.str();
-        // After the page was made: a reader that goes on would else always find its own last call.
+        // The call is recorded after the page was built; otherwise a reader that resumes would
+        // always receive its own last call.
         auditRead(parameters, "audit");
     }
 
@@ -249,7 +253,7 @@
     try {
         return m_connector->handleRequest(std::string(request));
     } catch (const std::exception &) {
-        // jsoncpp throws on deep nesting and where the library takes a member for what it isn't.
+        // jsoncpp throws on deep nesting and when the library uses a member as the wrong type.
         return errorBody(jsonrpc::Errors::ERROR_RPC_INVALID_REQUEST, "not a JSON-RPC 2.0 request");
     }
 }
--- a/lib/Admin/AuditTrail.cpp
+++ b/lib/Admin/AuditTrail.cpp
@@ -1,4 +1,4 @@
-// Two rings under one numbering.
+// Keeps two bounded buffers of entries that share one sequence.
 #include "berylridge/Admin/AuditTrail.h"
 
 #include <algorithm>
--- a/lib/Admin/OperatorsKey.cpp
+++ b/lib/Admin/OperatorsKey.cpp
@@ -1,4 +1,4 @@
-// Checks the operators' key by its digest.
+// Verifies the operators' key against its digest.
 #include "berylridge/Admin/AdminApi.h"
 #include "berylridge/Support/Hash.h"
 
--- a/lib/Admin/RpcClient.cpp
+++ b/lib/Admin/RpcClient.cpp
@@ -1,4 +1,4 @@
-// The only file that includes libjsonrpccpp's client; compiled as C++14 (see the header).
+// The only file that includes libjsonrpccpp's client; it is compiled as C++14 (see the header).
 #include "berylridge/Admin/RpcClient.h"
 
 #include <jsonrpccpp/client.h>
@@ -15,8 +15,8 @@
     {
     }
 
-    /// Keeps the transport's failure: the base class allows but one kind of exception here, and the
-    /// library would put its own prefix before ours.
+    /// Stores the transport's failure instead of throwing it: the base class permits only one
+    /// exception type, whose message the library would prefix with its own text.
     void SendRPCMessage(const std::string &message, std::string &result) noexcept override // NOLINT
     {
         try {
@@ -36,8 +36,8 @@
     std::string m_failure;
 };
 
-/// The message without the library's own prefix for its code, which it puts before ours at both
-/// ends.
+/// Returns the message without the text for its error code, which the library prepends at both ends
+/// of the call.
 std::string messageWithoutPrefix(const jsonrpc::JsonRpcException &error)
 {
     std::string message = error.GetMessage();
--- a/lib/Admin/StatusJson.cpp
+++ b/lib/Admin/StatusJson.cpp
@@ -1,4 +1,4 @@
-// Field by field, so that a change of a struct is a choice about the API.
+// Converts structs member by member, so that a new member isn't added to the API by accident.
 #include "StatusJson.h"
 
 #include "berylridge/Config/JsonArray.h"
--- a/lib/Admin/StatusJson.h
+++ b/lib/Admin/StatusJson.h
@@ -1,4 +1,5 @@
-// What the administration API gives back, as JSON. Names are those of the structs.
+// Converts the results of the administration API to JSON. Names in JSON are those of the struct
+// members.
 #pragma once
 
 #include "berylridge/Admin/AuditTrail.h"
--- a/lib/Net/AdminHttpServer.h
+++ b/lib/Net/AdminHttpServer.h
@@ -1,4 +1,4 @@
-// The operators' listener: health checks, metrics and JSON-RPC.
+// Serves the operators' listener: health checks, metrics and JSON-RPC.
 #pragma once
 
 #include "HttpListener.h"
@@ -11,7 +11,7 @@
 
 namespace berylridge {
 
-/// Lives on the control thread.
+/// Runs on the control thread.
 class AdminHttpServer
 {
 public:
@@ -19,7 +19,7 @@
     {
         std::function<bool()> isReady;
         std::function<std::string()> metrics;
-        RpcHandler rpc; ///< May be empty.
+        RpcHandler rpc; ///< Optional.
         std::string operatorsKeyDigest;
     };
 
--- a/lib/Net/Base64.cpp
+++ b/lib/Net/Base64.cpp
@@ -10,7 +10,7 @@
     std::string text(sodium_base64_encoded_len(bytes.size(), variant), '\0');
     sodium_bin2base64(text.data(), text.size(),
                       reinterpret_cast<const unsigned char *>(bytes.data()), bytes.size(), variant);
-    text.pop_back(); // The terminating zero.
+    text.pop_back(); // Removes the terminating null character.
     return text;
 }
 
--- a/lib/Net/ControlLoop.cpp
+++ b/lib/Net/ControlLoop.cpp
@@ -30,13 +30,13 @@
 {
     ++m_metrics.controlEvents;
     m_core.handle(event, m_clock.now(), m_clock.wallNow(), m_actions);
-    // An action may lead to another event at once, whose actions must come after these.
+    // An action can cause another event immediately, whose actions must run after these.
     Actions actions = std::exchange(m_actions, {});
     for (Action &action : actions)
         m_onAction(action);
     actions.clear();
     if (m_actions.empty())
-        m_actions = std::move(actions); // Keeps the memory.
+        m_actions = std::move(actions); // Reuses the allocated memory.
 }
 
 void ControlLoop::endIteration()
@@ -47,12 +47,13 @@
 
 void ControlLoop::armTimer()
 {
-    // A time far off, as of a core that waits for nothing, doesn't fit the steady clock's units.
+    // A distant time, such as that of a core without a timer, would overflow the units of the
+    // steady clock.
     const TimePoint deadline = std::min(m_core.nextTimer(), m_clock.now() + maxTimerWait);
     if (m_armedDeadline == deadline)
         return;
     m_armedDeadline = deadline;
-    // The core's time is that of the steady clock.
+    // The core uses the time of the steady clock.
     m_timer.expires_at(std::chrono::steady_clock::time_point(deadline.time_since_epoch()));
     m_timer.async_wait([this](error_code error) {
         if (error)
--- a/lib/Net/ControlLoop.h
+++ b/lib/Net/ControlLoop.h
@@ -1,4 +1,5 @@
-// Feeds the decision core, one event at a time on the control thread, and hands out its actions.
+// Passes events to the decision core, one at a time on the control thread, and forwards its
+// actions.
 #pragma once
 
 #include "Mailbox.h"
@@ -18,15 +19,17 @@
 public:
     using ActionHandler = std::function<void(Action &)>;
 
-    /// endIteration is called after all actions that came of one wake-up.
+    /// endIteration is called once after all actions that result from one wake-up of the event
+    /// loop.
     ControlLoop(asio::io_context &context, CoreHandle core, Metrics &metrics,
                 ActionHandler onAction, std::function<void()> endIteration);
 
-    /// From any thread.
+    /// Queue events for the control thread. Thread-safe.
     void post(Event event) { m_mailbox.put(std::move(event)); }
     void postAll(std::vector<Event> &events) { m_mailbox.putAll(events); }
 
-    /// On the control thread; endIteration() must follow.
+    /// Passes one event to the core. Only for the control thread, which must call endIteration()
+    /// afterwards.
     void handle(const Event &event);
     void endIteration();
 
--- a/lib/Net/Datagram.cpp
+++ b/lib/Net/Datagram.cpp
@@ -12,12 +12,13 @@
 namespace {
 
 constexpr std::uint32_t datagramFormatVersion = 1;
-/// Fleet messages are numbered from 0 and the other lists from here, so that each list can grow.
+/// Fleet messages are numbered from 0, the other variants from here, so that each can grow.
 constexpr std::uint32_t firstKeyType = 100;
 constexpr std::uint32_t firstBalancerType = 200;
-/// Largest heads of the arrays and numbers around the packed messages, the node's name apart.
+/// Maximum size of the array and number headers around the packed messages, without the node's
+/// name.
 constexpr std::size_t maxEnvelopeBytes = 32;
-/// Bounds what a datagram's own length fields can make the reader allocate.
+/// These limit what the length fields of a datagram can make the parser allocate.
 constexpr std::size_t maxListElements = 1 << 16;
 constexpr std::size_t maxTextBytes = 8 << 20;
 constexpr std::size_t maxNestingDepth = 16;
@@ -26,8 +27,8 @@
 constexpr std::size_t keyKindCount = std::variant_size_v<KeyMessage>;
 constexpr std::size_t balancerKindCount = std::variant_size_v<BalancerMessage>;
 
-/// A type's name without its namespace, as the compiler gives it: a list of names by hand would
-/// have to follow each change of the vocabularies.
+/// Returns the name of a type without its namespace, as the compiler prints it. A hand-written list
+/// of names would have to be updated with every change of the message variants.
 template <typename T>
 constexpr std::string_view typeName()
 {
@@ -37,6 +38,50 @@
     return text.substr(begin, text.find_first_of(";]", begin) - begin);
 }
 
+/// The metrics' label `kind` shows these names, so a type whose name in code changes keeps its name
+/// there.
+template <>
+constexpr std::string_view typeName<TargetObservation>()
+{
+    return "TargetNews";
+}
+
+template <>
+constexpr std::string_view typeName<PoolUsage>()
+{
+    return "PoolService";
+}
+
+template <>
+constexpr std::string_view typeName<CrashReport>()
+{
+    return "CrashNews";
+}
+
+template <>
+constexpr std::string_view typeName<CatalogUpdate>()
+{
+    return "CatalogNews";
+}
+
+template <>
+constexpr std::string_view typeName<PlacementUpdate>()
+{
+    return "PlacementNews";
+}
+
+template <>
+constexpr std::string_view typeName<RosterUpdate>()
+{
+    return "RosterNews";
+}
+
+template <>
+constexpr std::string_view typeName<RosterProposalReply>()
+{
+    return "RosterConsent";
+}
+
 template <typename MessageVariant, std::size_t... Indices>
 constexpr auto typeNames(std::index_sequence<Indices...>)
 {
@@ -86,7 +131,8 @@
     return nullptr;
 }
 
-/// The elements of an array of at minSize so many; throws msgpack::type_error otherwise.
+/// Returns the elements of an array that has at least minSize of them; throws msgpack::type_error
+/// otherwise.
 std::span<const msgpack::object> arrayOf(const msgpack::object &object, std::size_t minSize)
 {
     if (object.type != msgpack::type::ARRAY || object.via.array.size < minSize)
@@ -118,14 +164,14 @@
             = msgpack::unpack(text.data(), text.size(), offset, nullptr, nullptr, limit);
         const auto parts = arrayOf(handle.get(), 4);
         if (parts[0].as<std::uint32_t>() != datagramFormatVersion)
-            return Reason {"datagram of an unknown format"};
+            return Reason {"datagram has an unknown format version"};
         Datagram datagram;
         datagram.from = NodeId(parts[1].as<std::string>());
         datagram.incarnation = parts[2].as<Incarnation>();
         parseMessages(parts[3], datagram);
         return datagram;
     } catch (const std::exception &error) {
-        return Reason {std::string("datagram can't be read: ") + error.what()};
+        return Reason {std::string("datagram is malformed: ") + error.what()};
     }
 }
 
@@ -142,7 +188,7 @@
 
 std::string_view peerMessageKindName(std::size_t kind)
 {
-    assert(kind < peerMessageKindCount && "no such kind of message");
+    assert(kind < peerMessageKindCount && "no message kind has this number");
     if (kind < fleetKindCount)
         return fleetNames[kind];
     kind -= fleetKindCount;
@@ -209,10 +255,10 @@
 Expected<Datagram> decodeDatagram(std::string_view fleetKey, std::span<const std::byte> bytes)
 {
     if (bytes.size() <= authenticatorSize)
-        return Reason {"datagram is too short"};
+        return Reason {"datagram is shorter than its authenticator"};
     const auto body = bytes.first(bytes.size() - authenticatorSize);
     if (!isAuthentic(fleetKey, body, bytes.last<authenticatorSize>()))
-        return Reason {"datagram fails authentication"};
+        return Reason {"datagram failed authentication"};
     return parseEnvelope(body);
 }
 
--- a/lib/Net/DeliverRpcServer.cpp
+++ b/lib/Net/DeliverRpcServer.cpp
@@ -7,7 +7,7 @@
 
 namespace berylridge {
 
-/// The library's server connector over whatever reads the requests.
+/// Implements the library's server connector for requests that the peer listener has read.
 class DeliverRpcServer::Connector : public jsonrpc::AbstractServerConnector
 {
 public:
--- a/lib/Net/DeliverRpcServer.h
+++ b/lib/Net/DeliverRpcServer.h
@@ -1,4 +1,5 @@
-// The JSON-RPC method "deliver", by which nodes send what is too large for a datagram.
+// Serves the JSON-RPC method "deliver", with which nodes send messages that are too large for a
+// datagram.
 #pragma once
 
 #include <functional>
@@ -10,11 +11,11 @@
 class DeliverRpcServer
 {
 public:
-    /// Called with the bytes of each sealed datagram; they are not yet authenticated.
+    /// Calls deliver with the bytes of each datagram, whose authenticator isn't verified yet.
     explicit DeliverRpcServer(std::function<void(const std::string &)> deliver);
     ~DeliverRpcServer();
 
-    /// Takes in the body of one POST /rpc; the answer's body.
+    /// Handles the body of one POST /rpc and returns the response's body.
     std::string handle(const std::string &request);
 
 private:
@@ -24,7 +25,7 @@
     std::unique_ptr<Methods> m_methods;
 };
 
-/// The parameter of "deliver": base64 of a sealed datagram.
+/// The method, and its parameter: a datagram in base64.
 inline constexpr const char *deliverMethod = "deliver";
 inline constexpr const char *deliverParameter = "datagram";
 
--- a/lib/Net/FileWatcher.cpp
+++ b/lib/Net/FileWatcher.cpp
@@ -34,7 +34,7 @@
         if (error)
             return;
         std::string current = readFingerprint();
-        // A file that is just being replaced is looked at again in a moment.
+        // The fingerprint is empty while the file is being replaced; the next check reads it again.
         if (!current.empty() && std::exchange(m_fingerprint, current) != current)
             m_onChanged();
         scheduleCheck();
--- a/lib/Net/HttpClient.cpp
+++ b/lib/Net/HttpClient.cpp
@@ -129,7 +129,7 @@
                                  void (HttpClient::*next)())
 {
     if (m_connection != connection || m_calls.empty())
-        return; // It was given up meanwhile.
+        return; // The connection was closed meanwhile.
     if (error)
         onFailure(failureOf(error));
     else
@@ -146,7 +146,7 @@
 {
     closeConnection();
     const bool hadServedCall = std::exchange(m_hasServedCall, false);
-    // The server may have closed a kept connection just as the call was sent.
+    // The server may have closed the reused connection while the call was being sent.
     if (hadServedCall && failure == AttemptFailure::Reset && !m_calls.front().isRetried) {
         m_calls.front().isRetried = true;
         startCall();
@@ -171,7 +171,7 @@
 {
     const auto done = std::move(m_calls.front().done);
     m_calls.pop_front();
-    const auto self = shared_from_this(); // done() may close this client.
+    const auto self = shared_from_this(); // Keeps this client alive if done() closes it.
     if (!m_calls.empty())
         startCall();
     done(std::move(reply));
--- a/lib/Net/JsonRpcClient.cpp
+++ b/lib/Net/JsonRpcClient.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// The library's connector interface over a function that sends.
+/// Implements the library's connector interface with a function that sends a message.
 class FunctionConnector : public jsonrpc::IClientConnector
 {
 public:
--- a/lib/Net/LogLine.h
+++ b/lib/Net/LogLine.h
@@ -1,4 +1,4 @@
-// How a log record is written: one JSON object a line.
+// Formats a log record as one JSON object on one line.
 #pragma once
 
 #include "berylridge/Support/LogEvent.h"
@@ -8,8 +8,8 @@
 
 namespace berylridge {
 
-/// The record as one line of JSON without its end: `time` (UTC), `level`, `event` (its number) and
-/// `name`, then `request`, `detail` and the record's fields where it has them.
+/// Returns the record as one line of JSON without a line end: `time` (UTC), `level`, `event` (its
+/// number) and `name`, then `request`, `detail` and the record's fields if present.
 std::string formatLogLine(const LogRecord &record, WallTime time);
 
 } // namespace berylridge
--- a/lib/Net/LogSink.cpp
+++ b/lib/Net/LogSink.cpp
@@ -24,7 +24,7 @@
 namespace {
 
 constexpr std::chrono::seconds closeTimeout {1};
-/// Between lines that tell of dropped ones.
+/// Minimum time between lines that report dropped records.
 constexpr Duration dropReportPeriod = std::chrono::seconds(1);
 
 log4cplus::LogLevel log4cplusLevel(LogLevel level)
@@ -51,7 +51,8 @@
         WallTime time;
     };
 
-    /// The waitForEntry record to write; nothing once the sink closes and all is written.
+    /// Waits for the next record to write. Returns nothing once the sink is closing and the queue
+    /// is empty.
     std::optional<Entry> waitForEntry()
     {
         std::unique_lock lock(mutex);
@@ -69,8 +70,8 @@
         ++unreportedDrops[id];
     }
 
-    /// What was dropped since this was last asked, as a record; nothing where it was nothing, or
-    /// too short a time ago.
+    /// Returns a record that counts the drops since the previous report, or nothing if there were
+    /// none or the previous report is too recent.
     std::optional<LogRecord> takeDropReport(TimePoint now)
     {
         const std::lock_guard lock(mutex);
@@ -83,7 +84,7 @@
         return record;
     }
 
-    /// Writes records until the sink closes.
+    /// Writes records until the sink is closed.
     void writeAll();
 
     Write write;
@@ -145,7 +146,7 @@
     if (isDone)
         m_writer.join();
     else
-        m_writer.detach(); // Stuck in a write that the log's reader doesn't take.
+        m_writer.detach(); // The writer is blocked because the log's reader has stopped.
 }
 
 void LogSink::add(LogRecord record)
--- a/lib/Net/PeerTransport.cpp
+++ b/lib/Net/PeerTransport.cpp
@@ -14,7 +14,7 @@
 constexpr std::chrono::seconds idleSweepPeriod {10};
 constexpr std::chrono::seconds rejectionLogPeriod {1};
 constexpr std::uint64_t maxCallBodyBytes = 16 << 20;
-/// Datagrams of one wake-up; timers and operators have their turn between.
+/// Maximum number of datagrams per wake-up, so that timers and operators' calls run in between.
 constexpr int maxDatagramsPerWakeUp = 64;
 constexpr int socketBufferBytes = 1 << 20;
 
@@ -56,8 +56,9 @@
     if (!error)
         m_socket.non_blocking(true, error);
     if (error)
-        return endpoint.address + ": can't receive datagrams: " + error.message();
-    error_code ignored; // A smaller buffer loses datagrams of a burst, which the next round heals.
+        return endpoint.address + ": can't open the UDP socket: " + error.message();
+    // A smaller buffer loses datagrams of a burst; the next gossip round repeats their state.
+    error_code ignored;
     m_socket.set_option(asio::socket_base::receive_buffer_size(socketBufferBytes), ignored);
     receive();
     closeIdleClients();
@@ -85,7 +86,7 @@
         if (error == asio::error::would_block)
             return;
         if (error)
-            continue; // An earlier datagram's port was closed; not this socket's fault.
+            continue; // The port of an earlier destination was closed; this socket still works.
         ++m_metrics.datagramsReceived;
         m_metrics.datagramBytesReceived += size;
         receiveDatagram(std::span(m_receiveBuffer).first(size));
@@ -111,14 +112,14 @@
 {
     ++m_metrics.datagramsRejected;
     ++m_rejectedSinceLog;
-    // Anyone can send such datagrams; a line for each would let them fill the log.
+    // Anyone can send such datagrams, so one line for each of them could fill the log.
     const auto now = std::chrono::steady_clock::now();
     if (now - m_lastRejectionLogAt < rejectionLogPeriod)
         return;
     m_lastRejectionLogAt = now;
     m_callbacks.log({LogEventId::DatagramRejected,
                      reason + ", " + std::to_string(std::exchange(m_rejectedSinceLog, 0))
-                         + " since the last line"});
+                         + " rejected since the last line"});
 }
 
 void PeerTransport::send(const SendToNode &action)
@@ -167,7 +168,7 @@
     if (!socketAddress)
         return;
     const std::string encoded = m_encoder.encode(messages);
-    error_code ignored; // A lost datagram heals with the next.
+    error_code ignored; // The next message makes up for a lost datagram.
     m_socket.send_to(asio::buffer(encoded), *socketAddress, 0, ignored);
     ++m_metrics.datagramsSent;
     m_metrics.datagramBytesSent += encoded.size();
--- a/lib/Net/PeerTransport.h
+++ b/lib/Net/PeerTransport.h
@@ -1,4 +1,5 @@
-// Messages to and from other nodes: datagrams, calls for what is too large for one, and probes.
+// Exchanges messages with other nodes by datagrams, and by RPC calls for messages that are too
+// large for one, and probes nodes.
 #pragma once
 
 #include "DeliverRpcServer.h"
@@ -28,14 +29,14 @@
     std::string fleetKey;
 };
 
-/// Lives on the control thread.
+/// Runs on the control thread.
 class PeerTransport
 {
 public:
     struct Callbacks
     {
-        std::function<void(Event)> onEvent; ///< Called once for each event...
-        std::function<void()> endIteration; ///< ...and once after those of one wake-up.
+        std::function<void(Event)> onEvent; ///< Called once for each event.
+        std::function<void()> endIteration; ///< Called once after the events of one wake-up.
         std::function<void(LogRecord)> log;
     };
 
@@ -45,12 +46,12 @@
     PeerTransport(const PeerTransport &) = delete;
     PeerTransport &operator=(const PeerTransport &) = delete;
 
-    /// Opens the datagram socket and the listener for calls on the same port. Empty where it
-    /// listens, else why it can't.
+    /// Opens the UDP socket and the RPC listener on the same port. Returns an empty string on
+    /// success, otherwise the reason of the failure.
     std::string listen(const Endpoint &endpoint);
     Endpoint endpoint() const { return m_callListener.endpoint(); }
 
-    /// Kept until flush(), so that messages to one node share datagrams.
+    /// Queues a message until flush(), so that messages to the same node share datagrams.
     void send(const SendToNode &action);
     void flush();
     void probe(const ProbeNode &action);
--- a/lib/Net/PlatformWatcher.cpp
+++ b/lib/Net/PlatformWatcher.cpp
@@ -96,7 +96,7 @@
 
 void LongPoller::start()
 {
-    // Readers of a fleet begin at different endpoints, so that one doesn't carry them all.
+    // Readers start at random endpoints, so that the load of the fleet is spread over all of them.
     m_endpointIndex = m_random() % m_endpoints.size();
     poll();
 }
@@ -114,7 +114,7 @@
     if (!m_client)
         m_client = std::make_shared<HttpClient>(m_context, m_endpoints[m_endpointIndex]);
     ++m_metrics.platformCalls;
-    // Without a revision the endpoint is asked for what there is now.
+    // Without a revision the endpoint returns its current state immediately.
     const int wait = m_revision == 0 ? 0 : longPollSeconds;
     m_client->get(m_path + "?since=" + std::to_string(m_revision) + "&wait=" + std::to_string(wait),
                   callTimeout, [weak = weak_from_this()](const HttpReply &reply) {
@@ -136,12 +136,13 @@
         onFailure();
         return;
     }
-    const auto revision = m_handlers.onEvent(reply.body);
+    const auto revision = m_handlers.onBody(reply.body);
     if (!revision) {
         onFailure();
         return;
     }
-    // An endpoint that answers at once with what it said before must not be asked without a pause.
+    // An endpoint that immediately repeats its previous response is polled again only after a
+    // delay.
     const bool hasChanged = *revision != m_revision;
     m_revision = *revision;
     m_consecutiveFailures = 0;
@@ -168,7 +169,7 @@
 {
     const unsigned failedPasses = std::min<unsigned>(m_consecutiveFailures / m_endpoints.size(), 6);
     const Duration backoff = std::min(maxBackoff, minBackoff * (1 << failedPasses));
-    // Jitter, so that the readers of all zones don't come back in step after an outage.
+    // Jitter keeps the readers of all zones from polling in step after an outage.
     const double jitter = 0.5 + 0.5 * uniform(m_random);
     m_timer.expires_after(fromSeconds(toSeconds(backoff) * jitter));
     m_timer.async_wait([weak = weak_from_this()](error_code error) {
@@ -210,7 +211,8 @@
         return;
     m_reportedVersions.clear();
     const auto onReachable = [this] { m_onEvent(PlatformReachability {true}); };
-    // The VM list alone failing is no outage: documents say what is in force.
+    // A failure of the VM list alone isn't reported as an outage, because the documents determine
+    // the active configuration.
     m_documentPoller = std::make_shared<LongPoller>(
         m_context, m_endpoints, "/v1/documents", ++m_seed, m_metrics,
         LongPoller::Handlers {[this](const std::string &body) { return handleDocuments(body); },
@@ -239,7 +241,7 @@
     if (!response)
         return std::nullopt;
     for (DocumentText &document : response->documents) {
-        // Each response holds all documents; only those that changed are news to the core.
+        // Each response contains all documents; the core receives only those whose version changed.
         DocumentVersion &reportedVersion = m_reportedVersions[document.name];
         if (std::exchange(reportedVersion, document.version) != document.version)
             m_onEvent(DocumentArrived {std::move(document)});
--- a/lib/Net/PlatformWatcher.h
+++ b/lib/Net/PlatformWatcher.h
@@ -1,4 +1,4 @@
-// Watches the platform's documents and VM list by long polls, one connection each.
+// Watches the platform's documents and VM list with long polls, each on a connection of its own.
 #pragma once
 
 #include "berylridge/Net/Asio.h"
@@ -18,7 +18,7 @@
 
 namespace berylridge {
 
-/// Reads the answer to GET /v1/documents; nothing where it is not one.
+/// Parses the response to GET /v1/documents; returns nothing if it is invalid.
 struct DocumentsResponse
 {
     std::uint64_t revision = 0;
@@ -26,19 +26,19 @@
 };
 std::optional<DocumentsResponse> parseDocumentsResponse(const std::string &body);
 
-/// Reads the answer to GET /v1/vms.
+/// Parses the response to GET /v1/vms; returns nothing if it is invalid.
 std::optional<VmList> parseVmListResponse(const std::string &body);
 
-/// One long poll after another, over the endpoints in turn.
+/// Sends one long poll after another; an endpoint that fails is replaced by the next one.
 class LongPoller : public std::enable_shared_from_this<LongPoller>
 {
 public:
     struct Handlers
     {
-        /// Takes in a new answer; its revision, or nothing where it can't be read.
-        std::function<std::optional<std::uint64_t>(const std::string &body)> onEvent;
-        std::function<void()> onReachable;   ///< Any proper answer.
-        std::function<void()> onUnreachable; ///< No endpoint has answered in a whole round.
+        /// Handles a new response. Returns its revision, or nothing if it can't be parsed.
+        std::function<std::optional<std::uint64_t>(const std::string &body)> onBody;
+        std::function<void()> onReachable;   ///< Called for each valid response.
+        std::function<void()> onUnreachable; ///< Called when every endpoint has failed in turn.
     };
 
     LongPoller(asio::io_context &context, const std::vector<Endpoint> &endpoints, std::string path,
@@ -60,14 +60,15 @@
     Handlers m_handlers;
     asio::steady_timer m_timer;
     RandomEngine m_random;
-    std::shared_ptr<HttpClient> m_client; ///< For the current endpoint.
+    std::shared_ptr<HttpClient> m_client; ///< Connected to the current endpoint.
     std::size_t m_endpointIndex = 0;
-    std::uint64_t m_revision = 0; ///< Of the current endpoint; another one may count differently.
-    unsigned m_consecutiveFailures = 0; ///< In a row.
+    /// The revision of the current endpoint; other endpoints may count differently.
+    std::uint64_t m_revision = 0;
+    unsigned m_consecutiveFailures = 0;
     bool m_isStopped = false;
 };
 
-/// Lives on the control thread.
+/// Runs on the control thread.
 class PlatformWatcher
 {
 public:
@@ -93,7 +94,7 @@
     std::shared_ptr<LongPoller> m_documentPoller;
     std::shared_ptr<LongPoller> m_vmListPoller;
     std::map<std::string, DocumentVersion>
-        m_reportedVersions; ///< Passed on since this watch began.
+        m_reportedVersions; ///< Versions that the core has received since start().
 };
 
 } // namespace berylridge
--- a/lib/Net/RouterNode.cpp
+++ b/lib/Net/RouterNode.cpp
@@ -21,7 +21,7 @@
 
 namespace {
 
-/// Part of the descriptors that callers' connections may use; the rest is for targets and nodes.
+/// Fraction of the file descriptors for callers' connections; the rest is for targets and nodes.
 constexpr double callerDescriptorFraction = 0.6;
 
 std::string requestIdPrefix(const Settings &settings, Incarnation incarnation)
@@ -48,7 +48,7 @@
     return options;
 }
 
-/// Processor time of the calling thread.
+/// Returns the processor time of the calling thread.
 double threadCpuSeconds()
 {
     timespec used {};
@@ -75,7 +75,7 @@
     Impl(const Impl &) = delete;
     Impl &operator=(const Impl &) = delete;
 
-    /// Empty where all listeners are openListeners, else why one is not.
+    /// Returns an empty string if all listeners are open, otherwise why one of them is not.
     std::string openListeners(const Settings &settings);
     void handleSignals(std::function<void()> reload);
     void run();
@@ -99,7 +99,7 @@
     void operator()(const Log &action) { m_log.add(action.record); }
     void operator()(const Audit &action);
 
-    Metrics m_metrics; // NOLINT: used by the face
+    Metrics m_metrics; // NOLINT: RouterNode reads it
     CallerListener &listener() { return *m_listener; }
     PeerTransport &peers() { return m_peers; }
     void setPlatformReader(std::function<void(bool)> reader)
@@ -115,7 +115,8 @@
     void waitForSignal();
     std::string printMetrics();
 
-    // The order matters: what stands below uses what stands above while it is destroyed.
+    // Members are destroyed in reverse sendCommand, and the later ones use the earlier ones until
+    // then.
     asio::io_context m_context {1};
     LogSink &m_log;
     AuditHandler m_audit;
@@ -166,7 +167,7 @@
 {
     for (const auto &thread : m_threads)
         thread->stop();
-    // The listener lives on the first thread's context, which has stopped.
+    // The listener uses the context of the first thread, which has stopped by now.
     m_listener.reset();
     m_threads.clear();
 }
@@ -196,7 +197,7 @@
 void RouterNode::Impl::handleSignals(std::function<void()> reload)
 {
     m_reload = std::move(reload);
-    // A log reader that has gone must not end the process at the next line.
+    // The next log line after the log's reader has exited must not terminate the process.
     std::signal(SIGPIPE, SIG_IGN);
     m_signals.add(SIGTERM);
     m_signals.add(SIGINT);
@@ -412,8 +413,8 @@
 
 Expected<std::unique_ptr<RouterNode>> RouterNodeBuilder::build()
 {
-    assert(m_core.handle && m_core.nextTimer && "a node needs a core");
-    assert(m_settings.trafficThreads > 0 && "a node needs a traffic thread");
+    assert(m_core.handle && m_core.nextTimer && "a node requires a decision core");
+    assert(m_settings.trafficThreads > 0 && "a node requires at least one traffic thread");
     auto impl = std::make_unique<RouterNode::Impl>(m_settings, m_incarnation, m_log, m_core, m_rpc,
                                                    m_audit, m_protocol);
     std::string reason = impl->openListeners(m_settings);
--- a/unittests/Admin/AdminApiTest.cpp
+++ b/unittests/Admin/AdminApiTest.cpp
@@ -1,4 +1,4 @@
-// The administration API through its own client, with a fake node behind it.
+// Tests the administration API through RpcClient, with a fake node behind it.
 #include "berylridge/Admin/AdminApi.h"
 #include "berylridge/Admin/RpcClient.h"
 #include "berylridge/Support/Hash.h"
@@ -112,8 +112,9 @@
     EXPECT_EQ(next["entries"][0]["what"].asString(), "audit");
 }
 
-// A stranger reaches the admin port and orders the node to leave. Without the operators' key
-// nothing in the request is looked at; the try is logged and stands in the trail.
+// Guards against an unauthorized client that orders the node to leave through the admin port.
+// Without the operators' key the request isn't parsed; the attempt is logged and recorded in the
+// audit trail.
 TEST(AdminApi, CallWithoutKeyIsRejected)
 {
     FakeNode node;
--- a/unittests/Admin/AdminFuzzTest.cpp
+++ b/unittests/Admin/AdminFuzzTest.cpp
@@ -1,4 +1,4 @@
-// Seeded and bounded: bodies that an operator's broken tool may send to the administration API.
+// Sends mutated request bodies, with a fixed seed and a bounded count, to the administration API.
 #include "Config/Mutator.h"
 #include "berylridge/Admin/AdminApi.h"
 
@@ -6,8 +6,8 @@
 
 using namespace berylridge;
 
-// Whatever the body, the response is empty (a notification) or JSON-RPC, and no exception passes
-// the face of the component: it would end the control thread, and with it the router.
+// For any body the response is empty (a notification) or JSON-RPC, and no exception leaves the
+// component. An exception would terminate the control thread, and with it the router.
 TEST(AdminFuzz, MutatedBodiesNeverThrow)
 {
     AuditTrail trail;
--- a/unittests/Admin/AuditTrailTest.cpp
+++ b/unittests/Admin/AuditTrailTest.cpp
@@ -1,4 +1,4 @@
-// The bounded audit trail of one node.
+// Tests the bounded audit trail of one node.
 #include "berylridge/Admin/AuditTrail.h"
 
 #include <gtest/gtest.h>
@@ -44,8 +44,9 @@
     EXPECT_EQ(trail.after(second.last, 2).last, second.last);
 }
 
-// A dashboard asks for the status each second for an hour after an operator took a zone out. The
-// trail is bounded, so its calls drop out, but the operator's entry must still be there.
+// Guards against reads that evict changes: a dashboard polls the status every second for an hour
+// after an operator evacuated a zone. The entries of its calls are evicted, but the operator's
+// entry must remain.
 TEST(AuditTrail, ReadsDontEvictChanges)
 {
     AuditTrail trail({4, 4});
@@ -57,8 +58,8 @@
     EXPECT_EQ(page.last, 3601U);
 }
 
-// A reader that was away while more was written than is kept must see that it missed some, else it
-// would report a whole trail that isn't.
+// A reader that was away while entries were evicted must see the gap; otherwise it would report an
+// incomplete trail as complete.
 TEST(AuditTrail, EvictedEntriesAreReportedAsGap)
 {
     AuditTrail trail({2, 2});
--- a/unittests/Net/DatagramTest.cpp
+++ b/unittests/Net/DatagramTest.cpp
@@ -25,7 +25,7 @@
     return DatagramEncoder(NodeId("a1"), 42, key).encode(packed);
 }
 
-/// Seals bytes of the test's own, as a node of another release might.
+/// Appends a valid authenticator to arbitrary bytes, such as a node of another release may send.
 std::string withAuthenticator(std::string body)
 {
     std::array<std::byte, authenticatorSize> authenticator {};
@@ -78,17 +78,17 @@
 {
     msgpack::sbuffer buffer;
     msgpack::packer packer(buffer);
-    packer.pack_array(5); // One more than this release knows.
+    packer.pack_array(5); // One element more than this release knows.
     packer.pack(1U);
     packer.pack("b2");
     packer.pack(9U);
     packer.pack_array(2);
     packer.pack_array(2);
-    packer.pack(9999U); // A kind of a newer release.
+    packer.pack(9999U); // A kind that only a newer release knows.
     packer.pack("whatever");
     packer.pack_array(2);
     packer.pack(0U);
-    packer.pack_array(1); // A makeHeartbeat of an older release.
+    packer.pack_array(1); // A heartbeat of an older release, which has fewer fields.
     packer.pack(17U);
     packer.pack("more");
     const auto decoded = decodeDatagram(
@@ -115,5 +115,21 @@
     EXPECT_EQ(peerMessageKindName(peerMessageKind(makeHeartbeat(1))), "Heartbeat");
 }
 
+// Guards against a renamed message type that changes the values of the metrics' label `kind`.
+TEST(DatagramTest, kindNamesInMetricsAreStable)
+{
+    const std::vector<std::string_view> expected = {
+        "Heartbeat",      "ZoneView",       "DocumentsRequest", "DocumentsReply", "VmListMessage",
+        "PoolDemand",     "PoolGrant",      "PoolReturn",       "TargetNews",     "PoolService",
+        "CrashNews",      "Goodbye",        "PoolHandover",     "KeyClaim",       "KeyVote",
+        "KeyRelease",     "KeyQuery",       "KeyState",         "RosterNews",     "RosterProposal",
+        "RosterConsent",  "RosterDecision", "LoadDigest",       "StateRequest",   "CatalogNews",
+        "DirectoryRelay", "PlacementNews"};
+    std::vector<std::string_view> names;
+    for (std::size_t kind = 0; kind < peerMessageKindCount; ++kind)
+        names.push_back(peerMessageKindName(kind));
+    EXPECT_EQ(names, expected);
+}
+
 } // namespace
 } // namespace berylridge
--- a/unittests/Net/HttpClientTest.cpp
+++ b/unittests/Net/HttpClientTest.cpp
@@ -8,7 +8,7 @@
 namespace berylridge::test {
 namespace {
 
-/// Runs `then` after so many iterations of the context's queue.
+/// Runs `then` after the given number of iterations of the context's queue.
 void runAfterIterations(asio::io_context &context, int iterations,
                         const std::function<void()> &then)
 {
@@ -20,9 +20,9 @@
                [&context, iterations, then] { runAfterIterations(context, iterations - 1, then); });
 }
 
-// A node drops a call and makes another by the same client, while the answer to the dropped one is
-// already in its socket. The operation that has read it ends after the client has begun anew. It
-// must touch neither the new connection nor the new call: the new call got the old answer, or the
+// Guards against a completed read of a closed call that affects the next call of the same client.
+// It happens when a node closes a call while its response is already in the socket, and starts
+// another: the old read completes afterwards. The new call received the old response, or the
 // process ended with a segmentation fault.
 TEST(HttpClientTest, newCallNeverReceivesResponseOfClosedCall)
 {
@@ -44,7 +44,7 @@
         client->get("/dropped", testTimeout, onReply);
         while (server.connections() == 0)
             context.run_one_for(std::chrono::milliseconds(1));
-        std::this_thread::sleep_for(std::chrono::milliseconds(5)); // The answer is in the socket.
+        std::this_thread::sleep_for(std::chrono::milliseconds(5)); // The response is in the socket.
         bool hasStartedNewCall = false;
         runAfterIterations(context, iterations, [&] {
             client->close();
--- a/unittests/Net/LogSinkTest.cpp
+++ b/unittests/Net/LogSinkTest.cpp
@@ -25,7 +25,7 @@
         << lines[0];
 }
 
-/// The number after "name": in a line; 0 where the line has none.
+/// Returns the number after "name": in a line, or 0 if there is none.
 std::uint64_t parseDropCount(const std::string &line, const std::string &name)
 {
     const std::size_t at = line.find("\"" + name + "\":");
@@ -34,10 +34,9 @@
 
 TEST(LogSinkTest, addDoesNotBlockOnStalledReader)
 {
-    // What the caller sees: nothing; traffic goes on while the log's reader hangs.
-    // What happens: the first write blocks, the queue fills, further records are dropped; when the
-    // reader goes on, lines beyond the rateLimiter are dropped too. Each is written or counted by
-    // name.
+    // Guards against a stalled log reader that blocks traffic. The first write blocks, the queue
+    // fills up, and further records are dropped. When the reader resumes, lines above the rate
+    // limit are dropped too. Every record must be written or counted by event name.
     std::promise<void> resumeReader;
     const auto gate = resumeReader.get_future().share();
     std::vector<std::string> lines;
@@ -77,8 +76,8 @@
 
 TEST(LogRateLimiterTest, RequestLinesLeaveBudgetForWarnings)
 {
-    // What the reader sees: a thousand refusals a second, and still the warning that isDropReport
-    // why.
+    // A thousand rejected requests per second must not use up the budget for the warning that gives
+    // their cause.
     const ManualClock clock;
     LogRateLimiter rateLimiter({10, 1000});
     int written = 0;
--- a/unittests/Net/NodeFixture.cpp
+++ b/unittests/Net/NodeFixture.cpp
@@ -19,7 +19,7 @@
     return settings;
 }
 
-/// Sockets of the fakes give up by themselves, so that a failing test ends.
+/// Sets a read timeout on the fakes' sockets, so that a failing test ends.
 void setReadTimeout(tcp::socket &socket)
 {
     const timeval limit {testTimeout.count(), 0};
@@ -147,7 +147,7 @@
 
 FakeTarget::~FakeTarget()
 {
-    // Wakes the blocking accept, which then sees the end.
+    // Wakes the blocking accept, which then returns an error.
     ::shutdown(m_acceptor.native_handle(), SHUT_RDWR);
     m_acceptThread.join();
     for (std::thread &thread : m_threads)
@@ -185,7 +185,7 @@
 
 void FakeCaller::send(std::string_view bytes)
 {
-    error_code ignored; // The router may have closed already, as some tests want it to.
+    error_code ignored; // The router may have closed the connection already, as some tests expect.
     asio::write(m_socket, asio::buffer(bytes.data(), bytes.size()), ignored);
 }
 
--- a/unittests/Net/NodeFixture.h
+++ b/unittests/Net/NodeFixture.h
@@ -1,5 +1,5 @@
-// Fakes by hand around a real node: a core that follows a test's rules, a target that answers by a
-// script, and a caller that sends and reads bytes as they are.
+// Hand-written fakes around a real node: a core that calls a test's handler, a target that runs a
+// script, and a caller that sends and reads raw bytes.
 #pragma once
 
 #include "berylridge/Net/Asio.h"
@@ -19,13 +19,13 @@
 
 namespace berylridge::test {
 
-/// Longest wait for something that must happen; never a measure of time.
+/// Longest wait for something that must happen. No test measures time with it.
 inline constexpr std::chrono::seconds testTimeout {20};
 
-/// Waits until the condition holds; false if it doesn't within testTimeout.
+/// Waits until the condition holds. Returns false if it doesn't within testTimeout.
 bool eventually(const std::function<bool()> &condition);
 
-/// A core that passes each event to a handler and remembers all of them.
+/// A core that records each event and passes it to a handler.
 class FakeCore
 {
 public:
@@ -39,7 +39,7 @@
     void handle(const Event &event, TimePoint now, WallTime wall, Actions &actions);
     TimePoint nextTimer() const { return TimePoint::max(); }
 
-    /// The events of a kind so far.
+    /// Returns the events of one type received so far.
     template <typename T>
     std::vector<T> receivedEvents() const
     {
@@ -51,13 +51,14 @@
         return found;
     }
 
-    /// Waits for so many events of a kind.
+    /// Waits for at least count events of one type.
     template <typename T>
     std::vector<T> waitForEvents(std::size_t count)
     {
         EXPECT_TRUE(eventually([&] { return receivedEvents<T>().size() >= count; }));
         auto found = receivedEvents<T>();
-        found.resize(std::max(found.size(), count)); // Tests go on to look at so many.
+        // Tests access this many elements even after a failure.
+        found.resize(std::max(found.size(), count));
         return found;
     }
 
@@ -69,13 +70,14 @@
 
 static_assert(DecisionCore<FakeCore>);
 
-/// A handler that sends each request to the endpoint, once; a failure is refused as may-have-run.
+/// Returns a handler that dispatches each request to the endpoint once. If the attempt fails after
+/// data was sent, the request is rejected with the verdict MayHaveRun, otherwise NotRun.
 FakeCore::EventHandler forwardTo(Endpoint endpoint, bool isIdempotent = false);
 
-/// The order that sends a request to an endpoint.
+/// Returns an action that sends a request to an endpoint.
 Dispatch makeDispatch(RequestHandle handle, Endpoint endpoint, AttemptNumber attempt = 1);
 
-/// One connection of a target under a test's script.
+/// One connection of a FakeTarget, which a test's script uses.
 class FakeTargetConnection
 {
 public:
@@ -84,16 +86,17 @@
     {
     }
 
-    /// The head of the next request, its body taken too; empty at the end of the connection.
+    /// Reads the next request and returns its head; returns an empty string when the connection
+    /// ends.
     std::string readRequest();
     const std::string &body() const { return m_body; }
-    /// A field of the last request's head.
+    /// Returns a field of the last request's head.
     std::string field(const std::string &name) const;
-    /// False where the connection is gone.
+    /// Returns false if the connection is closed.
     bool send(std::string_view bytes);
-    /// Waits until the router has closed the connection.
+    /// Waits until the router closes the connection. Returns whether it did.
     bool waitForClose();
-    /// Closes with a reset.
+    /// Closes the connection with a TCP reset.
     void reset();
 
 private:
@@ -103,7 +106,7 @@
     std::string m_body;
 };
 
-/// Listens on loopback and runs the script once for each connection, on a thread of its own.
+/// Listens on loopback and runs the script for each connection, on a thread of its own.
 class FakeTarget
 {
 public:
@@ -129,26 +132,27 @@
     std::thread m_acceptThread;
 };
 
-/// A port on loopback where nobody listens.
+/// Returns an endpoint on loopback without a listener.
 Endpoint closedPort();
 
-/// A caller's connection.
+/// A caller's connection to the router.
 class FakeCaller
 {
 public:
     explicit FakeCaller(const Endpoint &endpoint);
 
     void send(std::string_view bytes);
-    /// Reads until the text has arrived; all that was read so far. Fails the test at an early end.
+    /// Reads until the text has arrived and returns everything read since the last take(). Fails
+    /// the test if the connection ends before.
     std::string readUntil(std::string_view text);
-    /// Reads to the end of the connection; all that was read since the last take().
+    /// Reads to the end of the connection and returns everything read since the last take().
     std::string readAll();
-    /// What was read and not yet taken; begins anew.
+    /// Returns the bytes read since the last take(), and clears them.
     std::string take() { return std::exchange(m_read, {}); }
     void close();
-    /// Sends nothing more, but still reads.
+    /// Closes the sending direction only.
     void halfClose();
-    /// From another thread too: wakes a blocked send.
+    /// Wakes a blocked send; may be called from another thread.
     void shutdown();
 
 private:
@@ -159,7 +163,7 @@
     std::string m_read;
 };
 
-/// A node on loopback ports of the system's choice.
+/// A node that listens on loopback ports chosen by the system.
 class TestNode
 {
 public:
@@ -183,7 +187,7 @@
     std::thread m_thread;
 };
 
-/// A whole request of a caller.
+/// Returns the text of a complete request.
 std::string requestText(const std::string &method, const std::string &path,
                         const std::string &fields = {}, const std::string &body = {});
 
--- a/unittests/Net/PeerTransportTest.cpp
+++ b/unittests/Net/PeerTransportTest.cpp
@@ -19,7 +19,7 @@
     return FleetMessage(reply);
 }
 
-/// A core that sends the messages to the endpoint at each PlatformReachability.
+/// Returns a handler that sends the messages to the endpoint at each PlatformReachability.
 FakeCore::EventHandler sendOnPlatformReachability(std::vector<PeerMessage> messages,
                                                   const Endpoint &to)
 {
@@ -75,8 +75,8 @@
 
 TEST(PeerTransportTest, ignoresDatagramsWithWrongKey)
 {
-    // What the caller sees: nothing. What happens: datagrams with another key, cut or random ones
-    // arrive in a burst; none reaches the core, and the log has a line, not one for each.
+    // Guards against unauthenticated datagrams that reach the core or fill the log. A burst of
+    // datagrams with a wrong key must be rejected with few log lines, not one for each.
     FakeCore core;
     TestNode node(core);
     const DatagramEncoder wrongKeyEncoder(NodeId("a2"), 9, "another key of thirty-two bytes!");
--- a/unittests/Net/PlatformTest.cpp
+++ b/unittests/Net/PlatformTest.cpp
@@ -30,7 +30,8 @@
 
 TEST(PlatformTest, reportsOnlyChangedDocuments)
 {
-    // The first platform is closed; the second answers, changes one document, then waits.
+    // The first platform endpoint refuses connections. The second responds, changes one document,
+    // and then waits.
     FakeTarget platform([](FakeTargetConnection &peer) {
         for (int revision = 1; true; ++revision) {
             const std::string head = peer.readRequest();
@@ -49,7 +50,7 @@
         settings.platform = {closedPort(), platform.endpoint()};
     });
     const auto arrived = core.waitForEvents<DocumentArrived>(3);
-    EXPECT_EQ(arrived.size(), 3U) << "the unchanged document is no news";
+    EXPECT_EQ(arrived.size(), 3U) << "the unchanged document causes no event";
     EXPECT_EQ(arrived[2].document.version, 2U);
     const auto lists = core.waitForEvents<VmListArrived>(1);
     EXPECT_EQ(lists[0].list.revision, 5U);
@@ -59,8 +60,9 @@
 
 TEST(PlatformTest, reportsOutageAndRecovery)
 {
-    // What happens: the platform answers nonsense at first, then properly. The nonsense is taken as
-    // silence, never as an empty list of documents.
+    // Guards against an invalid response that is taken for an empty list of documents. The platform
+    // responds first with invalid and then with valid JSON; the invalid response must count as an
+    // outage.
     std::atomic<bool> isHealthy {false};
     FakeTarget platform([&](FakeTargetConnection &peer) {
         while (!peer.readRequest().empty())
