--- a/test/berylctl/fake_routers.cpp
+++ b/test/berylctl/fake_routers.cpp
@@ -48,8 +48,9 @@
             boost::beast::flat_buffer buffer;
             http::request<http::string_body> request;
             http::read(socket, buffer, request);
-            const auto given = request[http::field::authorization];
-            const bool isOperator = isOperatorsKey({given.data(), given.size()}, keyDigest);
+            const auto credentials = request[http::field::authorization];
+            const bool isOperator
+                = isOperatorsKey({credentials.data(), credentials.size()}, keyDigest);
             http::response<http::string_body> response(
                 isOperator ? http::status::ok : http::status::unauthorized, 11);
             response.body() = m_api.handleRpc(request.body(), isOperator);
@@ -61,23 +62,23 @@
 private:
     AdminHooks hooks()
     {
-        AdminHooks made;
-        made.node = NodeId(m_node);
-        made.status = [this] { return status(); };
-        made.explain = [this](const std::string &id) {
+        AdminHooks result;
+        result.node = NodeId(m_node);
+        result.status = [this] { return status(); };
+        result.explain = [this](const std::string &id) {
             return id == "r-1" && m_node == "a1"
                 ? std::vector<std::string> {"waited 12 ms for a slot of assistant",
                                             "ran at assistant.a1"}
                 : std::vector<std::string>();
         };
-        made.leave = [this](const std::string & /*who*/) { m_state = "leaving"; };
-        made.returnToService = [this](const std::string & /*who*/) { m_state = "ready"; };
-        made.documents = [this] {
+        result.leave = [this](const std::string & /*who*/) { m_state = "leaving"; };
+        result.returnToService = [this](const std::string & /*who*/) { m_state = "ready"; };
+        result.documents = [this] {
             return std::vector<DocumentText> {{"fleet", m_fleetVersion, R"({"zonesOut":["a"]})"}};
         };
-        made.log = [](const LogRecord & /*record*/) {};
-        made.wallNow = [this] { return now(); };
-        return made;
+        result.log = [](const LogRecord & /*record*/) {};
+        result.wallNow = [this] { return now(); };
+        return result;
     }
 
     /// One second later at each call; the second router's clock is half a second behind.
@@ -90,15 +91,15 @@
 
     NodeStatus status() const
     {
-        NodeStatus made;
-        made.node = NodeId(m_node);
-        made.zone = ZoneId(m_zone);
-        made.state = m_state;
-        made.isReader = m_node == "a1";
-        made.vmListRevision = 4;
-        made.documents = {DocumentVersionEntry {"fleet", m_fleetVersion},
-                          DocumentVersionEntry {"service/shop", 2}};
-        made.members = {{NodeId("c1"), ZoneId("c"), "suspect", 7, 1.25}};
+        NodeStatus result;
+        result.node = NodeId(m_node);
+        result.zone = ZoneId(m_zone);
+        result.state = m_state;
+        result.isReader = m_node == "a1";
+        result.vmListRevision = 4;
+        result.documents = {DocumentVersionEntry {"fleet", m_fleetVersion},
+                            DocumentVersionEntry {"service/shop", 2}};
+        result.members = {{NodeId("c1"), ZoneId("c"), "suspect", 7, 1.25}};
         TargetStatus target;
         target.service = ServiceId("shop");
         target.target = TargetId("shop.a1");
@@ -107,7 +108,7 @@
         target.owner = NodeId("a1");
         target.limit = 4;
         target.granted = 3;
-        made.targets = {target};
+        result.targets = {target};
         WorkspaceStatus workspace;
         workspace.service = ServiceId("shop");
         workspace.workspace = WorkspaceId("hue");
@@ -115,8 +116,8 @@
         workspace.virtualTime = 12.25;
         workspace.waiting = 2;
         workspace.running = 1;
-        made.workspaces = {workspace};
-        return made;
+        result.workspaces = {workspace};
+        return result;
     }
 
     std::string m_node;
@@ -134,9 +135,9 @@
 
 int main()
 {
-    FakeRouter one("a1", "a", 3);
-    FakeRouter other("b1", "b", 4);
-    std::cout << one.port() << ' ' << other.port() << std::endl;
-    std::thread first([&] { one.serve(); });
-    other.serve();
+    FakeRouter firstRouter("a1", "a", 3);
+    FakeRouter secondRouter("b1", "b", 4);
+    std::cout << firstRouter.port() << ' ' << secondRouter.port() << std::endl;
+    std::thread firstThread([&] { firstRouter.serve(); });
+    secondRouter.serve();
 }
--- a/tools/berylctl/Audit.cpp
+++ b/tools/berylctl/Audit.cpp
@@ -1,6 +1,6 @@
 // `berylctl audit`: gathers the trails of many nodes, so that they outlive each VM.
 #include "Command.h"
-#include "Remote.h"
+#include "RouterClient.h"
 
 #include <algorithm>
 #include <array>
@@ -12,7 +12,7 @@
 
 namespace {
 
-struct GatheredEntry
+struct NodeAuditEntry
 {
     std::int64_t whenMs = 0;
     std::string node;
@@ -21,19 +21,21 @@
 };
 
 /// Reads a router's whole trail, page by page, into the list.
-RpcReply gather(const Remote &remote, const Endpoint &router, std::vector<GatheredEntry> &all)
+RpcReply fetchAuditTrail(const RouterClient &client, const Endpoint &router,
+                         std::vector<NodeAuditEntry> &entries)
 {
     Json::Value parameters;
     parameters["after"] = 0;
     while (true) {
-        auto reply = remote.call(router, "audit", parameters);
+        auto reply = client.call(router, "audit", parameters);
         if (!reply.isSuccess)
             return reply;
         const auto node = reply.result["node"].asString();
         if (reply.result["hasGap"].asBool())
             std::cerr << "warning: " << node << " has given up its oldest entries\n";
         for (const auto &entry : reply.result["entries"]) {
-            all.push_back({entry["whenMs"].asInt64(), node, entry["sequence"].asUInt64(), entry});
+            entries.push_back(
+                {entry["whenMs"].asInt64(), node, entry["sequence"].asUInt64(), entry});
         }
         // An empty page ends it too: a router that always claims more must not hold us for ever.
         if (!reply.result["hasMore"].asBool() || reply.result["entries"].empty())
@@ -42,7 +44,7 @@
     }
 }
 
-std::string timeText(std::int64_t milliseconds)
+std::string formatTime(std::int64_t milliseconds)
 {
     const std::time_t seconds = milliseconds / 1000;
     std::tm parts {};
@@ -54,10 +56,10 @@
     return std::string(text.data()) + "." + fraction + "Z";
 }
 
-void printEntry(const GatheredEntry &gathered)
+void printEntry(const NodeAuditEntry &nodeEntry)
 {
-    const auto &entry = gathered.entry;
-    std::cout << timeText(gathered.whenMs) << ' ' << gathered.node << ' '
+    const auto &entry = nodeEntry.entry;
+    std::cout << formatTime(nodeEntry.whenMs) << ' ' << nodeEntry.node << ' '
               << entry["kind"].asString() << " by " << entry["who"].asString() << ": "
               << entry["what"].asString();
     const auto from = entry["from"].asString();
@@ -77,23 +79,23 @@
          "Reads the whole trail of each router and prints all entries by rising time: when,\n"
          "node, kind, who, what, and the version or state before and after. Trails are held\n"
          "in memory and bounded; run this regularly and keep its output.",
-         {{"ENVIRONMENT", remoteEnvironmentHelp},
+         {{"ENVIRONMENT", routerClientEnvironmentHelp},
           {"EXAMPLES", "berylctl audit --router 10.0.1.1:7500 --kind zone-state"}}});
-    Remote remote(line);
+    RouterClient client(line);
     TCLAP::ValueArg<std::string> kind("", "kind", "print entries of this kind only", false, "",
                                       "KIND", line.arguments());
-    if (const auto status = remote.parse(argc, argv))
+    if (const auto status = client.parse(argc, argv))
         return *status;
-    std::vector<GatheredEntry> all;
+    std::vector<NodeAuditEntry> entries;
     std::vector<RouterReply> replies;
-    for (const auto &router : remote.routers())
-        replies.push_back({router, gather(remote, router, all)});
-    std::sort(all.begin(), all.end(), [](const GatheredEntry &a, const GatheredEntry &b) {
+    for (const auto &router : client.routers())
+        replies.push_back({router, fetchAuditTrail(client, router, entries)});
+    std::sort(entries.begin(), entries.end(), [](const NodeAuditEntry &a, const NodeAuditEntry &b) {
         return std::tie(a.whenMs, a.node, a.sequence) < std::tie(b.whenMs, b.node, b.sequence);
     });
-    for (const auto &gathered : all) {
-        if (!kind.isSet() || gathered.entry["kind"].asString() == kind.getValue())
-            printEntry(gathered);
+    for (const auto &nodeEntry : entries) {
+        if (!kind.isSet() || nodeEntry.entry["kind"].asString() == kind.getValue())
+            printEntry(nodeEntry);
     }
     return reportFailures(replies);
 }
--- a/tools/berylctl/Charts.cpp
+++ b/tools/berylctl/Charts.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-std::vector<std::string> chartFiles(const std::string &folder, std::error_code &error)
+std::vector<std::string> findChartFiles(const std::string &folder, std::error_code &error)
 {
     std::vector<std::string> files;
     for (std::filesystem::directory_iterator entry(folder, error);
@@ -34,10 +34,10 @@
         const auto from = static_cast<StateChart::Index>(state);
         std::cout << "    " << states[state] << (from == chart.initial() ? " (initial)" : "")
                   << (chart.isFinal(from) ? " (final)" : "") << '\n';
-        for (std::size_t sign = 0; sign < signalNames.size(); ++sign) {
-            const auto to = chart.next(from, static_cast<StateChart::Index>(sign));
+        for (std::size_t signal = 0; signal < signalNames.size(); ++signal) {
+            const auto to = chart.next(from, static_cast<StateChart::Index>(signal));
             if (to && *to != from)
-                std::cout << "        " << signalNames[sign] << " -> " << states[*to] << '\n';
+                std::cout << "        " << signalNames[signal] << " -> " << states[*to] << '\n';
         }
     }
 }
@@ -57,9 +57,9 @@
     if (const auto status = line.parse(argc, argv))
         return *status;
     std::error_code error;
-    const auto files = chartFiles(folder.getValue(), error);
+    const auto files = findChartFiles(folder.getValue(), error);
     if (error || files.empty()) {
-        complain(folder.getValue() + ": " + (error ? error.message() : "holds no chart"));
+        printError(folder.getValue() + ": " + (error ? error.message() : "holds no chart"));
         return exitErrorsFound;
     }
     int status = exitSuccess;
--- a/tools/berylctl/Check.cpp
+++ b/tools/berylctl/Check.cpp
@@ -1,7 +1,7 @@
 // `berylctl check`: the checks of `collect` without writing, and what a publication would change.
 #include "Command.h"
 #include "Files.h"
-#include "Remote.h"
+#include "RouterClient.h"
 #include "Sources.h"
 
 #include "berylridge/CommandLine/CommandLine.h"
@@ -14,7 +14,7 @@
 
 namespace {
 
-ManPage checkPage()
+ManPage checkManPage()
 {
     return {
         "berylctl check",
@@ -26,16 +26,17 @@
          {"EXAMPLES", "berylctl check services/\nberylctl check --against published services/"}}};
 }
 
-Difference compareTexts(const DocumentText &inForce, const DocumentText &next, double maxShareCut)
+Difference compareDocuments(const DocumentText &active, const DocumentText &proposed,
+                            double maxShareCut)
 {
-    if (next.name == DocumentStore::fleetName) {
-        const auto before = readFleetDocument(inForce.name, inForce.text);
-        const auto after = readFleetDocument(next.name, next.text);
+    if (proposed.name == DocumentStore::fleetName) {
+        const auto before = readFleetDocument(active.name, active.text);
+        const auto after = readFleetDocument(proposed.name, proposed.text);
         if (before.value && after.value)
             return compareFleets(*before.value, *after.value);
     } else {
-        const auto before = readServiceDocument(inForce.name, inForce.text);
-        const auto after = readServiceDocument(next.name, next.text);
+        const auto before = readServiceDocument(active.name, active.text);
+        const auto after = readServiceDocument(proposed.name, proposed.text);
         if (before.value && after.value)
             return compareServices(*before.value, *after.value, maxShareCut);
     }
@@ -50,8 +51,8 @@
         std::cout << name << ": warning: " << warning << '\n';
 }
 
-void compareWith(const DocumentSet &published, const std::vector<DocumentText> &documents,
-                 double maxShareCut)
+void printComparison(const DocumentSet &published, const std::vector<DocumentText> &documents,
+                     double maxShareCut)
 {
     std::size_t changed = 0;
     for (const auto &document : documents) {
@@ -59,7 +60,7 @@
         if (found == published.end())
             std::cout << document.name << ": new\n";
         else if (found->second.text != document.text)
-            printDifference(document.name, compareTexts(found->second, document, maxShareCut));
+            printDifference(document.name, compareDocuments(found->second, document, maxShareCut));
         else
             continue;
         ++changed;
@@ -71,29 +72,29 @@
 
 int runCheck(int argc, Arguments argv)
 {
-    CommandLine line(checkPage());
+    CommandLine line(checkManPage());
     TCLAP::ValueArg<std::string> against("a", "against", "a folder of documents to compare with",
                                          false, "", "FOLDER", line.arguments());
     TCLAP::ValueArg<double> maxShareCut("", "allowed-cut",
                                         "the part of its share that a workspace may lose without a "
                                         "warning; 0.1 without this option",
                                         false, 0.1, "PART", line.arguments());
-    Remote remote(line, false);
+    RouterClient client(line, false);
     TCLAP::UnlabeledMultiArg<std::string> paths("path", "folders and files to read", true, "PATH",
                                                 line.arguments());
-    if (const auto status = remote.parse(argc, argv))
+    if (const auto status = client.parse(argc, argv))
         return *status;
     const auto publication = checkSources(paths.getValue());
     if (!publication)
         return exitErrorsFound;
-    if (!against.isSet() && remote.routers().empty()) {
+    if (!against.isSet() && client.routers().empty()) {
         std::cout << publication->documents.size() << " documents, no errors\n";
         return exitSuccess;
     }
-    const auto published = publishedDocuments(against.getValue(), remote);
+    const auto published = publishedDocuments(against.getValue(), client);
     if (!published)
         return exitErrorsFound;
-    compareWith(*published, publication->documents, maxShareCut.getValue());
+    printComparison(*published, publication->documents, maxShareCut.getValue());
     return exitSuccess;
 }
 
--- a/tools/berylctl/Collect.cpp
+++ b/tools/berylctl/Collect.cpp
@@ -1,7 +1,7 @@
 // `berylctl collect`: the publishing step.
 #include "Command.h"
 #include "Files.h"
-#include "Remote.h"
+#include "RouterClient.h"
 #include "Sources.h"
 
 #include "berylridge/CommandLine/CommandLine.h"
@@ -14,7 +14,7 @@
 
 namespace {
 
-ManPage collectPage()
+ManPage collectManPage()
 {
     return {
         "berylctl collect",
@@ -35,21 +35,22 @@
 }
 
 /// False where a file could not be written.
-bool writeChanged(const std::string &folder, const std::vector<DocumentText> &documents,
-                  const DocumentSet &inFolder)
+bool writeChangedDocuments(const std::string &folder, const std::vector<DocumentText> &documents,
+                           const DocumentSet &folderDocuments)
 {
     std::size_t changed = 0;
     for (const auto &document : documents) {
-        const auto found = inFolder.find(document.name);
-        const auto before = found == inFolder.end() ? 0 : found->second.version;
+        const auto found = folderDocuments.find(document.name);
+        const auto previousVersion = found == folderDocuments.end() ? 0 : found->second.version;
         std::cout << document.name << ": version " << document.version;
-        if (before == document.version) {
+        if (previousVersion == document.version) {
             std::cout << ", unchanged\n";
             continue;
         }
-        std::cout << (before == 0 ? ", new\n" : ", was " + std::to_string(before) + "\n");
+        std::cout << (previousVersion == 0 ? ", new\n"
+                                           : ", was " + std::to_string(previousVersion) + "\n");
         if (const auto written = writeDocument(folder, document); !written) {
-            complain(written.failureReason());
+            printError(written.failureReason());
             return false;
         }
         ++changed;
@@ -58,16 +59,16 @@
     return true;
 }
 
-bool makeFolder(const std::string &folder)
+bool createFolder(const std::string &folder)
 {
     std::error_code error;
     std::filesystem::create_directories(folder, error);
     if (error)
-        complain(folder + ": " + error.message());
+        printError(folder + ": " + error.message());
     return !error;
 }
 
-void warnOfOrphans(const std::vector<DocumentText> &documents, const DocumentSet &published)
+void warnAboutOrphans(const std::vector<DocumentText> &documents, const DocumentSet &published)
 {
     DocumentSet orphans = published;
     for (const auto &document : documents)
@@ -83,25 +84,26 @@
 
 int runCollect(int argc, Arguments argv)
 {
-    CommandLine line(collectPage());
+    CommandLine line(collectManPage());
     TCLAP::ValueArg<std::string> out("o", "out", "the folder that documents are written to", true,
                                      "", "FOLDER", line.arguments());
-    Remote remote(line, false);
+    RouterClient client(line, false);
     TCLAP::UnlabeledMultiArg<std::string> paths("path", "folders and files to read", true, "PATH",
                                                 line.arguments());
-    if (const auto status = remote.parse(argc, argv))
+    if (const auto status = client.parse(argc, argv))
         return *status;
     auto publication = checkSources(paths.getValue());
     if (!publication)
         return exitErrorsFound;
-    const auto inFolder = readDocuments(out.getValue());
-    const auto published = publishedDocuments(out.getValue(), remote);
-    if (!inFolder || !published || !makeFolder(out.getValue()))
+    const auto folderDocuments = readDocuments(out.getValue());
+    const auto published = publishedDocuments(out.getValue(), client);
+    if (!folderDocuments || !published || !createFolder(out.getValue()))
         return exitErrorsFound;
     assignVersions(publication->documents, *published);
-    warnOfOrphans(publication->documents, *published);
-    return writeChanged(out.getValue(), publication->documents, *inFolder) ? exitSuccess
-                                                                           : exitErrorsFound;
+    warnAboutOrphans(publication->documents, *published);
+    return writeChangedDocuments(out.getValue(), publication->documents, *folderDocuments)
+        ? exitSuccess
+        : exitErrorsFound;
 }
 
 } // namespace berylridge::ctl
--- a/tools/berylctl/Files.cpp
+++ b/tools/berylctl/Files.cpp
@@ -62,14 +62,14 @@
 
 Expected<std::string> replaceFile(const std::string &path, const std::string &text)
 {
-    const auto draft = path + ".new";
-    std::ofstream out(draft, std::ios::binary | std::ios::trunc);
+    const auto temporaryPath = path + ".new";
+    std::ofstream out(temporaryPath, std::ios::binary | std::ios::trunc);
     out << text;
     out.close();
     if (!out)
-        return Reason {draft + ": can't be written"};
+        return Reason {temporaryPath + ": can't be written"};
     std::error_code error;
-    fs::rename(draft, path, error);
+    fs::rename(temporaryPath, path, error);
     if (error)
         return Reason {path + ": " + error.message()};
     return path;
--- a/tools/berylctl/HttpTransport.cpp
+++ b/tools/berylctl/HttpTransport.cpp
@@ -16,7 +16,7 @@
 using tcp = asio::ip::tcp;
 using ErrorCode = boost::system::error_code;
 
-constexpr std::uint64_t answerLimit = 64 << 20;
+constexpr std::uint64_t maxResponseBytes = 64 << 20;
 
 class HttpExchange
 {
@@ -30,13 +30,13 @@
         m_request.set(http::field::content_type, "application/json");
         m_request.body() = body;
         m_request.prepare_payload();
-        m_response.body_limit(answerLimit);
+        m_response.body_limit(maxResponseBytes);
     }
 
-    /// Empty where an answer came; else the reason.
-    std::string run(std::chrono::milliseconds timeLimit)
+    /// Empty where an response came; else the reason.
+    std::string run(std::chrono::milliseconds timeout)
     {
-        m_stream.expires_after(timeLimit);
+        m_stream.expires_after(timeout);
         m_stream.async_connect(m_endpoint, [this](ErrorCode error) {
             if (succeeded(error))
                 write();
@@ -81,18 +81,18 @@
 } // namespace
 
 RpcTransport httpTransport(const Endpoint &router, const std::string &operatorsKey,
-                           std::chrono::milliseconds timeLimit)
+                           std::chrono::milliseconds timeout)
 {
-    return [=](const std::string &request, std::string &answer) {
+    return [=](const std::string &request, std::string &response) {
         HttpExchange exchange(router, operatorsKey, request);
-        answer = exchange.run(timeLimit);
-        if (!answer.empty())
+        response = exchange.run(timeout);
+        if (!response.empty())
             return false;
         // Status 401 carries a JSON-RPC error that says so; others without a body do not.
-        answer = exchange.takeBody();
+        response = exchange.takeBody();
         if (exchange.status() == 200 || exchange.status() == 401)
             return true;
-        answer = "answered with HTTP status " + std::to_string(exchange.status());
+        response = "answered with HTTP status " + std::to_string(exchange.status());
         return false;
     };
 }
--- a/tools/berylctl/HttpTransport.h
+++ b/tools/berylctl/HttpTransport.h
@@ -11,6 +11,6 @@
 
 /// One connection a call. The time limit holds for the whole call.
 RpcTransport httpTransport(const Endpoint &router, const std::string &operatorsKey,
-                           std::chrono::milliseconds timeLimit);
+                           std::chrono::milliseconds timeout);
 
 } // namespace berylridge::ctl
--- a/tools/berylctl/Operate.cpp
+++ b/tools/berylctl/Operate.cpp
@@ -1,7 +1,7 @@
 // `berylctl explain`, `leave` and `return`.
 #include "Command.h"
-#include "Remote.h"
 #include "RequestHistory.h"
+#include "RouterClient.h"
 #include "Sources.h"
 
 #include <fstream>
@@ -13,13 +13,13 @@
 
 namespace {
 
-int orderState(ManPage page, const std::string &method, int argc, Arguments argv)
+int requestStateChange(ManPage page, const std::string &method, int argc, Arguments argv)
 {
     CommandLine line(std::move(page));
-    Remote remote(line);
-    if (const auto status = remote.parse(argc, argv))
+    RouterClient client(line);
+    if (const auto status = client.parse(argc, argv))
         return *status;
-    const auto replies = remote.callAll(method, Json::objectValue);
+    const auto replies = client.callAll(method, Json::objectValue);
     for (const auto &[router, reply] : replies) {
         if (reply.isSuccess) {
             std::cout << reply.result["node"].asString() << ": " << reply.result["state"].asString()
@@ -39,14 +39,14 @@
         }
         std::ifstream log(file);
         if (!log) {
-            complain(file + ": can't be read");
+            printError(file + ": can't be read");
             return exitErrorsFound;
         }
         history.read(log);
     }
     if (history.print(std::cout))
         return exitSuccess;
-    complain("no log names the request " + requestId);
+    printError("no log names the request " + requestId);
     return exitErrorsFound;
 }
 
@@ -60,26 +60,26 @@
          "Asks each router for what it knows of the request with this X-Request-Id, and\n"
          "prints one line a step. Routers keep their latest requests only; with --log the\n"
          "answer is found in what routers logged instead.",
-         {{"ENVIRONMENT", remoteEnvironmentHelp},
+         {{"ENVIRONMENT", routerClientEnvironmentHelp},
           {"EXAMPLES",
            "berylctl explain --router 10.0.1.1:7500 7d1f0c\n"
            "berylctl explain --log a1.log --log b1.log 7d1f0c"}}});
     TCLAP::MultiArg<std::string> logs("l", "log", "a router's log; - is standard input", false,
                                       "FILE", line.arguments());
-    Remote remote(line, false);
+    RouterClient client(line, false);
     TCLAP::UnlabeledValueArg<std::string> id("id", "the X-Request-Id", true, "", "REQUEST-ID",
                                              line.arguments());
-    if (const auto status = remote.parse(argc, argv))
+    if (const auto status = client.parse(argc, argv))
         return *status;
     if (logs.isSet())
         return explainFromLogs(logs.getValue(), id.getValue());
-    if (remote.routers().empty()) {
-        complain("give a router or a log");
+    if (client.routers().empty()) {
+        printError("give a router or a log");
         return exitUsageError;
     }
     Json::Value parameters;
     parameters["requestId"] = id.getValue();
-    const auto replies = remote.callAll("explain", parameters);
+    const auto replies = client.callAll("explain", parameters);
     bool isKnown = false;
     for (const auto &[router, reply] : replies) {
         for (const auto &step : reply.result["lines"]) {
@@ -95,25 +95,25 @@
 
 int runLeave(int argc, Arguments argv)
 {
-    return orderState(
+    return requestStateChange(
         {"berylctl leave",
          "take routers out of service by a planned stop",
          "Each router turns its readiness off, hands over what it owns, finishes what runs\n"
          "and then ends. To take a whole zone out, publish it in zonesOut instead: that\n"
          "holds for its targets too, and survives a restart.",
-         {{"ENVIRONMENT", remoteEnvironmentHelp},
+         {{"ENVIRONMENT", routerClientEnvironmentHelp},
           {"EXAMPLES", "berylctl leave --router 10.0.1.1:7500"}}},
         "leave", argc, argv);
 }
 
 int runReturn(int argc, Arguments argv)
 {
-    return orderState({"berylctl return",
-                       "take back a leave that has not ended",
-                       "Each router that is leaving but still runs becomes ready again.",
-                       {{"ENVIRONMENT", remoteEnvironmentHelp},
-                        {"EXAMPLES", "berylctl return --router 10.0.1.1:7500"}}},
-                      "return", argc, argv);
+    return requestStateChange({"berylctl return",
+                               "take back a leave that has not ended",
+                               "Each router that is leaving but still runs becomes ready again.",
+                               {{"ENVIRONMENT", routerClientEnvironmentHelp},
+                                {"EXAMPLES", "berylctl return --router 10.0.1.1:7500"}}},
+                              "return", argc, argv);
 }
 
 } // namespace berylridge::ctl
--- a/tools/berylctl/RequestHistory.cpp
+++ b/tools/berylctl/RequestHistory.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 /// A log line may follow what a collector put before it.
-Json::Value recordIn(const std::string &line)
+Json::Value parseLogRecord(const std::string &line)
 {
     const std::size_t begin = line.find('{');
     if (begin == std::string::npos)
@@ -28,7 +28,7 @@
     return record;
 }
 
-std::string plain(const Json::Value &value)
+std::string valueText(const Json::Value &value)
 {
     if (value.isString())
         return value.asString();
@@ -37,14 +37,14 @@
     return Json::writeString(builder, value);
 }
 
-/// The members as "name value" pairs, without those that were said already.
-std::string pairs(const Json::Value &object, std::initializer_list<const char *> said)
+/// The members as "name value" memberText, without those that were excluded already.
+std::string memberText(const Json::Value &object, std::initializer_list<const char *> excluded)
 {
     std::string text;
     for (const std::string &name : object.getMemberNames()) {
-        if (std::find(said.begin(), said.end(), name) != said.end())
+        if (std::find(excluded.begin(), excluded.end(), name) != excluded.end())
             continue;
-        text += (text.empty() ? "" : ", ") + name + " " + plain(object[name]);
+        text += (text.empty() ? "" : ", ") + name + " " + valueText(object[name]);
     }
     return text;
 }
@@ -55,11 +55,12 @@
     if (record.isMember("type"))
         text += " as " + record["type"].asString();
     text += ": "
-        + pairs(record, {"time", "outcome", "type", "steps", "request", "level", "event", "name"})
+        + memberText(record,
+                     {"time", "outcome", "type", "steps", "request", "level", "event", "name"})
         + "\n";
     for (const Json::Value &step : record["steps"])
-        text += "  at " + plain(step["atMs"]) + " ms " + step["step"].asString() + ": "
-            + pairs(step, {"atMs", "step"}) + "\n";
+        text += "  at " + valueText(step["atMs"]) + " ms " + step["step"].asString() + ": "
+            + memberText(step, {"atMs", "step"}) + "\n";
     return text;
 }
 
@@ -71,17 +72,17 @@
     while (std::getline(log, line)) {
         if (line.find(m_requestId) == std::string::npos)
             continue;
-        const Json::Value record = recordIn(line);
+        const Json::Value record = parseLogRecord(line);
         if (record["request"] == m_requestId)
-            m_texts.emplace(record["time"].asString(), describe(record));
+            m_descriptions.emplace(record["time"].asString(), describe(record));
     }
 }
 
 bool RequestHistory::print(std::ostream &out) const
 {
-    for (const auto &[time, text] : m_texts)
+    for (const auto &[time, text] : m_descriptions)
         out << text;
-    return !m_texts.empty();
+    return !m_descriptions.empty();
 }
 
 } // namespace berylridge::ctl
--- a/tools/berylctl/RequestHistory.h
+++ b/tools/berylctl/RequestHistory.h
@@ -24,7 +24,7 @@
 
 private:
     std::string m_requestId;
-    std::multimap<std::string, std::string> m_texts; ///< By time.
+    std::multimap<std::string, std::string> m_descriptions; ///< By time.
 };
 
 } // namespace berylridge::ctl
--- a/tools/berylctl/Remote.cpp
+++ b/tools/berylctl/RouterClient.cpp
@@ -1,5 +1,5 @@
 // Calls routers side by side, so that a few silent ones don't hold up the others.
-#include "Remote.h"
+#include "RouterClient.h"
 
 #include "Files.h"
 #include "HttpTransport.h"
@@ -15,17 +15,17 @@
 
 namespace {
 
-constexpr std::size_t callsAtOnce = 16;
+constexpr std::size_t maxConcurrentCalls = 16;
 
-std::string environment(const char *name, const std::string &otherwise)
+std::string environmentOr(const char *name, const std::string &defaultValue)
 {
     const char *value = std::getenv(name); // NOLINT(concurrency-mt-unsafe): before any thread
-    return value && *value ? value : otherwise;
+    return value && *value ? value : defaultValue;
 }
 
 } // namespace
 
-Remote::Remote(CommandLine &line, bool isRequired)
+RouterClient::RouterClient(CommandLine &line, bool isRequired)
     : m_line(line)
     , m_routers("r", "router", "administration listener of a router; may be given for many",
                 isRequired, "ADDRESS:PORT", line.arguments())
@@ -37,20 +37,20 @@
 {
 }
 
-std::optional<int> Remote::parse(int argc, const char *const *argv)
+std::optional<int> RouterClient::parse(int argc, const char *const *argv)
 {
     if (const auto status = m_line.parse(argc, argv))
         return status;
     for (const auto &text : m_routers.getValue()) {
         auto endpoint = parseEndpoint(text);
         if (!endpoint) {
-            complain("--router " + text + ": " + endpoint.failureReason());
+            printError("--router " + text + ": " + endpoint.failureReason());
             return exitUsageError;
         }
         m_endpoints.push_back(*std::move(endpoint));
     }
     if (m_timeout.getValue() == 0 || m_timeout.getValue() > 3600) {
-        complain("--timeout: must be from 1 to 3600");
+        printError("--timeout: must be from 1 to 3600");
         return exitUsageError;
     }
     if (m_endpoints.empty())
@@ -62,58 +62,58 @@
     return std::nullopt;
 }
 
-std::optional<std::string> Remote::readKey()
+std::optional<std::string> RouterClient::readKey()
 {
     if (!m_keyFile.isSet()) {
-        auto key = environment("BERYLRIDGE_OPERATORS_KEY", "");
+        auto key = environmentOr("BERYLRIDGE_OPERATORS_KEY", "");
         if (!key.empty())
             return key;
-        complain("no operators' key: give --key-file or set BERYLRIDGE_OPERATORS_KEY");
+        printError("no operators' key: give --key-file or set BERYLRIDGE_OPERATORS_KEY");
         return std::nullopt;
     }
     auto text = readFile(m_keyFile.getValue());
     if (!text) {
-        complain(text.failureReason());
+        printError(text.failureReason());
         return std::nullopt;
     }
     return text->substr(0, text->find_first_of("\r\n"));
 }
 
-RpcReply Remote::call(const Endpoint &router, const std::string &method,
-                      Json::Value parameters) const
+RpcReply RouterClient::call(const Endpoint &router, const std::string &method,
+                            Json::Value parameters) const
 {
-    parameters["who"] = m_who.isSet() ? m_who.getValue() : environment("USER", "operator");
-    const auto timeLimit = std::chrono::seconds(m_timeout.getValue());
-    return callRpc(httpTransport(router, m_key, timeLimit), method, parameters);
+    parameters["who"] = m_who.isSet() ? m_who.getValue() : environmentOr("USER", "operator");
+    const auto timeout = std::chrono::seconds(m_timeout.getValue());
+    return callRpc(httpTransport(router, m_key, timeout), method, parameters);
 }
 
-std::vector<RouterReply> Remote::callAll(const std::string &method,
-                                         const Json::Value &parameters) const
+std::vector<RouterReply> RouterClient::callAll(const std::string &method,
+                                               const Json::Value &parameters) const
 {
     std::vector<RouterReply> replies(m_endpoints.size());
     std::atomic<std::size_t> next = 0;
-    const auto work = [&] {
+    const auto worker = [&] {
         for (auto i = next++; i < replies.size(); i = next++)
             replies[i] = {m_endpoints[i], call(m_endpoints[i], method, parameters)};
     };
     std::vector<std::thread> threads;
-    for (std::size_t i = 0; i < std::min(callsAtOnce, replies.size()); ++i)
-        threads.emplace_back(work);
+    for (std::size_t i = 0; i < std::min(maxConcurrentCalls, replies.size()); ++i)
+        threads.emplace_back(worker);
     for (auto &thread : threads)
         thread.join();
     return replies;
 }
 
-std::optional<DocumentSet> publishedDocuments(const std::string &folder, const Remote &remote)
+std::optional<DocumentSet> publishedDocuments(const std::string &folder, const RouterClient &client)
 {
     auto documents = folder.empty() ? Expected(DocumentSet()) : readDocuments(folder);
     if (!documents) {
-        complain(documents.failureReason());
+        printError(documents.failureReason());
         return std::nullopt;
     }
     Json::Value parameters;
     parameters["withText"] = true;
-    const auto replies = remote.callAll("documents", parameters);
+    const auto replies = client.callAll("documents", parameters);
     if (reportFailures(replies) != exitSuccess)
         return std::nullopt;
     for (const auto &[router, reply] : replies) {
@@ -132,7 +132,7 @@
     for (const auto &[router, reply] : replies) {
         if (reply.isSuccess)
             continue;
-        complain(endpointText(router) + ": " + reply.reason);
+        printError(endpointText(router) + ": " + reply.reason);
         status = exitErrorsFound;
     }
     return status;
--- a/tools/berylctl/Remote.h
+++ b/tools/berylctl/RouterClient.h
@@ -19,12 +19,12 @@
     RpcReply reply;
 };
 
-class Remote
+class RouterClient
 {
 public:
     /// Adds --router, --key-file, --timeout and --who to the line, which must outlive this. Where
     /// no router needs to be given, no key is asked for without one.
-    explicit Remote(CommandLine &line, bool isRequired = true);
+    explicit RouterClient(CommandLine &line, bool isRequired = true);
 
     /// The exit status where the program should end at once.
     std::optional<int> parse(int argc, const char *const *argv);
@@ -48,14 +48,15 @@
 };
 
 /// The documents of a folder, unless its name is empty, and those in force at the routers, each in
-/// its highest version. None where one could not be had, which is said.
-std::optional<DocumentSet> publishedDocuments(const std::string &folder, const Remote &remote);
+/// its highest version. None where one could not be had, which is excluded.
+std::optional<DocumentSet> publishedDocuments(const std::string &folder,
+                                              const RouterClient &client);
 
 /// Prints what failed, by router; the exit status is fine where nothing did.
 int reportFailures(const std::vector<RouterReply> &replies);
 
 /// For the help of these commands.
-inline const char *const remoteEnvironmentHelp
+inline const char *const routerClientEnvironmentHelp
     = "BERYLRIDGE_OPERATORS_KEY  the operators' key, where --key-file is not given\n"
       "USER                      named in the audit trail, where --who is not given";
 
--- a/tools/berylctl/Sources.cpp
+++ b/tools/berylctl/Sources.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-std::string counted(std::size_t count, const std::string &noun)
+std::string countText(std::size_t count, const std::string &noun)
 {
     return std::to_string(count) + " " + noun + (count == 1 ? "" : "s");
 }
@@ -20,11 +20,11 @@
 {
     const auto sources = findSources(paths);
     if (!sources) {
-        complain(sources.failureReason());
+        printError(sources.failureReason());
         return std::nullopt;
     }
     if (sources->empty()) {
-        complain("no file named *" + std::string(sourceSuffix) + " was found");
+        printError("no file named *" + std::string(sourceSuffix) + " was found");
         return std::nullopt;
     }
     auto publication = makePublication(*sources);
@@ -33,14 +33,14 @@
     for (const auto &warning : publication.warnings)
         std::cerr << "warning: " << warning << '\n';
     if (!publication.diagnostics.empty()) {
-        complain(counted(publication.diagnostics.size(), "error") + " in "
-                 + counted(sources->size(), "file"));
+        printError(countText(publication.diagnostics.size(), "error") + " in "
+                   + countText(sources->size(), "file"));
         return std::nullopt;
     }
     return publication;
 }
 
-void complain(const std::string &message)
+void printError(const std::string &message)
 {
     std::cerr << "berylctl: " << message << '\n';
 }
--- a/tools/berylctl/Sources.h
+++ b/tools/berylctl/Sources.h
@@ -19,6 +19,6 @@
 std::optional<Publication> checkSources(const std::vector<std::string> &paths);
 
 /// Prints a message as `berylctl: message` on standard error.
-void complain(const std::string &message);
+void printError(const std::string &message);
 
 } // namespace berylridge::ctl
--- a/tools/berylctl/Status.cpp
+++ b/tools/berylctl/Status.cpp
@@ -1,6 +1,6 @@
 // `berylctl status`: the fleet in one table, the documents in force, and single routers in detail.
 #include "Command.h"
-#include "Remote.h"
+#include "RouterClient.h"
 #include "Table.h"
 
 #include <iostream>
@@ -12,7 +12,7 @@
 
 namespace {
 
-ManPage statusPage()
+ManPage statusManPage()
 {
     return {
         "berylctl status",
@@ -21,11 +21,11 @@
         "a document whose versions differ between nodes is marked. With --detail, members, "
         "targets\n"
         "and workspaces follow as each node sees them.",
-        {{"ENVIRONMENT", remoteEnvironmentHelp},
+        {{"ENVIRONMENT", routerClientEnvironmentHelp},
          {"EXAMPLES", "berylctl status --router 10.0.1.1:7500 --router 10.0.1.2:7500"}}};
 }
 
-std::string number(const Json::Value &value)
+std::string numberText(const Json::Value &value)
 {
     std::ostringstream out;
     out.precision(4);
@@ -44,7 +44,7 @@
     return sum;
 }
 
-std::uint64_t ownedBy(const Json::Value &targets, const std::string &node)
+std::uint64_t countOwnedTargets(const Json::Value &targets, const std::string &node)
 {
     std::uint64_t count = 0;
     for (const auto &target : targets)
@@ -62,18 +62,18 @@
         const auto &node = reply.result;
         table.add({endpointText(router), node["node"].asString(), node["zone"].asString(),
                    node["state"].asString(), node["isReader"].asBool() ? "yes" : "no",
-                   number(node["vmListRevision"]), std::to_string(node["members"].size()),
-                   std::to_string(ownedBy(node["targets"], node["node"].asString())),
+                   numberText(node["vmListRevision"]), std::to_string(node["members"].size()),
+                   std::to_string(countOwnedTargets(node["targets"], node["node"].asString())),
                    std::to_string(sumOf(node["workspaces"], "waiting")),
                    std::to_string(sumOf(node["workspaces"], "running"))});
     }
     table.print();
 }
 
-/// Versions of a document with the nodes that have each in force.
-using Versions = std::map<std::uint64_t, std::set<std::string>>;
+/// NodesByVersion of a document with the nodes that have each in force.
+using NodesByVersion = std::map<std::uint64_t, std::set<std::string>>;
 
-std::string nodesText(const std::set<std::string> &nodes)
+std::string joinNodes(const std::set<std::string> &nodes)
 {
     std::string text;
     for (const auto &node : nodes)
@@ -83,10 +83,10 @@
 
 void printDocuments(const std::vector<RouterReply> &replies)
 {
-    std::map<std::string, Versions> documents;
+    std::map<std::string, NodesByVersion> documents;
     for (const auto &[router, reply] : replies) {
-        for (const auto &head : reply.result["documents"]) {
-            documents[head["name"].asString()][head["version"].asUInt64()].insert(
+        for (const auto &document : reply.result["documents"]) {
+            documents[document["name"].asString()][document["version"].asUInt64()].insert(
                 reply.result["node"].asString());
         }
     }
@@ -94,7 +94,7 @@
     for (const auto &[name, versions] : documents) {
         for (const auto &[version, nodes] : versions) {
             table.add({name, std::to_string(version),
-                       (versions.size() == 1 ? "same: " : "differs: ") + nodesText(nodes)});
+                       (versions.size() == 1 ? "same: " : "differs: ") + joinNodes(nodes)});
         }
     }
     if (table.isEmpty())
@@ -110,7 +110,7 @@
         std::vector<std::string> row;
         for (const auto &name : names) {
             const auto &value = element[name];
-            row.push_back(value.isString() ? value.asString() : number(value));
+            row.push_back(value.isString() ? value.asString() : numberText(value));
         }
         table.add(std::move(row));
     }
@@ -132,13 +132,13 @@
 
 int runStatus(int argc, Arguments argv)
 {
-    CommandLine line(statusPage());
-    Remote remote(line);
+    CommandLine line(statusManPage());
+    RouterClient client(line);
     TCLAP::SwitchArg detail("d", "detail", "print members, targets and workspaces too",
                             line.arguments());
-    if (const auto status = remote.parse(argc, argv))
+    if (const auto status = client.parse(argc, argv))
         return *status;
-    const auto replies = remote.callAll("status", Json::objectValue);
+    const auto replies = client.callAll("status", Json::objectValue);
     printNodes(replies);
     printDocuments(replies);
     for (const auto &[router, reply] : replies) {
--- a/tools/berylctl/Table.cpp
+++ b/tools/berylctl/Table.cpp
@@ -6,12 +6,12 @@
 
 namespace berylridge::ctl {
 
-Table::Table(std::vector<std::string> head)
-    : m_rows {std::move(head)}
+Table::Table(std::vector<std::string> header)
+    : m_rows {std::move(header)}
 {
 }
 
-void Table::print(const std::string &margin) const
+void Table::print(const std::string &indentation) const
 {
     if (isEmpty())
         return;
@@ -21,7 +21,7 @@
             widths[i] = std::max(widths[i], row[i].size());
     }
     for (const auto &row : m_rows) {
-        std::string line = margin;
+        std::string line = indentation;
         for (std::size_t i = 0; i < row.size(); ++i) {
             line += row[i];
             line.append(widths[i] - row[i].size() + 2, ' ');
--- a/tools/berylctl/Table.h
+++ b/tools/berylctl/Table.h
@@ -9,13 +9,13 @@
 class Table
 {
 public:
-    explicit Table(std::vector<std::string> head);
+    explicit Table(std::vector<std::string> header);
 
     void add(std::vector<std::string> row) { m_rows.push_back(std::move(row)); }
     bool isEmpty() const { return m_rows.size() == 1; }
 
-    /// Prints on standard output, each line after the given margin. Nothing where it is empty.
-    void print(const std::string &margin = "") const;
+    /// Prints on standard output, each line after the given indentation. Nothing where it is empty.
+    void print(const std::string &indentation = "") const;
 
 private:
     std::vector<std::vector<std::string>> m_rows;
--- a/tools/berylctl/main.cpp
+++ b/tools/berylctl/main.cpp
@@ -45,7 +45,7 @@
     std::cout << "\nEXIT STATUS\n    0  fine\n    1  errors were found\n    2  wrong usage\n";
 }
 
-int wrongUsage(const std::string &message)
+int usageError(const std::string &message)
 {
     std::cerr << "berylctl: " << message << "; see berylctl --help\n";
     return exitUsageError;
@@ -56,19 +56,20 @@
 int main(int argc, char **argv)
 {
     if (argc < 2)
-        return wrongUsage("a command is missing");
-    const std::string_view word = argv[1];
-    if (word == "--help" || word == "-h") {
+        return usageError("a command is missing");
+    const std::string_view commandName = argv[1];
+    if (commandName == "--help" || commandName == "-h") {
         printHelp();
         return exitSuccess;
     }
-    if (word == "--version") {
+    if (commandName == "--version") {
         std::cout << "berylctl " << BERYLRIDGE_VERSION << '\n';
         return exitSuccess;
     }
-    const auto *command = std::find_if(commands.begin(), commands.end(),
-                                       [&](const Command &known) { return known.name == word; });
+    const auto *command
+        = std::find_if(commands.begin(), commands.end(),
+                       [&](const Command &candidate) { return candidate.name == commandName; });
     if (command == commands.end())
-        return wrongUsage("unknown command \"" + std::string(word) + "\"");
+        return usageError("unknown command \"" + std::string(commandName) + "\"");
     return command->run(argc - 1, argv + 1);
 }
--- a/tools/berylridged/Main.cpp
+++ b/tools/berylridged/Main.cpp
@@ -33,7 +33,7 @@
           "berylridged --check --settings a1.json"}}};
 }
 
-SharingPolicy policyOf(const std::string &name)
+SharingPolicy parseSharingPolicy(const std::string &name)
 {
     if (name == "per-node")
         return SharingPolicy::PerNode;
@@ -42,17 +42,18 @@
     return name == "fifo" ? SharingPolicy::Fifo : SharingPolicy::Fleet;
 }
 
-CoreOptions coreOptions(const Settings &settings, WallTime wall)
+CoreOptions coreOptions(const Settings &settings, WallTime startTime)
 {
     CoreOptions options;
     options.node = settings.node;
     options.zone = settings.zone;
     options.endpoint = settings.advertised;
     options.incarnation = static_cast<Incarnation>(
-        std::chrono::duration_cast<std::chrono::microseconds>(wall.time_since_epoch()).count());
+        std::chrono::duration_cast<std::chrono::microseconds>(startTime.time_since_epoch())
+            .count());
     options.seeds = settings.seeds;
     options.chartDirectory = settings.chartDirectory;
-    options.policy = policyOf(settings.sharing);
+    options.policy = parseSharingPolicy(settings.sharing);
     options.heartbeatPeriod = settings.heartbeatPeriod;
     options.suspectAfter = settings.suspectAfter;
     options.leaseTerm = settings.leaseTerm;
@@ -70,36 +71,36 @@
         std::cerr << core.failureReason() << '\n';
         return exitUsageError;
     }
-    RouterCore &decisions = **core;
+    RouterCore &routerCore = **core;
     LogSink log(parseLogLevel(settings.logLevel), log4cplusWriter());
-    AuditTrail trail;
+    AuditTrail auditTrail;
     std::unique_ptr<RouterNode> node;
 
     AdminHooks hooks;
     hooks.node = settings.node;
-    hooks.status = [&] { return decisions.status(); };
-    hooks.explain = [&](const std::string &id) { return decisions.explain(id); };
+    hooks.status = [&] { return routerCore.status(); };
+    hooks.explain = [&](const std::string &id) { return routerCore.explain(id); };
     hooks.leave = [&](const std::string &who) { node->handleNow(LeaveOrdered {who}); };
     hooks.returnToService = [&](const std::string &who) { node->handleNow(ReturnOrdered {who}); };
-    hooks.documents = [&] { return decisions.documents(); };
+    hooks.documents = [&] { return routerCore.documents(); };
     hooks.log = [&](const LogRecord &record) { log.add(record); };
     hooks.wallNow = [&] { return clock.wallNow(); };
-    AdminApi admin(std::move(hooks), trail);
+    AdminApi admin(std::move(hooks), auditTrail);
 
-    Expected<std::unique_ptr<RouterNode>> built
+    Expected<std::unique_ptr<RouterNode>> builtNode
         = RouterNodeBuilder(settings, options.incarnation, log)
-              .core(CoreHandle::of(decisions))
+              .core(CoreHandle::of(routerCore))
               .rpc([&](std::string_view request, bool isOperator) {
                   return admin.handleRpc(request, isOperator);
               })
-              .audit([&](const AuditEntry &entry) { trail.appendChange(entry); })
+              .audit([&](const AuditEntry &entry) { auditTrail.appendChange(entry); })
               .handlesSignals(true)
               .build();
-    if (!built) {
-        std::cerr << built.failureReason() << '\n';
+    if (!builtNode) {
+        std::cerr << builtNode.failureReason() << '\n';
         return exitErrorsFound;
     }
-    node = *std::move(built);
+    node = *std::move(builtNode);
     log.add({LogEventId::NodeStarted,
              settings.node.str() + " zone " + settings.zone.str() + " callers at "
                  + node->callers().address + ':' + std::to_string(node->callers().port)});
--- a/unittests/Platform/ProtocolTest.cpp
+++ b/unittests/Platform/ProtocolTest.cpp
@@ -1,4 +1,4 @@
-// Recorded requests and answers of the platform, as the product's events and facts.
+// Recorded requests and answers of the platform, as the product's events and info.
 #include "PlatformProtocol.h"
 
 #include <gtest/gtest.h>
@@ -23,8 +23,8 @@
     return request;
 }
 
-ResponseHead answer(unsigned status,
-                    std::initializer_list<std::pair<const char *, const char *>> fields)
+ResponseHead makeResponseHead(unsigned status,
+                              std::initializer_list<std::pair<const char *, const char *>> fields)
 {
     ResponseHead head;
     head.result(status);
@@ -33,14 +33,14 @@
     return head;
 }
 
-const AttemptIds names {"9c41", "a", ""};
+const AttemptIds attemptIds {"9c41", "a", ""};
 
 } // namespace
 
-TEST(PlatformProtocol, ReadsARecordedRequest)
+TEST(PlatformProtocol, ParsesRecordedRequest)
 {
-    const auto read = PlatformProtocol().readRequest(recordedStream(), "x");
-    const auto *arrived = std::get_if<RequestArrived>(&read);
+    const auto parsed = PlatformProtocol().readRequest(recordedStream(), "x");
+    const auto *arrived = std::get_if<RequestArrived>(&parsed);
     ASSERT_TRUE(arrived);
     EXPECT_EQ(arrived->requestId, "9c41d07be2a35f68");
     EXPECT_EQ(arrived->host, "ficu95.example");
@@ -55,23 +55,23 @@
     EXPECT_EQ(arrived->prompt->parts[2].tokens, 250U);
 }
 
-TEST(PlatformProtocol, ARequestWithoutAnIdIsRefused)
+TEST(PlatformProtocol, RejectsRequestWithoutId)
 {
     StringRequest request = recordedStream();
     request.erase("Request-Id");
     EXPECT_TRUE(std::holds_alternative<Problem>(PlatformProtocol().readRequest(request, "fresh")));
 }
 
-TEST(PlatformProtocol, UnreadablePromptsAreNoPrompts)
+TEST(PlatformProtocol, RejectsInvalidPrompts)
 {
-    EXPECT_FALSE(platform::readPrompt("m", "x,80", "1:2"));
-    EXPECT_FALSE(platform::readPrompt("m", "10", "1:2"));
-    EXPECT_FALSE(platform::readPrompt("m", "10,80", "1:x"));
-    EXPECT_TRUE(platform::readPrompt("m", "10,80", ""));
+    EXPECT_FALSE(platform::parsePrompt("m", "x,80", "1:2"));
+    EXPECT_FALSE(platform::parsePrompt("m", "10", "1:2"));
+    EXPECT_FALSE(platform::parsePrompt("m", "10,80", "1:x"));
+    EXPECT_TRUE(platform::parsePrompt("m", "10,80", ""));
 }
 
 // A caller tries to give orders to a target, or to speak as another workspace.
-TEST(PlatformProtocol, CallersCannotSetWhatTheRouterSets)
+TEST(PlatformProtocol, DropsFieldsThatOnlyTheRouterSets)
 {
     const PlatformProtocol protocol;
     for (const char *name : {"Tenant", "authorization", "Kv-From", "Pin-Ms", "Kv-Backup",
@@ -81,61 +81,68 @@
         EXPECT_TRUE(protocol.forwardsRequestField(name)) << name;
 }
 
-TEST(PlatformProtocol, TheTargetIsToldWhoAndHowLong)
+TEST(PlatformProtocol, SendsTargetWorkspaceAndDeadline)
 {
-    Dispatch order;
-    order.target = TargetId("i-7f3a91c2");
-    order.workspace = WorkspaceId("hule930");
-    order.timeLeft = 7500ms;
+    Dispatch dispatch;
+    dispatch.target = TargetId("i-7f3a91c2");
+    dispatch.workspace = WorkspaceId("hule930");
+    dispatch.timeLeft = 7500ms;
     RequestHead head;
-    PlatformProtocol().completeRequestHead(recordedStream(), order, {"9c41", "a", "12"}, head);
+    PlatformProtocol().completeRequestHead(recordedStream(), dispatch, {"9c41", "a", "12"}, head);
     EXPECT_EQ(head["Expect-Replica"], "i-7f3a91c2");
     EXPECT_EQ(head["Tenant"], "hule930");
     EXPECT_EQ(head["Deadline-Ms"], "7500");
     EXPECT_EQ(head["Last-Event-Id"], "12");
 }
 
-TEST(PlatformProtocol, OnlySealedAnswersAreTheTargets)
+TEST(PlatformProtocol, AcceptsOnlyResponsesWithReceipt)
 {
     const PlatformProtocol protocol;
     EXPECT_TRUE(
         protocol
-            .readResponseHead(answer(200, {{"Request-Id", "9c41"}, {"Replica-Seal", "s"}}), names)
+            .readResponseHead(
+                makeResponseHead(200, {{"Request-Id", "9c41"}, {"Replica-Seal", "s"}}), attemptIds)
+            .isUsable);
+    EXPECT_FALSE(
+        protocol.readResponseHead(makeResponseHead(200, {{"Request-Id", "9c41"}}), attemptIds)
+            .isUsable);
+    EXPECT_FALSE(
+        protocol
+            .readResponseHead(
+                makeResponseHead(200, {{"Replica-Seal", "s"}, {"Content-Encoding", "gzip"}}),
+                attemptIds)
             .isUsable);
-    EXPECT_FALSE(protocol.readResponseHead(answer(200, {{"Request-Id", "9c41"}}), names).isUsable);
-    EXPECT_FALSE(protocol
-                     .readResponseHead(
-                         answer(200, {{"Replica-Seal", "s"}, {"Content-Encoding", "gzip"}}), names)
-                     .isUsable);
 }
 
-// A late answer to an earlier request stands where the next one is expected.
-TEST(PlatformProtocol, AnswersToOtherRequestsAreKnownByTheirId)
+// A late makeResponseHead to an earlier request stands where the next one is expected.
+TEST(PlatformProtocol, DetectsResponsesToOtherRequests)
 {
-    const ResponseInfo facts = PlatformProtocol().readResponseHead(
-        answer(200, {{"Request-Id", "0000"}, {"Replica-Seal", "s"}}), names);
-    EXPECT_FALSE(facts.isForThisRequest);
+    const ResponseInfo info = PlatformProtocol().readResponseHead(
+        makeResponseHead(200, {{"Request-Id", "0000"}, {"Replica-Seal", "s"}}), attemptIds);
+    EXPECT_FALSE(info.isForThisRequest);
 }
 
-TEST(PlatformProtocol, FailuresSayWhetherTheRequestRan)
+TEST(PlatformProtocol, FailureTellsWhetherTheRequestRan)
 {
     const PlatformProtocol protocol;
-    EXPECT_EQ(protocol.readResponseHead(answer(503, {{"Not-Run", "1"}}), names).failure,
-              AttemptFailure::NotRun);
-    EXPECT_EQ(protocol.readResponseHead(answer(421, {{"Replica-Id", "i-2"}}), names).failure,
+    EXPECT_EQ(
+        protocol.readResponseHead(makeResponseHead(503, {{"Not-Run", "1"}}), attemptIds).failure,
+        AttemptFailure::NotRun);
+    EXPECT_EQ(protocol.readResponseHead(makeResponseHead(421, {{"Replica-Id", "i-2"}}), attemptIds)
+                  .failure,
               AttemptFailure::OtherTarget);
     const ResponseInfo error = protocol.readResponseHead(
-        answer(500, {{"Request-Id", "9c41"}, {"Replica-Seal", "s"}}), names);
+        makeResponseHead(500, {{"Request-Id", "9c41"}, {"Replica-Seal", "s"}}), attemptIds);
     EXPECT_EQ(error.failure, AttemptFailure::TargetError);
     EXPECT_TRUE(error.isRelayable);
     // Passed on, these statuses would promise that the request has not run.
     const ResponseInfo full
-        = protocol.readResponseHead(answer(503, {{"Replica-Seal", "s"}}), names);
+        = protocol.readResponseHead(makeResponseHead(503, {{"Replica-Seal", "s"}}), attemptIds);
     EXPECT_EQ(full.failure, AttemptFailure::TargetError);
     EXPECT_FALSE(full.isRelayable);
 }
 
-TEST(PlatformProtocol, RetryAfterHasFractions)
+TEST(PlatformProtocol, RetryAfterHasFractionsOfSeconds)
 {
     const StringResponse response = PlatformProtocol().buildProblemResponse(
         {503, "full", "no room", Verdict::NotRun, Duration(60ms)}, "9c41");
--- a/unittests/Platform/StoreDecoderTest.cpp
+++ b/unittests/Platform/StoreDecoderTest.cpp
@@ -24,7 +24,7 @@
       R"({"slots":128,"kv_cap_tokens":1026424}},{"name":"s2","max_conns":100}],)"
       R"("limits":{"tokens_per_s":720000},"tenants":[{"name":"w","api_keys":["k1","k2"]}]})";
 
-std::string item(const std::string &key, const std::string &value, int revision)
+std::string storeItem(const std::string &key, const std::string &value, int revision)
 {
     return R"({"key":")" + key + R"(","value":")" + encodeBase64(value) + R"(","rev":)"
         + std::to_string(revision) + "}";
@@ -32,9 +32,9 @@
 
 } // namespace
 
-TEST(StoreDecoder, ReadsARecordedTarget)
+TEST(StoreDecoder, ParsesRecordedTarget)
 {
-    const auto record = readTarget("i-1", 9, recordedTarget);
+    const auto record = parseTargetRecord("i-1", 9, recordedTarget);
     ASSERT_TRUE(record) << record.failureReason();
     EXPECT_EQ(record->id, "i-1");
     EXPECT_EQ(record->revision, 9U);
@@ -47,10 +47,10 @@
 }
 
 // Entries of other writers lie among the targets' own.
-TEST(StoreDecoder, ForeignEntriesNameNoTarget)
+TEST(StoreDecoder, RejectsEntriesThatAreNotTargets)
 {
-    EXPECT_FALSE(readTarget("i", 1, "not json"));
-    EXPECT_FALSE(readTarget("i", 1, "[]"));
+    EXPECT_FALSE(parseTargetRecord("i", 1, "not json"));
+    EXPECT_FALSE(parseTargetRecord("i", 1, "[]"));
     for (const auto &[from, to] :
          {std::pair<std::string, std::string> {R"("state":"ready")", R"("state":"odd")"},
           {R"("slots":128)", R"("slots":"128")"},
@@ -59,13 +59,13 @@
           {R"("cold_left_ms":250)", R"("cold_left_ms":null)"}}) {
         std::string text = recordedTarget;
         text.replace(text.find(from), from.size(), to);
-        EXPECT_FALSE(readTarget("i", 1, text)) << text;
+        EXPECT_FALSE(parseTargetRecord("i", 1, text)) << text;
     }
 }
 
-TEST(StoreDecoder, ReadsARecordedConfiguration)
+TEST(StoreDecoder, ParsesRecordedCatalog)
 {
-    const auto catalog = readCatalog(recordedCatalog);
+    const auto catalog = parseCatalog(recordedCatalog);
     ASSERT_TRUE(catalog) << catalog.failureReason();
     EXPECT_EQ(catalog->version, 7U);
     ASSERT_EQ(catalog->routes.size(), 2U);
@@ -85,49 +85,50 @@
 }
 
 // A kind of request that this release doesn't know must not be repeated.
-TEST(StoreDecoder, AnUnknownKindIsTheStrictest)
+TEST(StoreDecoder, RouteOfUnknownKindIsNotRetryable)
 {
     std::string text = recordedCatalog;
     const std::string from = R"("type":"stream")";
     text.replace(text.find(from), from.size(), R"("type":"newer")");
-    EXPECT_FALSE(readCatalog(text)->routes[0].isRetryable());
+    EXPECT_FALSE(parseCatalog(text)->routes[0].isRetryable());
 }
 
-TEST(StoreDecoder, ReadsAListing)
+TEST(StoreDecoder, ParsesListing)
 {
-    const auto answer = readStoreAnswer(
-        R"({"entries":[)" + item("op/config", recordedCatalog, 3) + ","
-        + item("servers/i-1", recordedTarget, 5) + "," + item("op/evacuate/vn-north-a", "{}", 6)
-        + "," + item("other/key", "x", 7) + R"(],"truncated":true,"as_of":9})");
-    ASSERT_TRUE(answer) << answer.failureReason();
-    EXPECT_EQ(answer->revision, 9U);
-    EXPECT_TRUE(answer->hasMore);
-    EXPECT_EQ(answer->lastKey, "other/key");
-    ASSERT_EQ(answer->items.size(), 4U);
-    EXPECT_TRUE(std::holds_alternative<Catalog>(answer->items[0]));
-    EXPECT_EQ(std::get<TargetRecord>(answer->items[1]).id, "i-1");
-    EXPECT_TRUE(std::get<ZoneRecord>(answer->items[2]).isEvacuated);
-    EXPECT_TRUE(answer->unreadable.empty());
+    const auto response
+        = parseStoreResponse(R"({"entries":[)" + storeItem("op/config", recordedCatalog, 3) + ","
+                             + storeItem("servers/i-1", recordedTarget, 5) + ","
+                             + storeItem("op/evacuate/vn-north-a", "{}", 6) + ","
+                             + storeItem("other/key", "x", 7) + R"(],"truncated":true,"as_of":9})");
+    ASSERT_TRUE(response) << response.failureReason();
+    EXPECT_EQ(response->revision, 9U);
+    EXPECT_TRUE(response->hasMore);
+    EXPECT_EQ(response->lastKey, "other/key");
+    ASSERT_EQ(response->items.size(), 4U);
+    EXPECT_TRUE(std::holds_alternative<Catalog>(response->items[0]));
+    EXPECT_EQ(std::get<TargetRecord>(response->items[1]).id, "i-1");
+    EXPECT_TRUE(std::get<ZoneRecord>(response->items[2]).isEvacuated);
+    EXPECT_TRUE(response->errors.empty());
 }
 
-TEST(StoreDecoder, ReadsAWatch)
+TEST(StoreDecoder, ParsesWatchResponse)
 {
-    const auto answer
-        = readStoreAnswer(R"({"events":[{"key":"servers/i-1","rev":10,"removed":true},)"
-                          R"({"key":"op/evacuate/z","rev":11,"removed":true},)"
-                          + item("servers/i-2", "rubbish", 12) + R"(],"as_of":12})");
-    ASSERT_TRUE(answer) << answer.failureReason();
-    ASSERT_EQ(answer->items.size(), 3U);
-    EXPECT_TRUE(std::get<TargetRecord>(answer->items[0]).isRemoved);
-    EXPECT_FALSE(std::get<ZoneRecord>(answer->items[1]).isEvacuated);
+    const auto response
+        = parseStoreResponse(R"({"events":[{"key":"servers/i-1","rev":10,"removed":true},)"
+                             R"({"key":"op/evacuate/z","rev":11,"removed":true},)"
+                             + storeItem("servers/i-2", "rubbish", 12) + R"(],"as_of":12})");
+    ASSERT_TRUE(response) << response.failureReason();
+    ASSERT_EQ(response->items.size(), 3U);
+    EXPECT_TRUE(std::get<TargetRecord>(response->items[0]).isRemoved);
+    EXPECT_FALSE(std::get<ZoneRecord>(response->items[1]).isEvacuated);
     // What can't be read takes the place of whatever the same id said before.
-    EXPECT_TRUE(std::get<TargetRecord>(answer->items[2]).isRemoved);
-    EXPECT_EQ(answer->unreadable.size(), 1U);
+    EXPECT_TRUE(std::get<TargetRecord>(response->items[2]).isRemoved);
+    EXPECT_EQ(response->errors.size(), 1U);
 }
 
-TEST(StoreDecoder, OtherBodiesAreNoAnswers)
+TEST(StoreDecoder, RejectsOtherBodies)
 {
-    EXPECT_FALSE(readStoreAnswer(""));
-    EXPECT_FALSE(readStoreAnswer(R"({"entries":[]})"));
-    EXPECT_FALSE(readStoreAnswer("null"));
+    EXPECT_FALSE(parseStoreResponse(""));
+    EXPECT_FALSE(parseStoreResponse(R"({"entries":[]})"));
+    EXPECT_FALSE(parseStoreResponse("null"));
 }
