--- a/include/berylridge/Fleet/BalancerMessages.h
+++ b/include/berylridge/Fleet/BalancerMessages.h
@@ -118,8 +118,8 @@
 /// Directory entries that are newer than the receiver's.
 struct DirectoryRelay
 {
-    DirectoryUpdate news;
-    MSGPACK_DEFINE(news)
+    DirectoryUpdate directoryUpdate;
+    MSGPACK_DEFINE(directoryUpdate)
 };
 
 using BalancerMessage
--- a/include/berylridge/Fleet/Membership.h
+++ b/include/berylridge/Fleet/Membership.h
@@ -59,7 +59,7 @@
 class Membership
 {
 public:
-    Membership(const MemberStateMachine &chart, MembershipOptions options, TimePoint now);
+    Membership(const MemberStateMachine &stateMachine, MembershipOptions options, TimePoint now);
 
     void addSeeds(std::span<const VmEntry> seeds);
     /// Returns whether the list was newer than the one in use.
@@ -112,20 +112,20 @@
     /// Returns a counter that rises with each change of a member's state or of a zone's eligible
     /// owners.
     std::uint64_t changeCount() const { return m_changes; }
-    const MemberStateMachine &chart() const { return *m_chart; }
+    const MemberStateMachine &stateMachine() const { return *m_stateMachine; }
 
 private:
     std::vector<NodeId> nodesInState(const ZoneId &zone, MemberState state, TimePoint now) const;
     Member &member(const NodeId &node);
     unsigned heartbeatSlowdown() const;
 
-    void step(Member &member, MemberSignal sign);
+    void step(Member &member, MemberSignal signal);
     void logMemberEvent(LogEventId id, const Member &member);
     void recordEndedIncarnation(const Member &member);
     const Member *counterpart(const ZoneId &zone) const;
     bool isZoneViewFresh(const ZoneId &zone, TimePoint now) const;
 
-    const MemberStateMachine *m_chart;
+    const MemberStateMachine *m_stateMachine;
     MembershipOptions m_options;
     MemberState m_selfState = MemberState::Joining;
     std::map<NodeId, Member> m_members; ///< Excludes this node.
--- a/include/berylridge/Fleet/Messages.h
+++ b/include/berylridge/Fleet/Messages.h
@@ -195,9 +195,9 @@
 {
     PoolId pool = 0;
     TargetHash target = 0;
-    std::uint8_t sign = 0; ///< A TargetSignal (Chart/TargetStateMachine.h).
-    std::string bootId;    ///< Empty if unknown.
-    MSGPACK_DEFINE(pool, target, sign, bootId)
+    std::uint8_t signal = 0; ///< A TargetSignal (Chart/TargetStateMachine.h).
+    std::string bootId;      ///< Empty if unknown.
+    MSGPACK_DEFINE(pool, target, signal, bootId)
 };
 
 /// One flow in a PoolUsage.
--- a/include/berylridge/Idempotency/LivenessView.h
+++ b/include/berylridge/Idempotency/LivenessView.h
@@ -74,7 +74,7 @@
 
     Incarnation latestIncarnation(const NodeId &node) const;
     bool isRunAlive(const NodeId &node, Incarnation incarnation) const;
-    Duration m_silenceLimit;
+    Duration m_livenessTimeout;
     TimePoint m_now;
     std::map<NodeId, KeyMember> m_members;
     std::map<NodeId, LastMessage> m_lastMessages; ///< The last key message of each node.
--- a/include/berylridge/Policy/FlowAccounting.h
+++ b/include/berylridge/Policy/FlowAccounting.h
@@ -41,7 +41,7 @@
     void restore(FlowId flow, double virtualTime, TimePoint now);
 
     /// Records the virtual time of the flow that was selected last.
-    void onChosen(double virtualTime);
+    void onFlowSelected(double virtualTime);
 
     /// Returns the slot time that this pool gave to the flow so far, including work in flight.
     Duration served(FlowId flow, TimePoint now) const;
--- a/include/berylridge/Policy/PoolOwner.h
+++ b/include/berylridge/Policy/PoolOwner.h
@@ -47,7 +47,7 @@
     void onDemand(const NodeId &from, Incarnation incarnation, const PoolDemand &message,
                   TimePoint now);
     void onReturn(const NodeId &from, const PoolReturn &message, TimePoint now);
-    void onTargetReport(const TargetObservation &targetReport, TimePoint now);
+    void onTargetObservation(const TargetObservation &observation, TimePoint now);
     void onLoadReport(TargetHash target, std::string_view bootId, std::uint32_t running,
                       std::uint64_t completed, Duration age, TimePoint now);
     void onPollFailed(TargetHash target, bool isRefused, TimePoint now);
@@ -57,7 +57,7 @@
     /// only after the lease term, since a third node may have acted as the owner in the meantime.
     void takeOver(const PoolHandover &message, TimePoint now);
     /// Handles the end of a node's incarnation: its leases are released and its demand is dropped.
-    void onHolderGone(const NodeId &node, Incarnation incarnation, TimePoint now);
+    void onHolderEnded(const NodeId &node, Incarnation incarnation, TimePoint now);
     /// Adds the service that another pool of the service gave to each flow.
     void onRemoteUsage(const PoolUsage &message);
 
@@ -107,7 +107,7 @@
         Incarnation incarnation = 0;
         std::uint64_t sequence = 0;
         std::int64_t sentAt = 0;
-        TimePoint heardAt;
+        TimePoint demandReceivedAt;
         TimePoint leasesReportedAt;              ///< When it last reported all its leases.
         std::uint64_t lastGrantNumber = 0;       ///< Highest grant number sent to it.
         std::uint64_t lastAcknowledgedGrant = 0; ///< Highest grant number that it has received.
--- a/include/berylridge/Policy/PromptCacheDirectory.h
+++ b/include/berylridge/Policy/PromptCacheDirectory.h
@@ -66,7 +66,7 @@
     /// Records that some node of the fleet sent a request with this prefix to the target.
     void onPromptSent(PrefixKey key, TargetKey target, TimePoint now);
     /// Records that requests of any node added this many tokens to the target's cache.
-    void onTokensRead(TargetKey target, std::uint64_t tokens, TimePoint now);
+    void onTokensWritten(TargetKey target, std::uint64_t tokens, TimePoint now);
     /// Sets the size of the target's cache in tokens; 0 if it is unknown.
     void setCapacity(TargetKey target, std::uint64_t tokens) { m_caches[target].capacity = tokens; }
     /// Removes the target's cached parts, since it lost its cache or is gone.
@@ -85,13 +85,13 @@
     {
         TargetKey target = 0;
         TimePoint usedAt;
-        std::uint64_t tokensReadAtUse = 0; ///< Value of its target's tokensRead.
+        std::uint64_t tokensWrittenAtUse = 0; ///< Value of its target's tokensWritten.
     };
     struct TargetCache
     {
-        std::uint64_t tokensRead = 0; ///< Tokens added to the cache so far.
+        std::uint64_t tokensWritten = 0; ///< Tokens added to the cache so far.
         std::uint64_t capacity = 0;
-        Rate tokensReadPerSecond;
+        Rate tokensWrittenPerSecond;
     };
     struct Part
     {
--- a/include/berylridge/Policy/ServiceQueue.h
+++ b/include/berylridge/Policy/ServiceQueue.h
@@ -65,8 +65,8 @@
     bool remove(FlowId flow, Handle handle);
 
     /// Returns whether matches(flow, waiting) holds for any flow that waits.
-    template <typename IsSuch>
-    bool anyFlow(IsSuch matches) const
+    template <typename Matches>
+    bool anyFlow(Matches matches) const
     {
         return std::any_of(m_waiting.begin(), m_waiting.end(), [&](const auto &entry) {
             return matches(entry.first, entry.second.size());
--- a/include/berylridge/Policy/TargetHealth.h
+++ b/include/berylridge/Policy/TargetHealth.h
@@ -17,8 +17,8 @@
     /// Records that a connection broke or timed out before the response was complete.
     void onConnectionBroken(TimePoint now);
     /// Records an invalid response, or one in which the target reported a failure.
-    void onFailedAnswer(TimePoint now) { countAttempt(1, now); }
-    void onAnswered(TimePoint now);
+    void onFailedResponse(TimePoint now) { countAttempt(1, now); }
+    void onCompleteResponse(TimePoint now);
     /// Records that a probe request was sent to a target that failed to connect; other requests
     /// wait for its result.
     void onProbeStarted(TimePoint now);
--- a/include/berylridge/Policy/TargetLoads.h
+++ b/include/berylridge/Policy/TargetLoads.h
@@ -49,7 +49,7 @@
     struct Remote
     {
         std::vector<RemoteEntry> entries;
-        TimePoint heardAt;
+        TimePoint digestReceivedAt;
     };
 
     void subtract(const Remote &remote);
--- a/include/berylridge/Policy/WorkspaceShares.h
+++ b/include/berylridge/Policy/WorkspaceShares.h
@@ -105,7 +105,7 @@
     struct Remote
     {
         RemoteDigest digest;
-        TimePoint heardAt;
+        TimePoint digestReceivedAt;
     };
 
     double capacity(double configuredCapacity, TimePoint now);
--- a/include/berylridge/Router/Events.h
+++ b/include/berylridge/Router/Events.h
@@ -188,7 +188,7 @@
 /// Delivers targets and zones as the platform lists them. Relayed ones arrive as a NodeMessage.
 struct DirectoryArrived
 {
-    DirectoryUpdate news;
+    DirectoryUpdate directoryUpdate;
 };
 
 /// Reports that the settings name other seed nodes to contact.
--- a/lib/Balancer/BalancerContext.h
+++ b/lib/Balancer/BalancerContext.h
@@ -1,5 +1,5 @@
-// Holds the state that the parts of the balancer share: options, state charts, current time, active
-// catalog, and the list of actions to perform.
+// Holds the state that the parts of the balancer share: options, state stateMachines, current time,
+// active catalog, and the list of actions to perform.
 #pragma once
 
 #include "berylridge/Balancer/BalancerCore.h"
@@ -15,7 +15,7 @@
 
 namespace berylridge {
 
-struct BalancerCharts
+struct BalancerStateMachines
 {
     NodeStateMachine node;
     RequestStateMachine request;
@@ -24,9 +24,10 @@
 class BalancerContext
 {
 public:
-    BalancerContext(BalancerOptions balancerOptions, BalancerCharts loadedCharts, TimePoint start)
+    BalancerContext(BalancerOptions balancerOptions, BalancerStateMachines loadedStateMachines,
+                    TimePoint start)
         : options(std::move(balancerOptions))
-        , charts(std::move(loadedCharts))
+        , stateMachines(std::move(loadedStateMachines))
         , now(start)
         , peers({options.node, options.zone, options.endpoint, options.seeds})
     {
@@ -39,7 +40,7 @@
     }
 
     const BalancerOptions options;
-    const BalancerCharts charts;
+    const BalancerStateMachines stateMachines;
     TimePoint now;
     Actions *actions = nullptr;
     std::shared_ptr<const RouteTable> routeTable; ///< Null until a catalog is known.
--- a/lib/Balancer/BalancerCore.cpp
+++ b/lib/Balancer/BalancerCore.cpp
@@ -26,13 +26,13 @@
 class BalancerCore::Impl
 {
 public:
-    Impl(BalancerOptions options, BalancerCharts charts, TimePoint now)
-        : m_context(std::move(options), std::move(charts), now)
+    Impl(BalancerOptions options, BalancerStateMachines stateMachines, TimePoint now)
+        : m_context(std::move(options), std::move(stateMachines), now)
         , m_targetSelector(m_context)
         , m_requests(m_context, m_targetSelector)
         , m_reader(m_context)
         , m_gossip(m_context, m_targetSelector, m_requests, m_reader)
-        , m_state(m_context.charts.node.initial())
+        , m_state(m_context.stateMachines.node.initial())
         , m_lastEventAt(now)
         , m_nextDigest(now)
     {
@@ -46,14 +46,14 @@
     void dispatch(const Event &event);
     void onNodeMessage(const NodeMessage &message);
     void onCatalog(std::shared_ptr<const Catalog> catalog, const std::string &source);
-    void onDirectory(const DirectoryUpdate &news, const std::string &source);
+    void onDirectory(const DirectoryUpdate &directoryUpdate, const std::string &source);
     void onPlatformReachability(bool isReachable);
     void onLeave(const std::string &who);
     void runTimers();
     void checkReady();
     void updateReaderRole();
     void checkPlannedStop();
-    void stop(NodeSignal sign);
+    void stop(NodeSignal signal);
 
     BalancerContext m_context;
     TargetSelector m_targetSelector;
@@ -98,7 +98,7 @@
                    [&](const AttemptFailed &e) { m_requests.onFailed(e); },
                    [&](const NodeMessage &e) { onNodeMessage(e); },
                    [&](const CatalogArrived &e) { onCatalog(e.catalog, "platform"); },
-                   [&](const DirectoryArrived &e) { onDirectory(e.news, "platform"); },
+                   [&](const DirectoryArrived &e) { onDirectory(e.directoryUpdate, "platform"); },
                    [&](const PlatformReachability &e) { onPlatformReachability(e.isReachable); },
                    [&](const LeaveOrdered &e) { onLeave(e.who); },
                    [&](const TrafficThreadReport &e) { m_requests.onLag(e); },
@@ -131,7 +131,7 @@
             [&](const PlacementUpdate &m) {
                 m_gossip.onPlacements(message.from, message.incarnation, m);
             },
-            [&](const DirectoryRelay &m) { onDirectory(m.news, message.from.str()); },
+            [&](const DirectoryRelay &m) { onDirectory(m.directoryUpdate, message.from.str()); },
         },
         *balancer);
 }
@@ -148,9 +148,10 @@
     checkReady();
 }
 
-void BalancerCore::Impl::onDirectory(const DirectoryUpdate &news, const std::string &source)
+void BalancerCore::Impl::onDirectory(const DirectoryUpdate &directoryUpdate,
+                                     const std::string &source)
 {
-    if (m_context.directory.apply(news, m_context.now))
+    if (m_context.directory.apply(directoryUpdate, m_context.now))
         m_targetSelector.onDirectory();
     for (const DirectoryChange &change : m_context.directory.takeChanges())
         m_context.log(LogEventId::TargetState,
@@ -170,7 +171,7 @@
 
 void BalancerCore::Impl::onLeave(const std::string &who)
 {
-    if (!m_context.charts.node.step(m_state, NodeSignal::LeaveOrdered))
+    if (!m_context.stateMachines.node.step(m_state, NodeSignal::LeaveOrdered))
         return;
     m_leaveStartedAt = m_context.now;
     m_context.log(LogEventId::NodeLeaving, who);
@@ -181,7 +182,7 @@
 {
     if (!m_context.routeTable || m_context.directory.revision() == 0)
         return;
-    if (!m_context.charts.node.step(m_state, NodeSignal::DocumentsKnown))
+    if (!m_context.stateMachines.node.step(m_state, NodeSignal::DocumentsKnown))
         return;
     m_context.log(LogEventId::NodeReady, m_context.options.node.str());
     m_context.emit(Readiness {true});
@@ -236,9 +237,9 @@
     stop(NodeSignal::LimitReached);
 }
 
-void BalancerCore::Impl::stop(NodeSignal sign)
+void BalancerCore::Impl::stop(NodeSignal signal)
 {
-    m_context.charts.node.step(m_state, sign);
+    m_context.stateMachines.node.step(m_state, signal);
     m_context.log(LogEventId::NodeStopped, m_context.options.node.str());
     m_context.emit(Stopped {});
 }
@@ -252,8 +253,8 @@
     Expected<RequestStateMachine> request = loadRequestStateMachine(options.chartDirectory);
     if (!request)
         return Reason {request.failureReason()};
-    auto impl = std::make_unique<Impl>(std::move(options),
-                                       BalancerCharts {*std::move(node), *std::move(request)}, now);
+    auto impl = std::make_unique<Impl>(
+        std::move(options), BalancerStateMachines {*std::move(node), *std::move(request)}, now);
     return std::unique_ptr<BalancerCore>(new BalancerCore(std::move(impl)));
 }
 
--- a/lib/Balancer/GossipExchange.cpp
+++ b/lib/Balancer/GossipExchange.cpp
@@ -16,7 +16,7 @@
 constexpr std::size_t maxPeersPerDigest = 16;
 constexpr std::size_t maxInterruptedRequestsPerDigest = 16;
 constexpr std::size_t maxPlacementsPerMessage = 80;
-constexpr std::size_t maxReadsPerMessage = 20;
+constexpr std::size_t maxCacheWritesPerMessage = 20;
 /// Placement messages that are sent per period; the rest are sent in later periods.
 constexpr int maxPlacementMessagesPerPeriod = 2;
 /// Each peer receives an interrupted request twice, because a peer that misses it lets the request
@@ -52,8 +52,8 @@
     const unsigned periodsPerRound = m_context.peers.periodsPerRotation();
     for (const PlacementEntry &entry : m_targetSelector.takePlacements())
         m_placements.add(entry, periodsPerRound);
-    for (const TargetCacheWriteEntry &entry : m_targetSelector.takeReads())
-        m_reads.add(entry, periodsPerRound);
+    for (const TargetCacheWriteEntry &entry : m_targetSelector.takeCacheWrites())
+        m_cacheWrites.add(entry, periodsPerRound);
     for (const InterruptedRequestEntry &entry : m_requests.takeInterruptedRequests())
         m_interruptedRequests.add(entry, periodsPerRound * interruptedRequestRounds);
 }
@@ -68,7 +68,7 @@
         const auto count = std::min(maxPlacementsPerMessage, placements.size() - first);
         update.push_back({{begin, begin + static_cast<std::ptrdiff_t>(count)}, {}});
     }
-    std::vector<TargetCacheWriteEntry> cacheWrites = m_reads.take(maxReadsPerMessage);
+    std::vector<TargetCacheWriteEntry> cacheWrites = m_cacheWrites.take(maxCacheWritesPerMessage);
     if (cacheWrites.empty())
         return update;
     if (update.empty())
@@ -138,7 +138,7 @@
         return;
     // Applies the read counters first, because the placements of the same message are newer.
     for (const TargetCacheWriteEntry &entry : update.cacheWrites)
-        m_targetSelector.onRemoteRead(from, incarnation, entry);
+        m_targetSelector.onRemoteCacheWrite(from, incarnation, entry);
     for (const PlacementEntry &entry : update.placements)
         m_targetSelector.onRemotePlacement(entry.prefix, entry.target);
 }
--- a/lib/Balancer/GossipExchange.h
+++ b/lib/Balancer/GossipExchange.h
@@ -46,7 +46,7 @@
     ReaderRole &m_reader;
     std::uint64_t m_digestsSent = 0; ///< Number of digests built so far.
     TransmitLimitedQueue<PlacementEntry> m_placements;
-    TransmitLimitedQueue<TargetCacheWriteEntry> m_reads;
+    TransmitLimitedQueue<TargetCacheWriteEntry> m_cacheWrites;
     TransmitLimitedQueue<InterruptedRequestEntry> m_interruptedRequests;
     /// Time at which each node was last asked for state.
     std::map<NodeId, TimePoint> m_stateRequestedAt;
--- a/lib/Balancer/RequestProcessor.cpp
+++ b/lib/Balancer/RequestProcessor.cpp
@@ -107,12 +107,12 @@
         refuseEarly(event, *refusal);
         return;
     }
-    BalancedRequest &kept = m_requests.emplace(event.handle, std::move(request)).first->second;
-    step(kept, RequestSignal::Enqueued);
-    m_tally.asked(kept, demandOf(kept));
-    m_retries[kept.service->name].onFirstAttempt(m_context.now);
-    if (const auto refusal = placeRequest(kept, true))
-        refuse(kept, *refusal);
+    BalancedRequest &added = m_requests.emplace(event.handle, std::move(request)).first->second;
+    step(added, RequestSignal::Enqueued);
+    m_tally.requested(added, demandOf(added));
+    m_retries[added.service->name].onFirstAttempt(m_context.now);
+    if (const auto refusal = placeRequest(added, true))
+        refuse(added, *refusal);
 }
 
 std::optional<Refusal> RequestProcessor::resolveRequest(BalancedRequest &request,
@@ -185,18 +185,18 @@
                                                         const TargetChoice &choice,
                                                         PlacementStep &step)
 {
-    double ahead = 0;
+    double secondsOver = 0;
     if (request.chain) {
         const WorkspaceKey workspace = request.workspaceKey();
         m_shares.onRequested(workspace, demandOf(request), m_context.now);
-        ahead = m_shares.secondsOverShare(workspace, m_context.now);
+        secondsOver = m_shares.secondsOverShare(workspace, m_context.now);
         step.shareStatus = m_shares.shareStatus(workspace, m_context.now);
     }
-    step.isWithinShare = ahead <= 0;
+    step.isWithinShare = secondsOver <= 0;
     const double target = request.route->latencyTargetMs;
     if (target <= 0)
         return std::nullopt;
-    const double allowed = maxQueueWaitMs({target, choice.readMs, ahead});
+    const double allowed = maxQueueWaitMs({target, choice.readMs, secondsOver});
     step.allowedMs = allowed;
     if (choice.waitMs <= allowed)
         return std::nullopt;
@@ -292,7 +292,7 @@
         return;
     request->verdict = Verdict::Ran;
     m_crashes.clear(request->fingerprint);
-    m_targetSelector.health(request->choice.key).onAnswered(m_context.now);
+    m_targetSelector.health(request->choice.key).onCompleteResponse(m_context.now);
     if (!request->chain)
         m_targetSelector.onResponseCompleted(request->service->name,
                                              m_context.now - request->dispatchedAt);
@@ -353,7 +353,7 @@
     case AttemptFailure::InvalidResponse:
     case AttemptFailure::TargetError:
     case AttemptFailure::NotRun:
-        health.onFailedAnswer(now);
+        health.onFailedResponse(now);
         return;
     }
 }
@@ -439,13 +439,13 @@
         = m_context.routeTable ? m_context.routeTable->catalog().tokensPerSecond : 0;
     m_shares.update(configuredTokensPerSecond, m_context.now);
     m_tally.tick(m_shares.fleet());
-    if (m_shares.isOverloaded() == m_wasFull)
+    if (m_shares.isOverloaded() == m_wasOverloaded)
         return;
-    m_wasFull = m_shares.isOverloaded();
+    m_wasOverloaded = m_shares.isOverloaded();
     Json::Value fields;
     fields["named"] = configuredTokensPerSecond;
     fields["level"] = std::min(m_shares.fleet().fairRate, configuredTokensPerSecond);
-    m_context.log(m_wasFull ? LogEventId::FleetFull : LogEventId::FleetHasRoom, "",
+    m_context.log(m_wasOverloaded ? LogEventId::FleetFull : LogEventId::FleetHasRoom, "",
                   std::move(fields));
 }
 
@@ -479,9 +479,9 @@
     return &found->second;
 }
 
-void RequestProcessor::step(BalancedRequest &request, RequestSignal sign)
+void RequestProcessor::step(BalancedRequest &request, RequestSignal signal)
 {
-    m_context.charts.request.step(request.state, sign);
+    m_context.stateMachines.request.step(request.state, signal);
 }
 
 void RequestProcessor::endAttempt(BalancedRequest &request)
--- a/lib/Balancer/RequestProcessor.h
+++ b/lib/Balancer/RequestProcessor.h
@@ -61,7 +61,7 @@
     void finishFailed(BalancedRequest &request, const AttemptFailed &event);
     void recordInterruptedRequest(const BalancedRequest &request);
     BalancedRequest *find(RequestHandle handle, AttemptNumber attempt);
-    void step(BalancedRequest &request, RequestSignal sign);
+    void step(BalancedRequest &request, RequestSignal signal);
     void endAttempt(BalancedRequest &request);
     void refuse(BalancedRequest &request, const Refusal &refusal);
     void refuseEarly(const RequestArrived &event, const Refusal &refusal);
@@ -80,7 +80,7 @@
         m_interruptedRequests; ///< Entries to be sent with the next digest.
     RandomEngine m_random;
     TimePoint m_lastArrival {};
-    bool m_wasFull = false;
+    bool m_wasOverloaded = false;
     bool m_isRejectingNewRequests = false;
 };
 
--- a/lib/Balancer/TargetSelector.cpp
+++ b/lib/Balancer/TargetSelector.cpp
@@ -24,7 +24,7 @@
 constexpr double serviceSampleWeight = 0.1;
 /// Minimum number of tokens that a target read for this node before it is reported to the other
 /// nodes: about one percent of an engine's memory.
-constexpr std::uint32_t minReportedReadTokens = 8192;
+constexpr std::uint32_t minReportedWrittenTokens = 8192;
 /// Maximum number of nodes that may send to the same cold target. Besides its part of the rate,
 /// each node may send one request at any moment: 74 nodes exceeded a rate of 16 requests a second,
 /// eight nodes stay below it.
@@ -174,7 +174,7 @@
         return true;
     const std::uint32_t writtenTokens = choice.tokens + chain->outputTokens;
     m_prompts.setCapacity(choice.key, service.engineTokens);
-    m_prompts.onTokensRead(choice.key, writtenTokens, now);
+    m_prompts.onTokensWritten(choice.key, writtenTokens, now);
     target.writtenTokens += writtenTokens;
     // Skips the last part, which belongs to this request alone and can't be reused by others.
     for (std::size_t i = 0; i < sharedLinkCount(*chain); ++i) {
@@ -216,28 +216,28 @@
     found->second += (toSeconds(duration) * 1000 - found->second) * serviceSampleWeight;
 }
 
-std::vector<TargetCacheWriteEntry> TargetSelector::takeReads()
+std::vector<TargetCacheWriteEntry> TargetSelector::takeCacheWrites()
 {
-    std::vector<TargetCacheWriteEntry> reads;
+    std::vector<TargetCacheWriteEntry> cacheWrites;
     for (auto &[key, target] : m_targets) {
-        if (target.writtenTokens - target.writtenTokensReported < minReportedReadTokens)
+        if (target.writtenTokens - target.writtenTokensReported < minReportedWrittenTokens)
             continue;
         target.writtenTokensReported = target.writtenTokens;
-        reads.push_back({key, target.writtenTokens});
+        cacheWrites.push_back({key, target.writtenTokens});
     }
-    return reads;
+    return cacheWrites;
 }
 
-void TargetSelector::onRemoteRead(const NodeId &node, Incarnation incarnation,
-                                  const TargetCacheWriteEntry &entry)
+void TargetSelector::onRemoteCacheWrite(const NodeId &node, Incarnation incarnation,
+                                        const TargetCacheWriteEntry &entry)
 {
-    RemoteRead &known = m_remoteReads[{node, entry.target}];
+    RemoteCacheWrite &known = m_remoteCacheWrites[{node, entry.target}];
     const bool isSame = known.incarnation == incarnation;
     // The counters wrap around; their unsigned difference stays correct.
     const std::uint32_t since
         = isSame ? entry.writtenTokens - known.writtenTokens : entry.writtenTokens;
     known = {incarnation, entry.writtenTokens};
-    m_prompts.onTokensRead(entry.target, since, m_context.now);
+    m_prompts.onTokensWritten(entry.target, since, m_context.now);
 }
 
 void TargetSelector::onRemotePlacement(PrefixKey part, TargetKey target)
--- a/lib/Balancer/TargetSelector.h
+++ b/lib/Balancer/TargetSelector.h
@@ -58,8 +58,8 @@
     void onResponseCompleted(const std::string &service, Duration duration);
 
     void onRemotePlacement(PrefixKey part, TargetKey target);
-    void onRemoteRead(const NodeId &node, Incarnation incarnation,
-                      const TargetCacheWriteEntry &entry);
+    void onRemoteCacheWrite(const NodeId &node, Incarnation incarnation,
+                            const TargetCacheWriteEntry &entry);
     /// Discards the cached prompts of targets that have restarted or been removed.
     void onDirectory();
     void expire();
@@ -70,7 +70,7 @@
     std::vector<PlacementEntry> takePlacements() { return std::exchange(m_newPlacements, {}); }
     /// Returns the counters of tokens that targets read for this node where they have grown enough
     /// to be reported to the other nodes.
-    std::vector<TargetCacheWriteEntry> takeReads();
+    std::vector<TargetCacheWriteEntry> takeCacheWrites();
 
 private:
     struct Target
@@ -87,7 +87,7 @@
         /// Value of `writtenTokens` last reported to the other nodes.
         std::uint32_t writtenTokensReported = 0;
     };
-    struct RemoteRead
+    struct RemoteCacheWrite
     {
         Incarnation incarnation = 0;
         std::uint32_t writtenTokens = 0;
@@ -108,7 +108,7 @@
     PromptCacheDirectory m_prompts;
     std::unordered_map<std::string, double> m_serviceMs; ///< Moving average by service.
     std::vector<PlacementEntry> m_newPlacements;
-    std::map<std::pair<NodeId, TargetKey>, RemoteRead> m_remoteReads;
+    std::map<std::pair<NodeId, TargetKey>, RemoteCacheWrite> m_remoteCacheWrites;
 };
 
 } // namespace berylridge
--- a/lib/Balancer/WorkspaceTally.cpp
+++ b/lib/Balancer/WorkspaceTally.cpp
@@ -28,7 +28,7 @@
 
 } // namespace
 
-void WorkspaceTally::asked(const BalancedRequest &request, double tokens)
+void WorkspaceTally::requested(const BalancedRequest &request, double tokens)
 {
     Entry &entry = m_entries[request.workspace.str()];
     ++entry.requests;
--- a/lib/Balancer/WorkspaceTally.h
+++ b/lib/Balancer/WorkspaceTally.h
@@ -23,7 +23,7 @@
     {
     }
 
-    void asked(const BalancedRequest &request, double tokens);
+    void requested(const BalancedRequest &request, double tokens);
     void admitted(const BalancedRequest &request, double tokens);
     void refused(const BalancedRequest &request, const char *type);
     /// Counts a request that was refused for exceeding its workspace's share although the targets
--- a/lib/Fleet/Membership.cpp
+++ b/lib/Fleet/Membership.cpp
@@ -31,8 +31,9 @@
 
 } // namespace
 
-Membership::Membership(const MemberStateMachine &chart, MembershipOptions options, TimePoint now)
-    : m_chart(&chart)
+Membership::Membership(const MemberStateMachine &stateMachine, MembershipOptions options,
+                       TimePoint now)
+    : m_stateMachine(&stateMachine)
     , m_options(std::move(options))
 {
     m_zoneLastMessageAt[m_options.zone] = now;
@@ -250,11 +251,11 @@
     // Nodes of other zones that chose this node as their counterpart need an answer. Without it
     // they would consider this node silent and choose another one.
     for (auto &[node, entry] : m_members) {
-        const bool asksForAnswer = entry.zone != m_options.zone && entry.hasDirectContact
+        const bool needsResponse = entry.zone != m_options.zone && entry.hasDirectContact
             && now - entry.lastMessageAt < 2 * crossZoneHeartbeatPeriod
             && entry.lastHeartbeatAt < entry.lastMessageAt
             && now - entry.lastHeartbeatAt >= crossZoneHeartbeatPeriod;
-        if (!asksForAnswer)
+        if (!needsResponse)
             continue;
         entry.lastHeartbeatAt = now;
         due.push_back(entry);
@@ -417,10 +418,10 @@
     return std::max(1U, (nodeCountInZone() + fullRateZoneNodes - 1) / fullRateZoneNodes);
 }
 
-void Membership::step(Member &member, MemberSignal sign)
+void Membership::step(Member &member, MemberSignal signal)
 {
     const MemberState before = member.state;
-    if (!m_chart->step(member.state, sign))
+    if (!m_stateMachine->step(member.state, signal))
         return;
     ++m_changes;
     switch (member.state) {
--- a/lib/Idempotency/LivenessView.cpp
+++ b/lib/Idempotency/LivenessView.cpp
@@ -16,7 +16,7 @@
 } // namespace
 
 LivenessView::LivenessView(const NodeRun &self, Duration livenessTimeout)
-    : m_silenceLimit(livenessTimeout)
+    : m_livenessTimeout(livenessTimeout)
 {
     // The start of this run proves that the node's earlier runs have terminated.
     if (self.incarnation != 0)
@@ -87,7 +87,7 @@
     }
     const auto lastMessage = m_lastMessages.find(node);
     return lastMessage != m_lastMessages.end() && lastMessage->second.incarnation == incarnation
-        && m_now - lastMessage->second.at < m_silenceLimit;
+        && m_now - lastMessage->second.at < m_livenessTimeout;
 }
 
 bool LivenessView::isProvenTerminated(const NodeRun &run) const
--- a/lib/Policy/FlowAccounting.cpp
+++ b/lib/Policy/FlowAccounting.cpp
@@ -82,7 +82,7 @@
     state.virtualTimeOffset += std::max(0.0, virtualTime - this->virtualTime(flow, now));
 }
 
-void FlowAccounting::onChosen(double virtualTime)
+void FlowAccounting::onFlowSelected(double virtualTime)
 {
     m_systemVirtualTime = std::max(m_systemVirtualTime, virtualTime);
 }
--- a/lib/Policy/PoolOwner.cpp
+++ b/lib/Policy/PoolOwner.cpp
@@ -66,7 +66,7 @@
     if (incarnation < holder.incarnation)
         return;
     if (incarnation > holder.incarnation) {
-        onHolderGone(from, holder.incarnation, now);
+        onHolderEnded(from, holder.incarnation, now);
         m_holders[from] = Holder();
         m_holders[from].incarnation = incarnation;
     }
@@ -75,7 +75,7 @@
         return;
     current.sequence = message.sequence;
     current.sentAt = message.sentAt;
-    current.heardAt = now;
+    current.demandReceivedAt = now;
     acknowledgeGrants(from, current, message);
     if (message.hasHeldList)
         reconcile(from, current, message, now);
@@ -227,13 +227,13 @@
     }
 }
 
-void PoolOwner::onTargetReport(const TargetObservation &targetReport, TimePoint now)
+void PoolOwner::onTargetObservation(const TargetObservation &observation, TimePoint now)
 {
-    const auto target = m_targets.find(targetReport.target);
+    const auto target = m_targets.find(observation.target);
     if (target == m_targets.end())
         return;
-    if (target->second.capacity.onSignal(static_cast<TargetSignal>(targetReport.sign),
-                                         targetReport.bootId, now))
+    if (target->second.capacity.onSignal(static_cast<TargetSignal>(observation.signal),
+                                         observation.bootId, now))
         target->second.capacity.nextPoll = now;
 }
 
@@ -252,7 +252,7 @@
         found->second.capacity.onPollFailed(isRefused, now);
 }
 
-void PoolOwner::onHolderGone(const NodeId &node, Incarnation incarnation, TimePoint now)
+void PoolOwner::onHolderEnded(const NodeId &node, Incarnation incarnation, TimePoint now)
 {
     for (auto lease = m_leases.begin(); lease != m_leases.end();) {
         const auto next = std::next(lease);
@@ -312,8 +312,9 @@
     // before it could report.
     if (!lease.isConfirmed && isKnown && holder->second.leasesReportedAt > lease.startDeadline)
         return true;
-    const bool isHeard = isKnown && now - holder->second.heardAt <= holderSilenceTimeout;
-    if (isHeard)
+    const bool isHolderResponsive
+        = isKnown && now - holder->second.demandReceivedAt <= holderSilenceTimeout;
+    if (isHolderResponsive)
         return false;
     // The holder is silent: paused, partitioned, or lost with its VM. Its request may still run on
     // the target. The target's own report shows this if it was made after the holder was last heard
--- a/lib/Policy/PoolOwnerGrants.cpp
+++ b/lib/Policy/PoolOwnerGrants.cpp
@@ -70,7 +70,7 @@
         ++m_targets.at(*target).occupied;
         lease.isInFlight = true;
         ++m_inFlightGrants[{choice->node, choice->flow}];
-        m_accounting.onChosen(choice->virtualTime);
+        m_accounting.onFlowSelected(choice->virtualTime);
         m_accounting.markActive(choice->flow, now);
         m_accounting.begin(choice->flow, lease.estimate, now);
         m_history.onLeaseGranted(choice->node, choice->flow, lease.estimate);
@@ -149,7 +149,7 @@
     std::optional<FlowChoice> best;
     SchedulingKey bestKey;
     for (const auto &[node, holder] : m_holders) {
-        if (now - holder.heardAt > demandLifetime)
+        if (now - holder.demandReceivedAt > demandLifetime)
             continue;
         for (const auto &[flow, want] : holder.demands) {
             if (ungrantedRequests(node, want) == 0 || skipped.contains({node, flow}))
@@ -158,7 +158,7 @@
             candidate.node = &node;
             candidate.flow = flow;
             candidate.virtualTime = m_accounting.virtualTime(flow, now);
-            candidate.age = fromMilliseconds(want.oldestMs) + (now - holder.heardAt);
+            candidate.age = fromMilliseconds(want.oldestMs) + (now - holder.demandReceivedAt);
             const SchedulingKey key
                 = std::visit([&](const auto &policy) { return policy.key(candidate, m_history); },
                              m_options.policy);
--- a/lib/Policy/PromptCacheDirectory.cpp
+++ b/lib/Policy/PromptCacheDirectory.cpp
@@ -48,18 +48,18 @@
     part.uses.add(1, now);
     const auto found = std::find_if(part.copies.begin(), part.copies.end(),
                                     [&](const Copy &each) { return each.target == target; });
-    const std::uint64_t tokensRead = m_caches[target].tokensRead;
+    const std::uint64_t tokensWritten = m_caches[target].tokensWritten;
     if (found != part.copies.end())
-        *found = {target, now, tokensRead};
+        *found = {target, now, tokensWritten};
     else
-        part.copies.push_back({target, now, tokensRead});
+        part.copies.push_back({target, now, tokensWritten});
 }
 
-void PromptCacheDirectory::onTokensRead(TargetKey target, std::uint64_t tokens, TimePoint now)
+void PromptCacheDirectory::onTokensWritten(TargetKey target, std::uint64_t tokens, TimePoint now)
 {
     TargetCache &cache = m_caches[target];
-    cache.tokensRead += tokens;
-    cache.tokensReadPerSecond.add(static_cast<double>(tokens), now);
+    cache.tokensWritten += tokens;
+    cache.tokensWrittenPerSecond.add(static_cast<double>(tokens), now);
 }
 
 void PromptCacheDirectory::forgetTarget(TargetKey target)
@@ -100,7 +100,7 @@
     if (found == m_caches.end() || found->second.capacity == 0)
         return true;
     const TargetCache &cache = found->second;
-    const auto since = static_cast<double>(cache.tokensRead - copy.tokensReadAtUse);
+    const auto since = static_cast<double>(cache.tokensWritten - copy.tokensWrittenAtUse);
     return since < usableCacheFraction * static_cast<double>(cache.capacity);
 }
 
@@ -129,7 +129,7 @@
         return toSeconds(maxCacheLifetime);
     const TargetCache &cache = found->second;
     const double room = usableCacheFraction * static_cast<double>(cache.capacity);
-    const double rate = std::max(1.0, cache.tokensReadPerSecond.at(now));
+    const double rate = std::max(1.0, cache.tokensWrittenPerSecond.at(now));
     return std::min(room / rate, toSeconds(maxCacheLifetime));
 }
 
--- a/lib/Policy/TargetCapacity.cpp
+++ b/lib/Policy/TargetCapacity.cpp
@@ -75,8 +75,8 @@
 void TargetCapacity::onCompleted(std::uint32_t count, std::string_view bootId, TimePoint now)
 {
     // A return that was in flight while its boot crashed does not show that the boot still runs.
-    const bool isOfDeadBoot = m_isDown && (bootId.empty() || bootId == m_bootId);
-    if (count == 0 || isOfDeadBoot || hasEnded(bootId))
+    const bool isOfEndedBoot = m_isDown && (bootId.empty() || bootId == m_bootId);
+    if (count == 0 || isOfEndedBoot || hasEnded(bootId))
         return;
     confirmBoot(bootId, now);
     // The target's report counts the same responses, so the two are never added up.
--- a/lib/Policy/TargetHealth.cpp
+++ b/lib/Policy/TargetHealth.cpp
@@ -35,7 +35,7 @@
     countAttempt(1, now);
 }
 
-void TargetHealth::onAnswered(TimePoint now)
+void TargetHealth::onCompleteResponse(TimePoint now)
 {
     m_failedConnects = 0;
     m_backoffUntil = {};
--- a/lib/Policy/TargetLoads.cpp
+++ b/lib/Policy/TargetLoads.cpp
@@ -34,7 +34,7 @@
     Remote &remote = m_remotes[node];
     subtract(remote);
     remote.entries = std::move(entries);
-    remote.heardAt = now;
+    remote.digestReceivedAt = now;
     for (const RemoteEntry &entry : remote.entries) {
         TargetLoad &sum = m_remoteSums[entry.target];
         sum.running += entry.load.running;
@@ -54,7 +54,7 @@
 void TargetLoads::expire(TimePoint now)
 {
     std::erase_if(m_remotes, [&](const auto &entry) {
-        const bool isOld = now - entry.second.heardAt > digestLifetime;
+        const bool isOld = now - entry.second.digestReceivedAt > digestLifetime;
         if (isOld)
             subtract(entry.second);
         return isOld;
--- a/lib/Policy/WorkspaceShares.cpp
+++ b/lib/Policy/WorkspaceShares.cpp
@@ -90,7 +90,7 @@
     std::unordered_map<WorkspaceKey, Sample> samples;
     std::size_t sampled = 0;
     for (const auto &[node, remote] : m_remotes) {
-        const bool isNew = remote.heardAt > m_updatedAt;
+        const bool isNew = remote.digestReceivedAt > m_updatedAt;
         sampled += isNew ? 1 : 0;
         for (const Flow &flow : remote.digest.flows) {
             add(flow, known[flow.workspace]);
@@ -118,8 +118,9 @@
 
 void WorkspaceShares::update(double configuredCapacity, TimePoint now)
 {
-    std::erase_if(m_remotes,
-                  [&](const auto &entry) { return now - entry.second.heardAt > digestLifetime; });
+    std::erase_if(m_remotes, [&](const auto &entry) {
+        return now - entry.second.digestReceivedAt > digestLifetime;
+    });
     const FlowMap fleet = fleetFlows(now);
     m_updatedAt = now;
     std::vector<double> demands;
--- a/lib/Router/CoreContext.cpp
+++ b/lib/Router/CoreContext.cpp
@@ -4,7 +4,7 @@
 
 namespace berylridge {
 
-Expected<Charts> Charts::load(const std::string &directory)
+Expected<StateMachines> StateMachines::load(const std::string &directory)
 {
     Expected<MemberStateMachine> member = loadMemberStateMachine(directory);
     if (!member)
@@ -18,16 +18,17 @@
     Expected<TargetStateMachine> target = loadTargetStateMachine(directory);
     if (!target)
         return Reason {target.failureReason()};
-    return Charts {*std::move(member), *std::move(node), *std::move(request), *std::move(target)};
+    return StateMachines {*std::move(member), *std::move(node), *std::move(request),
+                          *std::move(target)};
 }
 
-CoreContext::CoreContext(CoreOptions coreOptions, Charts loadedCharts, TimePoint start,
-                         WallTime wallStart)
+CoreContext::CoreContext(CoreOptions coreOptions, StateMachines loadedStateMachines,
+                         TimePoint start, WallTime wallStart)
     : options(std::move(coreOptions))
-    , charts(std::move(loadedCharts))
+    , stateMachines(std::move(loadedStateMachines))
     , now(start)
     , wall(wallStart)
-    , membership(charts.member,
+    , membership(stateMachines.member,
                  MembershipOptions {options.node, options.zone, options.endpoint,
                                     options.incarnation, options.heartbeatPeriod,
                                     options.suspectAfter},
@@ -60,7 +61,7 @@
     emit(SendToNode {to, member->endpoint, std::move(message)});
 }
 
-bool isZoneOut(const FleetDocument &fleet, const ZoneId &zone)
+bool isZoneOutOfService(const FleetDocument &fleet, const ZoneId &zone)
 {
     return std::find(fleet.zonesOut.begin(), fleet.zonesOut.end(), zone) != fleet.zonesOut.end();
 }
--- a/lib/Router/CoreContext.h
+++ b/lib/Router/CoreContext.h
@@ -21,20 +21,21 @@
 using AnyMessage = std::variant<FleetMessage, KeyMessage, BalancerMessage>;
 
 /// Holds all state machines, loaded once at the start.
-struct Charts
+struct StateMachines
 {
     MemberStateMachine member;
     NodeStateMachine node;
     RequestStateMachine request;
     TargetStateMachine target;
 
-    static Expected<Charts> load(const std::string &directory);
+    static Expected<StateMachines> load(const std::string &directory);
 };
 
 class CoreContext
 {
 public:
-    CoreContext(CoreOptions coreOptions, Charts loadedCharts, TimePoint start, WallTime wallStart);
+    CoreContext(CoreOptions coreOptions, StateMachines loadedStateMachines, TimePoint start,
+                WallTime wallStart);
 
     void emit(Action action) { actions->push_back(std::move(action)); }
     void log(LogEventId id, std::string detail);
@@ -46,7 +47,7 @@
     bool isSelf(const NodeId &node) const { return node == options.node; }
 
     const CoreOptions options;
-    const Charts charts;
+    const StateMachines stateMachines;
     TimePoint now;
     WallTime wall;
     Actions *actions = nullptr;
@@ -56,6 +57,6 @@
 };
 
 /// Returns whether operators have taken the zone out of service.
-bool isZoneOut(const FleetDocument &fleet, const ZoneId &zone);
+bool isZoneOutOfService(const FleetDocument &fleet, const ZoneId &zone);
 
 } // namespace berylridge
--- a/lib/Router/FleetSync.cpp
+++ b/lib/Router/FleetSync.cpp
@@ -25,7 +25,7 @@
 
 FleetSync::FleetSync(CoreContext &context)
     : m_context(context)
-    , m_state(context.charts.node.initial())
+    , m_state(context.stateMachines.node.initial())
     , m_startedAt(context.now)
 {
 }
@@ -172,7 +172,7 @@
     if (m_state == NodeState::Leaving || m_state == NodeState::Stopped)
         return;
     m_context.audit(AuditKind::NodeState, who, m_context.options.node.str(),
-                    m_context.charts.node.name(m_state), "leaving");
+                    m_context.stateMachines.node.name(m_state), "leaving");
     m_leavingSince = m_context.now;
     step(NodeSignal::LeaveOrdered);
     m_context.log(LogEventId::NodeLeaving, "by " + who);
@@ -239,7 +239,7 @@
 {
     status.node = m_context.options.node;
     status.zone = m_context.options.zone;
-    status.state = m_context.charts.node.name(m_state);
+    status.state = m_context.stateMachines.node.name(m_state);
     status.incarnation = m_context.options.incarnation;
     status.isReader = m_isReader;
     status.vmListRevision = m_context.membership.vmList().revision;
@@ -249,7 +249,7 @@
         MemberStatus entry;
         entry.node = node;
         entry.zone = member.zone;
-        entry.state = m_context.charts.member.name(member.state);
+        entry.state = m_context.stateMachines.member.name(member.state);
         entry.incarnation = member.incarnation;
         entry.silentSeconds
             = member.hasDirectContact ? toSeconds(m_context.now - member.lastMessageAt) : -1;
@@ -259,7 +259,7 @@
 
 void FleetSync::step(NodeSignal signal)
 {
-    if (!m_context.charts.node.step(m_state, signal))
+    if (!m_context.stateMachines.node.step(m_state, signal))
         return;
     m_context.membership.setSelfState(memberState());
 }
@@ -341,9 +341,9 @@
 void FleetSync::announce()
 {
     for (const auto &[node, member] : m_context.membership.members()) {
-        const bool isNear = member.zone == m_context.options.zone;
-        const bool isHeard = member.hasDirectContact && member.state != MemberState::Gone;
-        if (isNear || isHeard)
+        const bool isOwnZone = member.zone == m_context.options.zone;
+        const bool isInContact = member.hasDirectContact && member.state != MemberState::Gone;
+        if (isOwnZone || isInContact)
             sendHeartbeat(member);
     }
 }
--- a/lib/Router/PoolManager.cpp
+++ b/lib/Router/PoolManager.cpp
@@ -32,15 +32,15 @@
 
 } // namespace
 
-PoolManager::PoolManager(CoreContext &context, LeaseConsumer &user)
+PoolManager::PoolManager(CoreContext &context, LeaseConsumer &leaseConsumer)
     : m_context(context)
-    , m_leaseConsumer(user)
+    , m_leaseConsumer(leaseConsumer)
 {
 }
 
 void PoolManager::onDocuments()
 {
-    std::map<PoolId, ManagedPool> kept;
+    std::map<PoolId, ManagedPool> updatedPools;
     m_byService.clear();
     m_targetPool.clear();
     m_openTargetCounts.clear();
@@ -62,15 +62,15 @@
             if (entry.poolOwner)
                 configureOwner(entry);
             ids.push_back(id);
-            kept.emplace(id, std::move(entry));
+            updatedPools.emplace(id, std::move(entry));
         }
         const std::string &node = m_context.options.node.str();
         std::sort(ids.begin(), ids.end(), [&](PoolId a, PoolId b) {
-            return rendezvousWeight(kept.at(a).pool.name, node)
-                > rendezvousWeight(kept.at(b).pool.name, node);
+            return rendezvousWeight(updatedPools.at(a).pool.name, node)
+                > rendezvousWeight(updatedPools.at(b).pool.name, node);
         });
     }
-    m_pools = std::move(kept);
+    m_pools = std::move(updatedPools);
     onMembers();
 }
 
@@ -106,13 +106,13 @@
     }
 }
 
-void PoolManager::onEndedRuns(const std::vector<EndedIncarnation> &runs)
+void PoolManager::onEndedIncarnations(const std::vector<EndedIncarnation> &incarnations)
 {
     for (auto &[id, entry] : m_pools) {
         if (!entry.poolOwner)
             continue;
-        for (const EndedIncarnation &run : runs)
-            entry.poolOwner->onHolderGone(run.node, run.incarnation, m_context.now);
+        for (const EndedIncarnation &ended : incarnations)
+            entry.poolOwner->onHolderEnded(ended.node, ended.incarnation, m_context.now);
         entry.needsGrant = true;
     }
 }
@@ -165,12 +165,12 @@
     found->second.needsGrant = true;
 }
 
-void PoolManager::onTargetReport(const TargetObservation &message)
+void PoolManager::onTargetObservation(const TargetObservation &message)
 {
     const auto found = m_pools.find(message.pool);
     if (found == m_pools.end() || !found->second.poolOwner)
         return;
-    found->second.poolOwner->onTargetReport(message, m_context.now);
+    found->second.poolOwner->onTargetObservation(message, m_context.now);
     found->second.needsGrant = true;
 }
 
@@ -240,8 +240,8 @@
     const auto found = m_pools.find(pool);
     if (found == m_pools.end() || found->second.owner.isEmpty())
         return;
-    TargetObservation news {pool, target, static_cast<std::uint8_t>(signal), bootId};
-    m_context.send(found->second.owner, FleetMessage(std::move(news)));
+    TargetObservation observation {pool, target, static_cast<std::uint8_t>(signal), bootId};
+    m_context.send(found->second.owner, FleetMessage(std::move(observation)));
 }
 
 void PoolManager::flush()
@@ -251,7 +251,7 @@
         const ServiceQueue *queue = m_leaseConsumer.queue(service);
         if (!queue || queue->size() == 0)
             continue;
-        for (ManagedPool *entry : poolsToAsk(service)) {
+        for (ManagedPool *entry : poolsForDemand(service)) {
             if (queue->anyFlow([&](FlowId flow, std::size_t waiting) {
                     return entry->holder.isOwnerViewStale(flow, waiting);
                 })) {
@@ -349,7 +349,7 @@
 
 void PoolManager::becomeOwner(ManagedPool &entry)
 {
-    entry.poolOwner.emplace(m_context.charts.target,
+    entry.poolOwner.emplace(m_context.stateMachines.target,
                             PoolOwnerOptions {m_context.options.incarnation,
                                               m_context.options.leaseTerm,
                                               schedulingPolicyFor(m_context.options.policy)},
@@ -409,7 +409,7 @@
 
 bool PoolManager::acceptsNewWork(const Pool &pool, const TargetSpec &target) const
 {
-    return !target.isLeaving && !isZoneOut(*m_context.documents.fleet(), pool.zone)
+    return !target.isLeaving && !isZoneOutOfService(*m_context.documents.fleet(), pool.zone)
         && !m_context.membership.isVmLeaving(target.target.str());
 }
 
--- a/lib/Router/PoolManager.h
+++ b/lib/Router/PoolManager.h
@@ -39,13 +39,13 @@
 class PoolManager
 {
 public:
-    PoolManager(CoreContext &context, LeaseConsumer &user);
+    PoolManager(CoreContext &context, LeaseConsumer &leaseConsumer);
 
     /// Applies a change of the active documents or of the VM list.
     void onDocuments();
     /// Recomputes the owners after a change of members or of their states.
     void onMembers();
-    void onEndedRuns(const std::vector<EndedIncarnation> &runs);
+    void onEndedIncarnations(const std::vector<EndedIncarnation> &incarnations);
     /// Drops outdated state after a pause of the process: leases have expired, and other nodes may
     /// own the pools that this node owned.
     void onProcessResumed();
@@ -53,7 +53,7 @@
     void onDemand(const NodeId &from, Incarnation incarnation, const PoolDemand &message);
     void onGrant(const NodeId &from, Incarnation incarnation, const PoolGrant &message);
     void onReturn(const NodeId &from, const PoolReturn &message);
-    void onTargetReport(const TargetObservation &message);
+    void onTargetObservation(const TargetObservation &message);
     void onRemoteUsage(const PoolUsage &message);
     void onHandover(const PoolHandover &message);
     void onLoadReport(const TargetLoadReport &report);
@@ -111,7 +111,7 @@
     bool isUnfit(const ManagedPool &entry, LeaseId lease) const;
     void returnLease(ManagedPool &entry, LeaseId lease, const std::string &bootId,
                      bool isUnfit = false);
-    std::vector<ManagedPool *> poolsToAsk(const ServiceId &service);
+    std::vector<ManagedPool *> poolsForDemand(const ServiceId &service);
     void sendFullDemand(ManagedPool &entry, const ServiceQueue &queue);
     void sendUrgentDemand(ManagedPool &entry, const ServiceQueue &queue);
     void sendPeriodicDemand(ManagedPool &entry);
--- a/lib/Router/PoolMessages.cpp
+++ b/lib/Router/PoolMessages.cpp
@@ -18,8 +18,8 @@
 /// Maximum number of pools that one node asks for a service's slots. The selection differs per
 /// node, so that each pool is asked by equally many nodes. With fewer pools than the limits, all
 /// are asked.
-constexpr std::size_t nearPoolLimit = 4;
-constexpr std::size_t farPoolLimit = 6;
+constexpr std::size_t ownZonePoolLimit = 4;
+constexpr std::size_t otherZonePoolLimit = 6;
 /// Maximum number of flows in one demand message, so that it fits into a datagram. The flows with
 /// the longest waits come first, so that none is omitted permanently.
 constexpr std::size_t maxFlowsPerDemand = 32;
@@ -29,24 +29,24 @@
 /// Returns the pools that receive demand for the service's waiting requests. At first this is one
 /// pool of this zone. While requests spill, or if this zone has no pool with targets that accept
 /// work, pools of other zones are added, and while requests spill, more pools of this zone.
-std::vector<PoolManager::ManagedPool *> PoolManager::poolsToAsk(const ServiceId &service)
+std::vector<PoolManager::ManagedPool *> PoolManager::poolsForDemand(const ServiceId &service)
 {
     const auto spill = m_spillUntil.find(service);
     const bool isSpilling = spill != m_spillUntil.end() && m_context.now < spill->second;
-    std::vector<ManagedPool *> near;
-    std::vector<ManagedPool *> far;
+    std::vector<ManagedPool *> ownZone;
+    std::vector<ManagedPool *> otherZones;
     for (const PoolId id : m_byService[service]) {
         ManagedPool &entry = m_pools.at(id);
-        const bool isNear = entry.pool.zone == m_context.options.zone;
-        std::vector<ManagedPool *> &chosen = isNear ? near : far;
-        const std::size_t nearLimit = isSpilling ? nearPoolLimit : 1;
-        const std::size_t limit = isNear ? nearLimit : farPoolLimit;
+        const bool isOwnZone = entry.pool.zone == m_context.options.zone;
+        std::vector<ManagedPool *> &chosen = isOwnZone ? ownZone : otherZones;
+        const std::size_t ownZoneLimit = isSpilling ? ownZonePoolLimit : 1;
+        const std::size_t limit = isOwnZone ? ownZoneLimit : otherZonePoolLimit;
         if (chosen.size() < limit && !entry.owner.isEmpty() && entry.openTargetCount > 0)
             chosen.push_back(&entry);
     }
-    if (near.empty() || isSpilling)
-        near.insert(near.end(), far.begin(), far.end());
-    return near;
+    if (ownZone.empty() || isSpilling)
+        ownZone.insert(ownZone.end(), otherZones.begin(), otherZones.end());
+    return ownZone;
 }
 
 void PoolManager::sendFullDemand(ManagedPool &entry, const ServiceQueue &queue)
--- a/lib/Router/RequestCrashes.cpp
+++ b/lib/Router/RequestCrashes.cpp
@@ -94,16 +94,16 @@
 void RequestManager::resendCrashReports()
 {
     for (CrashBroadcast &broadcast : m_crashBroadcasts) {
-        if (broadcast.left == 0 || broadcast.at > m_context.now)
+        if (broadcast.remainingCopies == 0 || broadcast.at > m_context.now)
             continue;
-        --broadcast.left;
+        --broadcast.remainingCopies;
         broadcast.at = m_context.now + crashReportPeriod;
         for (const auto &[node, member] : m_context.membership.members()) {
             if (member.state != MemberState::Gone)
-                m_context.send(node, FleetMessage(broadcast.news));
+                m_context.send(node, FleetMessage(broadcast.crashReport));
         }
     }
-    while (!m_crashBroadcasts.empty() && m_crashBroadcasts.front().left == 0)
+    while (!m_crashBroadcasts.empty() && m_crashBroadcasts.front().remainingCopies == 0)
         m_crashBroadcasts.pop_front();
 }
 
@@ -124,10 +124,10 @@
     refuse(request, crashingRefusal(502, request.fingerprint));
 }
 
-void RequestManager::onCrashReport(const CrashReport &news)
+void RequestManager::onCrashReport(const CrashReport &crashReport)
 {
-    m_crashes.add(news.fingerprint, news.boot, m_context.now);
-    refuseCrashingRequests(news.fingerprint);
+    m_crashes.add(crashReport.fingerprint, crashReport.boot, m_context.now);
+    refuseCrashingRequests(crashReport.fingerprint);
 }
 
 /// Refuses waiting requests with a blocked fingerprint, which would crash the next target.
--- a/lib/Router/RequestManager.cpp
+++ b/lib/Router/RequestManager.cpp
@@ -404,7 +404,7 @@
 
 void RequestManager::step(Request &request, RequestSignal signal)
 {
-    m_context.charts.request.step(request.state, signal);
+    m_context.stateMachines.request.step(request.state, signal);
 }
 
 void RequestManager::addTrace(Request &request, const char *what, std::string detail)
--- a/lib/Router/RequestManager.h
+++ b/lib/Router/RequestManager.h
@@ -36,7 +36,7 @@
     void onFailed(const AttemptFailed &event);
     void onLoadReport(const TargetLoadReport &report);
     void onPollFailed(const TargetPollFailed &failure);
-    void onCrashReport(const CrashReport &news);
+    void onCrashReport(const CrashReport &crashReport);
     void onDocuments();
 
     void onKeyMessage(const NodeId &from, Incarnation incarnation, const KeyMessage &message);
@@ -125,9 +125,9 @@
     /// Holds a crash report that must be sent to all nodes again.
     struct CrashBroadcast
     {
-        CrashReport news;
+        CrashReport crashReport;
         TimePoint at;
-        int left = 0;
+        int remainingCopies = 0;
     };
     std::deque<CrashBroadcast> m_crashBroadcasts;
     std::map<NodeId, Incarnation> m_crashesSentTo;
--- a/lib/Router/RouterCore.cpp
+++ b/lib/Router/RouterCore.cpp
@@ -26,8 +26,8 @@
 class RouterCore::Impl
 {
 public:
-    Impl(CoreOptions options, Charts charts, TimePoint now, WallTime wall)
-        : m_context(std::move(options), std::move(charts), now, wall)
+    Impl(CoreOptions options, StateMachines stateMachines, TimePoint now, WallTime wall)
+        : m_context(std::move(options), std::move(stateMachines), now, wall)
         , m_requests(m_context)
         , m_pools(m_context, m_requests)
         , m_fleet(m_context)
@@ -150,7 +150,7 @@
                    [&](const PoolDemand &m) { m_pools.onDemand(from, incarnation, m); },
                    [&](const PoolGrant &m) { m_pools.onGrant(from, incarnation, m); },
                    [&](const PoolReturn &m) { m_pools.onReturn(from, m); },
-                   [&](const TargetObservation &m) { m_pools.onTargetReport(m); },
+                   [&](const TargetObservation &m) { m_pools.onTargetObservation(m); },
                    [&](const PoolUsage &m) { m_pools.onRemoteUsage(m); },
                    [&](const CrashReport &m) { m_requests.onCrashReport(m); },
                    [&](const Goodbye &) { m_fleet.onGoodbye(from); },
@@ -199,7 +199,7 @@
         m_requests.onVmList(m_context.membership.vmList());
     if (!changes.members)
         return;
-    m_pools.onEndedRuns(m_context.membership.takeEndedIncarnations());
+    m_pools.onEndedIncarnations(m_context.membership.takeEndedIncarnations());
     m_pools.onMembers();
     m_requests.onMembers();
 }
@@ -239,10 +239,10 @@
 Expected<std::unique_ptr<RouterCore>> RouterCore::create(CoreOptions options, TimePoint now,
                                                          WallTime wall)
 {
-    Expected<Charts> charts = Charts::load(options.chartDirectory);
-    if (!charts)
-        return Reason {charts.failureReason()};
-    auto impl = std::make_unique<Impl>(std::move(options), *std::move(charts), now, wall);
+    Expected<StateMachines> stateMachines = StateMachines::load(options.chartDirectory);
+    if (!stateMachines)
+        return Reason {stateMachines.failureReason()};
+    auto impl = std::make_unique<Impl>(std::move(options), *std::move(stateMachines), now, wall);
     return std::unique_ptr<RouterCore>(new RouterCore(std::move(impl)));
 }
 
--- a/unittests/Fleet/MembershipTest.cpp
+++ b/unittests/Fleet/MembershipTest.cpp
@@ -52,15 +52,15 @@
     }
     MemberState state(const NodeId &node) const { return m_members.find(node)->state; }
 
-    static MemberStateMachine chart()
+    static MemberStateMachine stateMachine()
     {
         return *loadMemberStateMachine(BERYLRIDGE_SOURCE_DIR "/charts");
     }
 
     ManualClock m_clock;
-    MemberStateMachine m_chart = chart();
+    MemberStateMachine m_stateMachine = stateMachine();
     Membership m_members {
-        m_chart, {self, zoneA, {"127.0.0.1", 7400}, 1, 250ms, 1200ms}, m_clock.now()};
+        m_stateMachine, {self, zoneA, {"127.0.0.1", 7400}, 1, 250ms, 1200ms}, m_clock.now()};
 };
 
 } // namespace
--- a/unittests/Idempotency/KeyPropertyTest.cpp
+++ b/unittests/Idempotency/KeyPropertyTest.cpp
@@ -200,7 +200,7 @@
 // formatted from. rapidcheck generates both with its own seed, which it prints on failure.
 TEST(KeyProperty, ParsesAnyTextAndRoundTripsIssuedKeys)
 {
-    const bool isKept = rc::check(
+    const bool isSatisfied = rc::check(
         "issued keys round-trip", [](std::uint32_t time, std::uint64_t run, std::uint64_t number) {
             const ParsedKey made {KeyKind::Issued, WallTime(std::chrono::milliseconds(time)),
                                   NodeId("n-1"), run, number};
@@ -210,7 +210,7 @@
             RC_ASSERT(read.createdAt == made.createdAt && read.issuerIncarnation == run
                       && read.sequence == number);
         });
-    EXPECT_TRUE(isKept);
+    EXPECT_TRUE(isSatisfied);
     const bool isRead = rc::check("any text parses as a key", [](const std::string &text) {
         const KeyKind kind = parseKey(scopedKey(ServiceId("s"), WorkspaceId("w"), text)).kind;
         RC_ASSERT(kind <= KeyKind::Issued);
--- a/unittests/Idempotency/KeySearch.cpp
+++ b/unittests/Idempotency/KeySearch.cpp
@@ -228,10 +228,10 @@
     /// again. Such a message has no effect.
     bool isStale(const SearchState &state, const SearchMessage &message) const
     {
-        const bool isAnswer = std::holds_alternative<KeyVote>(message.message)
+        const bool isReply = std::holds_alternative<KeyVote>(message.message)
             || std::holds_alternative<KeyState>(message.message);
         const NodePointer &node = state.nodes[message.to];
-        if (!isAnswer || !node || node->registry.phase(m_setup.key) == KeyPhase::Claiming)
+        if (!isReply || !node || node->registry.phase(m_setup.key) == KeyPhase::Claiming)
             return false;
         for (std::size_t entry = 0; entry < m_setup.budget.routers.size(); ++entry) {
             const bool isUsed = (state.routersUsed >> entry & 1U) != 0;
--- a/unittests/Policy/FleetLimitsTest.cpp
+++ b/unittests/Policy/FleetLimitsTest.cpp
@@ -87,7 +87,7 @@
     EXPECT_TRUE(health.isProbeNeeded());
     health.onProbeStarted(clock.now());
     EXPECT_FALSE(health.isReachable(clock.now()));
-    health.onAnswered(clock.now());
+    health.onCompleteResponse(clock.now());
     EXPECT_TRUE(health.isReachable(clock.now()));
     EXPECT_FALSE(health.isProbeNeeded());
 }
@@ -97,10 +97,10 @@
 {
     ManualClock clock;
     TargetHealth health;
-    health.onFailedAnswer(clock.now());
+    health.onFailedResponse(clock.now());
     EXPECT_LT(health.failureRatio(clock.now()), 0.25);
     for (int i = 0; i < 20; ++i)
-        health.onFailedAnswer(clock.now());
+        health.onFailedResponse(clock.now());
     EXPECT_GT(health.failureRatio(clock.now()), 0.75);
     clock.advance(15s);
     EXPECT_LT(health.failureRatio(clock.now()), 0.25);
--- a/unittests/Policy/FlowAccountingTest.cpp
+++ b/unittests/Policy/FlowAccountingTest.cpp
@@ -52,7 +52,7 @@
     accounting.markActive(small, clock.now());
     for (int i = 0; i < 100; ++i) {
         accounting.markActive(large, clock.now());
-        accounting.onChosen(accounting.virtualTime(large, clock.now()));
+        accounting.onFlowSelected(accounting.virtualTime(large, clock.now()));
         const TimePoint begun = clock.now();
         accounting.begin(large, 1s, begun);
         clock.advance(1s);
@@ -71,7 +71,7 @@
     accounting.markActive(small, clock.now());
     accounting.markActive(large, clock.now());
     accounting.begin(large, 5s, clock.now());
-    accounting.onChosen(5.0);
+    accounting.onFlowSelected(5.0);
     clock.advance(800ms);
     accounting.markActive(small, clock.now());
     EXPECT_DOUBLE_EQ(accounting.virtualTime(small, clock.now()), 0.0);
--- a/unittests/Policy/LeaseHolderTest.cpp
+++ b/unittests/Policy/LeaseHolderTest.cpp
@@ -33,9 +33,10 @@
 {
     ManualClock clock;
     LeaseHolder holder(pool);
-    const TimePoint asked = clock.now();
+    const TimePoint demandSentTime = clock.now();
     clock.advance(2100ms);
-    for (const LeaseId lease : holder.onGrant(owner, 1, grantOf(10, 1, asked), clock.now()))
+    for (const LeaseId lease :
+         holder.onGrant(owner, 1, grantOf(10, 1, demandSentTime), clock.now()))
         EXPECT_FALSE(holder.canStartRequest(lease, clock.now()));
 }
 
--- a/unittests/Policy/PlacementTest.cpp
+++ b/unittests/Policy/PlacementTest.cpp
@@ -162,7 +162,7 @@
             const auto key = static_cast<TargetKey>(choice->index);
             const std::uint32_t tokens = chain.inputTokens - prompts.cachedTokens(chain, key);
             read += tokens;
-            prompts.onTokensRead(key, tokens, clock.now());
+            prompts.onTokensWritten(key, tokens, clock.now());
             prompts.onPromptSent(chain.links.front().key, key, clock.now());
             loads.begin(key, tokens);
             running.emplace_back(key, tokens);
@@ -203,9 +203,9 @@
     const PrefixChain chain = prefixChainOf(promptOf(1, 2));
     prompts.setCapacity(first, 100000);
     prompts.onPromptSent(chain.links[0].key, first, clock.now());
-    prompts.onTokensRead(first, 60000, clock.now());
+    prompts.onTokensWritten(first, 60000, clock.now());
     EXPECT_EQ(prompts.cachedTokens(chain, first), 13000U);
-    prompts.onTokensRead(first, 20000, clock.now());
+    prompts.onTokensWritten(first, 20000, clock.now());
     EXPECT_EQ(prompts.cachedTokens(chain, first), 0U);
     EXPECT_EQ(prompts.sharedParts(chain, clock.now()).at(0).copies, 0U);
 }
@@ -220,7 +220,7 @@
     prompts.setCapacity(first, 1000000);
     for (int i = 0; i < 400; ++i) {
         prompts.onPromptSent(chain.links[0].key, i % 2 == 0 ? first : second, clock.now());
-        prompts.onTokensRead(first, 5000, clock.now());
+        prompts.onTokensWritten(first, 5000, clock.now());
         clock.advance(100ms);
     }
     const std::vector<SharedPart> parts = prompts.sharedParts(chain, clock.now());
--- a/unittests/Policy/PoolOwnerTest.cpp
+++ b/unittests/Policy/PoolOwnerTest.cpp
@@ -10,8 +10,8 @@
 
 const NodeId nodeA("a1");
 const NodeId nodeB("a2");
-constexpr Incarnation ownerRun = 77;
-constexpr Incarnation holderRun = 5;
+constexpr Incarnation ownerIncarnation = 77;
+constexpr Incarnation holderIncarnation = 5;
 
 /// Sets up an owner of one pool that has one target of four slots, and the messages of its holders.
 class PoolOwnerTest : public testing::Test
@@ -49,8 +49,8 @@
     }
     void demand(const NodeId &node, LeaseHolder &holder, std::vector<FlowDemand> wants)
     {
-        m_owner.onDemand(node, holderRun, holder.demandMessage(std::move(wants), m_clock.now()),
-                         m_clock.now());
+        m_owner.onDemand(node, holderIncarnation,
+                         holder.demandMessage(std::move(wants), m_clock.now()), m_clock.now());
     }
     std::vector<GrantedLease> grants()
     {
@@ -66,7 +66,7 @@
     TargetStateMachine m_stateMachine = stateMachine();
     ServiceDocument m_document;
     Pool m_pool;
-    PoolOwner m_owner {m_stateMachine, {ownerRun, 2s, FleetFairPolicy {}}, m_clock.now()};
+    PoolOwner m_owner {m_stateMachine, {ownerIncarnation, 2s, FleetFairPolicy {}}, m_clock.now()};
     LeaseHolder m_holderA {0};
     LeaseHolder m_holderB {0};
     PoolGrant m_lastGrant;
@@ -96,7 +96,7 @@
     warmUp();
     message.held.push_back({4711, targetHash(TargetId("engine")), 1, 100});
     message.held.push_back({4712, targetHash(TargetId("engine")), 1, 100});
-    m_owner.onDemand(nodeA, holderRun, message, m_clock.now());
+    m_owner.onDemand(nodeA, holderIncarnation, message, m_clock.now());
     EXPECT_EQ(grants().size(), 2U);
 }
 
@@ -139,7 +139,7 @@
     EXPECT_EQ(grants().size(), 2U); // The messages are lost.
     demand(nodeA, m_holderA, {{1, 4, 0, 500}});
     EXPECT_EQ(grants().size(), 2U);
-    m_holderA.onGrant(nodeB, ownerRun, m_lastGrant, m_clock.now());
+    m_holderA.onGrant(nodeB, ownerIncarnation, m_lastGrant, m_clock.now());
     demand(nodeA, m_holderA, {{1, 9, 0, 500}});
     EXPECT_EQ(grants().size(), 2U) << "the two lost leases must be reclaimed";
 }
@@ -152,14 +152,14 @@
     warmUp();
     demand(nodeA, m_holderA, {{1, 1, 0, 500}});
     ASSERT_EQ(grants().size(), 1U);
-    m_holderA.onGrant(nodeB, ownerRun, m_lastGrant, m_clock.now());
+    m_holderA.onGrant(nodeB, ownerIncarnation, m_lastGrant, m_clock.now());
     const PoolDemand late = m_holderA.demandMessage({}, m_clock.now());
     const LeaseId lease = m_lastGrant.leases.front().lease;
     PoolReturn message;
     message.leases.push_back(m_holderA.returnLease(lease));
     message.sequence = m_holderA.nextSequence();
     m_owner.onReturn(nodeA, message, m_clock.now());
-    m_owner.onDemand(nodeA, holderRun, late, m_clock.now());
+    m_owner.onDemand(nodeA, holderIncarnation, late, m_clock.now());
     demand(nodeB, m_holderB, {{2, 9, 0, 500}});
     EXPECT_EQ(grants().size(), 4U);
 }
@@ -172,7 +172,7 @@
     warmUp();
     demand(nodeA, m_holderA, {{1, 4, 0, 500}});
     ASSERT_EQ(grants().size(), 4U);
-    m_holderA.onGrant(nodeB, ownerRun, m_lastGrant, m_clock.now());
+    m_holderA.onGrant(nodeB, ownerIncarnation, m_lastGrant, m_clock.now());
     demand(nodeA, m_holderA, {});
     m_clock.advance(5s);
     m_owner.onLoadReport(targetHash(TargetId("engine")), "boot1", 4, 100, 0ms, m_clock.now());
@@ -184,7 +184,7 @@
     m_owner.tick(m_clock.now());
     EXPECT_EQ(grants().size(), 3U);
 
-    m_owner.onHolderGone(nodeA, holderRun, m_clock.now());
+    m_owner.onHolderEnded(nodeA, holderIncarnation, m_clock.now());
     EXPECT_EQ(grants().size(), 1U);
 }
 
@@ -232,14 +232,15 @@
     warmUp();
     demand(nodeA, m_holderA, {{1, 3, 0, 500}});
     ASSERT_EQ(grants().size(), 3U);
-    m_holderA.onGrant(nodeB, ownerRun, m_lastGrant, m_clock.now());
+    m_holderA.onGrant(nodeB, ownerIncarnation, m_lastGrant, m_clock.now());
 
-    PoolOwner successor(m_stateMachine, {ownerRun + 1, 2s, FleetFairPolicy {}}, m_clock.now());
+    PoolOwner successor(m_stateMachine, {ownerIncarnation + 1, 2s, FleetFairPolicy {}},
+                        m_clock.now());
     successor.configure(m_document, m_pool, m_clock.now());
     successor.onLoadReport(targetHash(TargetId("engine")), "boot1", 3, 100, 0ms, m_clock.now());
     successor.takeOver(m_owner.handover(m_clock.now()), m_clock.now());
-    successor.onDemand(nodeB, holderRun, m_holderB.demandMessage({{2, 9, 0, 500}}, m_clock.now()),
-                       m_clock.now());
+    successor.onDemand(nodeB, holderIncarnation,
+                       m_holderB.demandMessage({{2, 9, 0, 500}}, m_clock.now()), m_clock.now());
     std::size_t count = 0;
     for (const OwnerMessage &message : successor.grant(m_clock.now()))
         count += message.grant.leases.size();
@@ -249,12 +250,13 @@
 TEST_F(PoolOwnerTest, SuccessorWithHandoverWaitsForColdTargets)
 {
     waitOutTakeover();
-    PoolOwner successor(m_stateMachine, {ownerRun + 1, 2s, FleetFairPolicy {}}, m_clock.now());
+    PoolOwner successor(m_stateMachine, {ownerIncarnation + 1, 2s, FleetFairPolicy {}},
+                        m_clock.now());
     successor.configure(m_document, m_pool, m_clock.now());
     successor.onLoadReport(targetHash(TargetId("engine")), "boot1", 0, 0, 0ms, m_clock.now());
     successor.takeOver(m_owner.handover(m_clock.now()), m_clock.now());
-    successor.onDemand(nodeB, holderRun, m_holderB.demandMessage({{2, 9, 0, 500}}, m_clock.now()),
-                       m_clock.now());
+    successor.onDemand(nodeB, holderIncarnation,
+                       m_holderB.demandMessage({{2, 9, 0, 500}}, m_clock.now()), m_clock.now());
     EXPECT_TRUE(successor.grant(m_clock.now()).empty());
 }
 
@@ -314,7 +316,7 @@
     m_owner.onLoadReport(targetHash(TargetId("engine")), "boot1", 0, 0, 0ms, m_clock.now());
     demand(nodeA, m_holderA, {{7, 1, 0, 100}});
     ASSERT_EQ(grants().size(), 1U);
-    m_holderA.onGrant(nodeB, ownerRun, m_lastGrant, m_clock.now());
+    m_holderA.onGrant(nodeB, ownerIncarnation, m_lastGrant, m_clock.now());
     demand(nodeA, m_holderA, {});
     demand(nodeB, m_holderB, {{8, 3, 0, 100}});
     ASSERT_EQ(grants().size(), 1U);
