--- a/include/berylridge/Config/Documents.h
+++ b/include/berylridge/Config/Documents.h
@@ -24,7 +24,7 @@
 
 enum class ServiceKind : std::uint8_t {
     ModelEngine, ///< Streams tokens, and can resume and cancel streams.
-    Plain,       ///< Sends a single answer; some of its requests must not be repeated.
+    Plain,       ///< Sends a single response; some of its requests must not be repeated.
 };
 
 /// States whether requests with a method and path prefix are idempotent and may be repeated. The
@@ -63,10 +63,11 @@
     ServiceKind kind = ServiceKind::Plain;
     std::uint32_t slots = 8;     ///< Concurrent requests that a warm target can process.
     std::uint32_t coldSlots = 1; ///< Concurrent requests that a newly started target can process.
-    std::uint32_t warmAfter = 8; ///< Answers that a target completes after a boot until it is warm.
+    std::uint32_t warmAfter
+        = 8; ///< Responses that a target completes after a boot until it is warm.
     Duration queueTimeout = std::chrono::seconds(10);    ///< Maximum time in the queue.
     Duration attemptTimeout = std::chrono::seconds(120); ///< Maximum duration of one attempt.
-    Duration idleTimeout = std::chrono::seconds(20); ///< Maximum gap between parts of an answer.
+    Duration idleTimeout = std::chrono::seconds(20); ///< Maximum gap between parts of a response.
     double retryBudget = 0.1; ///< Retries allowed per first attempt, over a sliding window.
     std::uint64_t bodyLimit = 4 << 20; ///< Maximum size of a request body in bytes.
     std::vector<RouteRule> routes;
--- a/include/berylridge/Fleet/BalancerMessages.h
+++ b/include/berylridge/Fleet/BalancerMessages.h
@@ -84,7 +84,7 @@
     std::vector<PeerEntry> peers;
     std::uint32_t servedPerSecond = 0;   ///< Tokens of requests that the sender admitted.
     std::uint32_t rejectedPerSecond = 0; ///< Tokens of requests rejected for lack of capacity.
-    /// Whether the sender reads the platform's state and the platform answers.
+    /// Whether the sender reads the platform's state and the platform responds.
     bool isReadingPlatform = false;
     MSGPACK_DEFINE(zone, address, port, isLeaving, catalogVersion, directoryRevision, loads, flows,
                    interruptedRequests, peers, servedPerSecond, rejectedPerSecond,
--- a/include/berylridge/Fleet/Messages.h
+++ b/include/berylridge/Fleet/Messages.h
@@ -32,7 +32,8 @@
     std::string zone;
     std::uint8_t nodeState = 0;        ///< A MemberState (Chart/MemberStateMachine.h).
     std::uint64_t documentsDigest = 0; ///< Hash of all document names and versions.
-    std::uint64_t platformAgeMs = 0;   ///< Time since the platform last answered the sender's zone.
+    std::uint64_t platformAgeMs
+        = 0; ///< Time since the platform last responded to the sender's zone.
     std::uint64_t vmListRevision = 0;
     std::string address; ///< The sender's address, which the VM list may not contain yet.
     std::uint16_t port = 0;
@@ -74,7 +75,7 @@
 struct DocumentsRequest
 {
     std::vector<DocumentVersionEntry> have;
-    std::uint64_t vmListRevision = 0; ///< The answer includes the VM list if it is newer.
+    std::uint64_t vmListRevision = 0; ///< The reply includes the VM list if it is newer.
     MSGPACK_DEFINE(have, vmListRevision)
 };
 
@@ -164,7 +165,7 @@
 {
     PoolId pool = 0;
     std::uint64_t number = 0;      ///< Rises by one with each grant to this holder.
-    std::int64_t demandSentAt = 0; ///< sentAt of the PoolDemand that this message answers.
+    std::int64_t demandSentAt = 0; ///< sentAt of the PoolDemand to which this message replies.
     std::uint32_t termMs = 0;
     std::uint32_t quantumMs = 0;
     std::vector<GrantedLease> leases;
@@ -175,7 +176,7 @@
 {
     LeaseId lease = 0;
     std::uint32_t usedMs = 0;    ///< Slot time that the flow's requests used.
-    std::uint32_t completed = 0; ///< Number of complete answers.
+    std::uint32_t completed = 0; ///< Number of complete responses.
     bool isUnfit = false;        ///< Requests of the flow wait, but none may run at this target.
     MSGPACK_DEFINE(lease, usedMs, completed, isUnfit)
 };
@@ -185,7 +186,7 @@
 {
     PoolId pool = 0;
     std::vector<ReturnedLease> leases;
-    std::string bootId;         ///< Boot id that the completing target's answers contained.
+    std::string bootId;         ///< Boot id that the completing target's responses contained.
     std::uint64_t sequence = 0; ///< Shared with PoolDemand: a lower-numbered demand is outdated.
     MSGPACK_DEFINE(pool, leases, bootId, sequence)
 };
--- a/include/berylridge/Idempotency/KeyFormat.h
+++ b/include/berylridge/Idempotency/KeyFormat.h
@@ -1,4 +1,4 @@
-// Parses and formats idempotency keys. The text of a key tells when it was created and, for an
+// Parses and formats idempotency keys. The text of a key states when it was created and, for an
 // issued key, which process issued it.
 #pragma once
 
@@ -36,6 +36,6 @@
 ParsedKey parseKey(std::string_view scopedKey);
 
 /// Returns the text of an issued key as the caller receives it.
-std::string formatIssuedKey(const ParsedKey &text);
+std::string formatIssuedKey(const ParsedKey &key);
 
 } // namespace berylridge
--- a/include/berylridge/Idempotency/KeyRegistry.h
+++ b/include/berylridge/Idempotency/KeyRegistry.h
@@ -152,10 +152,10 @@
 
     NodeRun self() const { return {m_options.node, m_options.incarnation}; }
     void advanceClocks(TimePoint now, WallTime wall);
-    std::optional<Refusal> refusalForAge(const ParsedKey &text) const;
+    std::optional<Refusal> refusalForAge(const ParsedKey &parsedKey) const;
     void handleRepeat(KeyRequestId request, const std::string &key, std::uint64_t bodyHash,
                       const Held &held, KeyOutput &out) const;
-    WallTime retentionEnd(const ParsedKey &text) const;
+    WallTime retentionEnd(const ParsedKey &parsedKey) const;
     static void refuse(KeyRequestId request, const std::string &key, const Refusal &refusal,
                        KeyOutput &out);
     void storeResponse(const std::string &key, Held &held, std::optional<std::string> body);
@@ -164,7 +164,7 @@
     // The functions below handle claims and the messages about them; see
     // lib/Idempotency/KeyClaims.cpp.
     void startClaim(const std::string &key, Held &held, KeyOutput &out);
-    std::optional<Refusal> chooseWitnesses(const ParsedKey &text, Claim &claim) const;
+    std::optional<Refusal> chooseWitnesses(const ParsedKey &parsedKey, Claim &claim) const;
     bool isCurrent(const std::string &key, const Claim &claim) const;
     void sendClaims(const std::string &key, Held &held, KeyOutput &out);
     void releaseClaim(const std::string &key, const Claim &claim, KeyOutput &out);
@@ -182,7 +182,7 @@
     void handle(const NodeRun &from, const KeyState &state, KeyOutput &out);
     void handle(const NodeRun &from, const RosterUpdate &update, KeyOutput &out);
     void handle(const NodeRun &from, const RosterProposal &proposal, KeyOutput &out);
-    void handle(const NodeRun &from, const RosterProposalReply &consent, KeyOutput &out);
+    void handle(const NodeRun &from, const RosterProposalReply &reply, KeyOutput &out);
     void handle(const NodeRun &from, const RosterDecision &decision, KeyOutput &out);
 
     KeyOptions m_options;
--- a/include/berylridge/Idempotency/RosterCoordinator.h
+++ b/include/berylridge/Idempotency/RosterCoordinator.h
@@ -49,7 +49,7 @@
     void onVmList(const VmList &list, TimePoint now);
     void onProposal(const NodeRun &from, const RosterProposal &proposal, TimePoint now,
                     WallTime wall, KeyOutput &out);
-    void onProposalReply(const NodeRun &from, const RosterProposalReply &consent, TimePoint now,
+    void onProposalReply(const NodeRun &from, const RosterProposalReply &reply, TimePoint now,
                          KeyOutput &out);
     void onDecision(const NodeRun &from, const RosterDecision &decision);
     void onRosterUpdate(const NodeRun &from, const RosterUpdate &update, KeyOutput &out);
--- a/include/berylridge/Idempotency/Witness.h
+++ b/include/berylridge/Idempotency/Witness.h
@@ -79,12 +79,12 @@
         WallTime expiresAt;
     };
 
-    Vote eligibilityVote(const ParsedKey &text, RosterId claimedRoster, const RosterChain &chain,
-                         WallTime wall) const;
-    Vote issuedEligibility(const ParsedKey &text, RosterId claimedRoster) const;
+    Vote eligibilityVote(const ParsedKey &parsedKey, RosterId claimedRoster,
+                         const RosterChain &chain, WallTime wall) const;
+    Vote issuedEligibility(const ParsedKey &parsedKey, RosterId claimedRoster) const;
     Vote opaqueEligibility(RosterId claimedRoster, const RosterChain &chain, WallTime wall) const;
     Vote memberEligibility(const Roster *roster, RosterId claimedRoster) const;
-    WallTime expiryOf(const ParsedKey &text, WallTime wall) const;
+    WallTime expiryOf(const ParsedKey &parsedKey, WallTime wall) const;
 
     NodeRun m_self;
     KeyTimeLimits m_limits;
--- a/include/berylridge/Policy/LeaseHolder.h
+++ b/include/berylridge/Policy/LeaseHolder.h
@@ -36,7 +36,7 @@
 
     /// Accepts leases from the pool's owner. Returns the leases of this grant. A grant that was
     /// overtaken by a later one yields none, since the owner has granted its slots to others. A
-    /// lease that arrives after its term is kept, but canStartRequest() is false for it.
+    /// lease that arrives after its term is stored, but canStartRequest() is false for it.
     std::vector<LeaseId> onGrant(const NodeId &owner, Incarnation ownerIncarnation,
                                  const PoolGrant &grant, TimePoint now);
 
@@ -44,7 +44,7 @@
     /// Records that a request on the lease ended. Returns whether another request of the flow may
     /// start on it.
     bool end(LeaseId lease, Duration used, bool isCompleted, TimePoint now);
-    /// Removes the lease and returns what the owner has to be told about it.
+    /// Removes the lease and returns the entry that reports it to the owner.
     ReturnedLease returnLease(LeaseId lease);
     /// Drops idle leases and prevents the busy ones from being reused, after the process was
     /// paused.
@@ -71,7 +71,7 @@
     /// listed demand, or leases were granted after it.
     bool hasReportedDemand() const { return !m_reportedWaiting.empty(); }
 
-    /// When the demand was last reported, and when all held leases were.
+    /// Times at which the demand and all held leases were last reported.
     TimePoint demandReportedAt {};
     TimePoint leasesReportedAt {};
 
--- a/include/berylridge/Policy/PoolOwner.h
+++ b/include/berylridge/Policy/PoolOwner.h
@@ -131,9 +131,9 @@
     std::uint32_t untrackedRequests(const Target &target, TimePoint now) const;
     /// A flow at one node, identifying whose requests wait.
     using FlowAtNode = std::pair<NodeId, FlowId>;
-    std::optional<TargetHash> selectTarget(const FlowAtNode &want, TimePoint now) const;
+    std::optional<TargetHash> selectTarget(const FlowAtNode &flowAtNode, TimePoint now) const;
     bool hasFreeSlot(TimePoint now) const;
-    bool isRejectedBy(const FlowAtNode &want, TargetHash target, TimePoint now) const;
+    bool isRejectedBy(const FlowAtNode &flowAtNode, TargetHash target, TimePoint now) const;
     struct FlowChoice
     {
         NodeId node;
@@ -141,7 +141,7 @@
         double virtualTime = 0;
     };
     std::optional<FlowChoice> selectFlow(const std::set<FlowAtNode> &skipped, TimePoint now) const;
-    std::uint32_t ungrantedRequests(const NodeId &node, const FlowDemand &want) const;
+    std::uint32_t ungrantedRequests(const NodeId &node, const FlowDemand &demand) const;
 
     const TargetStateMachine *m_stateMachine;
     PoolOwnerOptions m_options;
--- a/include/berylridge/Policy/PromptCacheDirectory.h
+++ b/include/berylridge/Policy/PromptCacheDirectory.h
@@ -85,7 +85,7 @@
     {
         TargetKey target = 0;
         TimePoint usedAt;
-        std::uint64_t tokensWrittenAtUse = 0; ///< Value of its target's tokensWritten.
+        std::uint64_t tokensWrittenAtUse = 0; ///< The target's tokensWritten at usedAt.
     };
     struct TargetCache
     {
--- a/include/berylridge/Policy/ServiceQueue.h
+++ b/include/berylridge/Policy/ServiceQueue.h
@@ -90,7 +90,7 @@
 
 private:
     using Queue = std::deque<WaitingRequest>;
-    /// State of a flow that is kept while none of its requests wait.
+    /// State of a flow that is retained while none of its requests wait.
     struct Flow
     {
         DrainRateEstimator drain;
--- a/include/berylridge/Router/RouterCore.h
+++ b/include/berylridge/Router/RouterCore.h
@@ -17,7 +17,7 @@
 
 namespace berylridge {
 
-/// Selects the rule that shares capacity. All rules but Fleet are baselines for measurements.
+/// Selects the policy that shares capacity. All policies but Fleet are baselines for measurements.
 enum class SharingPolicy : std::uint8_t {
     Fleet,      ///< Orders workspaces by virtual time over the whole fleet.
     PerNode,    ///< Orders workspaces by virtual time within each node.
@@ -31,7 +31,7 @@
     NodeId node;
     ZoneId zone;
     Endpoint endpoint;           ///< Address at which other nodes reach this one.
-    Incarnation incarnation = 0; ///< Must be higher than in any earlier run of this node.
+    Incarnation incarnation = 0; ///< Must be higher than in any earlier process run of this node.
     std::vector<VmEntry> seeds;  ///< Nodes to contact before a VM list is known.
     std::string chartDirectory;
     std::uint64_t seed = 1;
--- a/include/berylridge/Support/Id.h
+++ b/include/berylridge/Support/Id.h
@@ -52,7 +52,7 @@
 using WorkspaceId = Name<struct WorkspaceKind>;
 using TargetId = Name<struct TargetKind>;
 
-/// Identifies one run of a node's process: its start time in wall-clock microseconds. Incarnations
+/// Identifies one process run of a node by its start time in wall-clock microseconds. Incarnations
 /// may only be compared between runs of the same node.
 using Incarnation = std::uint64_t;
 
--- a/include/berylridge/Support/Verdict.h
+++ b/include/berylridge/Support/Verdict.h
@@ -1,5 +1,5 @@
-// Verdicts: whether a target may have executed a request. Every answer that reports a rejection or
-// failure contains one.
+// Verdicts: whether a target may have executed a request. Every response that reports a rejection
+// or failure contains one.
 #pragma once
 
 #include <cstdint>
@@ -10,10 +10,10 @@
 enum class Verdict : std::uint8_t {
     NotRun,     ///< No byte of the request has reached a target; it is safe to retry.
     MayHaveRun, ///< Bytes were sent to a target, which may or may not have executed the request.
-    Ran,        ///< A target answered the request.
+    Ran,        ///< A target responded to the request.
 };
 
-/// Returns the name of the verdict in answers to callers and in logs.
+/// Returns the name of the verdict in responses to callers and in logs.
 constexpr std::string_view verdictName(Verdict verdict)
 {
     switch (verdict) {
--- a/lib/Balancer/BalancerContext.h
+++ b/lib/Balancer/BalancerContext.h
@@ -1,4 +1,4 @@
-// Holds the state that the parts of the balancer share: options, state stateMachines, current time,
+// Holds the state that the parts of the balancer share: options, state machines, current time,
 // active catalog, and the list of actions to perform.
 #pragma once
 
--- a/lib/Balancer/GossipExchange.cpp
+++ b/lib/Balancer/GossipExchange.cpp
@@ -39,11 +39,11 @@
     LoadDigest digest = buildDigest();
     digest.isLeaving = isLeaving;
     digest.isReadingPlatform = isReadingPlatform;
-    const std::vector<PlacementUpdate> update = takePlacementMessages();
+    const std::vector<PlacementUpdate> updates = takePlacementMessages();
     for (auto &[node, endpoint] : m_context.peers.nextReceivers(m_context.now)) {
         m_context.emit(SendToNode {node, endpoint, BalancerMessage(digest)});
-        for (const PlacementUpdate &each : update)
-            m_context.emit(SendToNode {node, endpoint, BalancerMessage(each)});
+        for (const PlacementUpdate &update : updates)
+            m_context.emit(SendToNode {node, endpoint, BalancerMessage(update)});
     }
 }
 
@@ -62,19 +62,19 @@
 {
     std::vector<PlacementEntry> placements
         = m_placements.take(maxPlacementsPerMessage * maxPlacementMessagesPerPeriod);
-    std::vector<PlacementUpdate> update;
+    std::vector<PlacementUpdate> updates;
     for (std::size_t first = 0; first < placements.size(); first += maxPlacementsPerMessage) {
         const auto begin = placements.begin() + static_cast<std::ptrdiff_t>(first);
         const auto count = std::min(maxPlacementsPerMessage, placements.size() - first);
-        update.push_back({{begin, begin + static_cast<std::ptrdiff_t>(count)}, {}});
+        updates.push_back({{begin, begin + static_cast<std::ptrdiff_t>(count)}, {}});
     }
     std::vector<TargetCacheWriteEntry> cacheWrites = m_cacheWrites.take(maxCacheWritesPerMessage);
     if (cacheWrites.empty())
-        return update;
-    if (update.empty())
-        update.emplace_back();
-    update.front().cacheWrites = std::move(cacheWrites);
-    return update;
+        return updates;
+    if (updates.empty())
+        updates.emplace_back();
+    updates.front().cacheWrites = std::move(cacheWrites);
+    return updates;
 }
 
 LoadDigest GossipExchange::buildDigest()
@@ -136,7 +136,7 @@
     const PeerTable::Peer *peer = m_context.peers.find(from);
     if (peer && peer->incarnation > incarnation)
         return;
-    // Applies the read counters first, because the placements of the same message are newer.
+    // Applies the cache writes first, because the placements of the same message are newer.
     for (const TargetCacheWriteEntry &entry : update.cacheWrites)
         m_targetSelector.onRemoteCacheWrite(from, incarnation, entry);
     for (const PlacementEntry &entry : update.placements)
--- a/lib/Balancer/GossipExchange.h
+++ b/lib/Balancer/GossipExchange.h
@@ -26,7 +26,7 @@
     }
 
     /// Sends this period's digests. `isReadingPlatform` states that this node reads the platform's
-    /// state and that the platform answers.
+    /// state and that the platform responds.
     void sendDigests(bool isLeaving, bool isReadingPlatform);
 
     void onDigest(const NodeId &from, Incarnation incarnation, const LoadDigest &digest);
@@ -48,7 +48,7 @@
     TransmitLimitedQueue<PlacementEntry> m_placements;
     TransmitLimitedQueue<TargetCacheWriteEntry> m_cacheWrites;
     TransmitLimitedQueue<InterruptedRequestEntry> m_interruptedRequests;
-    /// Time at which each node was last asked for state.
+    /// Time of the last StateRequest to each node.
     std::map<NodeId, TimePoint> m_stateRequestedAt;
 };
 
--- a/lib/Balancer/ReaderRole.cpp
+++ b/lib/Balancer/ReaderRole.cpp
@@ -6,11 +6,10 @@
 
 namespace {
 
-/// A reader may fail at any moment, and updates must not wait until another node detects the
-/// failure.
+/// One reader may fail at any moment, and updates must not wait until another node detects that.
 constexpr std::size_t readersPerZone = 2;
-/// A starting node that learns from a digest that newer state exists requests it and is answered
-/// within two digests. After this time it reads from the platform itself.
+/// A starting node that learns from a digest that newer state exists requests it and receives
+/// it within two digests. After this time it reads from the platform itself.
 constexpr Duration peerStateTimeout = std::chrono::milliseconds(700);
 /// Updates reach a node through its peers within three digests. A node that is behind for longer is
 /// not reached by its peers, for example because of a one-way network partition, and reads from the
--- a/lib/Balancer/RequestProcessor.cpp
+++ b/lib/Balancer/RequestProcessor.cpp
@@ -11,15 +11,16 @@
 
 namespace {
 
-/// Applies if neither the caller nor the route sets a time limit.
+/// Time limit of a request if neither the caller nor the route sets one.
 constexpr Duration defaultDeadline = std::chrono::seconds(30);
-/// Applies while no catalog is known; a node receives one within a second of its start.
+/// Retry-After while no catalog is known; a node receives one within a second of its start.
 constexpr Duration startingRetryAfter = std::chrono::milliseconds(300);
-/// The caller's next connection reaches another node.
+/// Retry-After during a planned stop; the caller's next connection reaches another node.
 constexpr Duration leavingRetryAfter = std::chrono::milliseconds(20);
-/// Applies if no target is reachable. Most faults last a few seconds, and a failed target is tried
-/// again within two seconds.
+/// Retry-After if no target is reachable. Most faults last a few seconds, and a failed target is
+/// tried again within two seconds.
 constexpr Duration noTargetRetryAfter = std::chrono::milliseconds(500);
+/// Minimum Retry-After if the targets have no capacity for the request or reject it.
 constexpr Duration fullRetryAfter = std::chrono::milliseconds(60);
 /// Cost of a generated token relative to a token that is read.
 constexpr double generatedTokenCost = 2;
--- a/lib/Balancer/TargetSelector.cpp
+++ b/lib/Balancer/TargetSelector.cpp
@@ -9,21 +9,21 @@
 
 namespace {
 
-/// Applies before the first sample. Current engines read 100 to 160 tokens per ms, and fewer while
-/// they generate.
+/// Assumed speed of a target before the first sample. Current engines read 100 to 160 tokens per
+/// ms, and fewer while they generate.
 constexpr double initialTokensPerMs = 90;
 constexpr double minTokensPerMs = 20;
 constexpr double maxTokensPerMs = 400;
 /// Weight of one sample in the moving average; a target's speed changes over seconds.
 constexpr double sampleWeight = 0.08;
-/// The time of a shorter prompt depends more on the network than on the target.
+/// Shorter prompts give no sample, since their time depends more on the network than on the target.
 constexpr std::uint64_t minSampleTokens = 3000;
 /// Part of the time to the first event that is not spent on reading the prompt.
 constexpr double fixedOverheadMs = 20;
 constexpr double initialServiceMs = 30;
 constexpr double serviceSampleWeight = 0.1;
-/// Minimum number of tokens that a target read for this node before it is reported to the other
-/// nodes: about one percent of an engine's memory.
+/// Minimum number of tokens that this node's requests added to a target's cache before they are
+/// reported to the other nodes: about one percent of an engine's memory.
 constexpr std::uint32_t minReportedWrittenTokens = 8192;
 /// Maximum number of nodes that may send to the same cold target. Besides its part of the rate,
 /// each node may send one request at any moment: 74 nodes exceeded a rate of 16 requests a second,
--- a/lib/Balancer/TargetSelector.h
+++ b/lib/Balancer/TargetSelector.h
@@ -54,7 +54,7 @@
     void onAttemptEnded(const TargetChoice &choice, bool hadResponseStarted);
     TargetHealth &health(TargetKey key) { return m_targets[key].health; }
     void onColdReported(TargetKey key, Duration coldFor);
-    /// Records the duration of a request without a prompt that was answered completely.
+    /// Records the duration of a request without a prompt whose response is complete.
     void onResponseCompleted(const std::string &service, Duration duration);
 
     void onRemotePlacement(PrefixKey part, TargetKey target);
@@ -68,8 +68,8 @@
     /// Returns the shared prompt parts that this node placed since the last call, for the other
     /// nodes.
     std::vector<PlacementEntry> takePlacements() { return std::exchange(m_newPlacements, {}); }
-    /// Returns the counters of tokens that targets read for this node where they have grown enough
-    /// to be reported to the other nodes.
+    /// Returns the counters of tokens that this node's requests added to targets' caches, where
+    /// they have grown enough to be reported to the other nodes.
     std::vector<TargetCacheWriteEntry> takeCacheWrites();
 
 private:
--- a/lib/Balancer/WorkspaceTally.h
+++ b/lib/Balancer/WorkspaceTally.h
@@ -27,7 +27,7 @@
     void admitted(const BalancedRequest &request, double tokens);
     void refused(const BalancedRequest &request, const char *type);
     /// Counts a request that was refused for exceeding its workspace's share although the targets
-    /// had room for a request within its share.
+    /// had capacity for a request within its share.
     void heldBack(const BalancedRequest &request);
     /// Counts requests that the node's traffic threads rejected before they reached the core.
     void turnedAway(std::span<const ShedCount> counts);
--- a/lib/Fleet/Membership.cpp
+++ b/lib/Fleet/Membership.cpp
@@ -17,7 +17,7 @@
 constexpr Duration crossZoneHeartbeatPeriod = std::chrono::milliseconds(500);
 /// A zone counts as unreachable if no message from any of its nodes arrived for this long.
 constexpr Duration zoneSilenceTimeout = std::chrono::milliseconds(2500);
-/// A counterpart in another zone is replaced if it does not answer for this long.
+/// A counterpart in another zone is replaced if it does not respond for this long.
 constexpr Duration counterpartTimeout = std::chrono::milliseconds(1500);
 /// Number of nodes up to which a zone's heartbeats are sent at the full rate.
 constexpr unsigned fullRateZoneNodes = 8;
@@ -248,7 +248,7 @@
         entry.lastHeartbeatAt = now;
         due.push_back(entry);
     }
-    // Nodes of other zones that chose this node as their counterpart need an answer. Without it
+    // Nodes of other zones that chose this node as their counterpart need a response. Without it
     // they would consider this node silent and choose another one.
     for (auto &[node, entry] : m_members) {
         const bool needsResponse = entry.zone != m_options.zone && entry.hasDirectContact
@@ -463,7 +463,8 @@
     for (const auto &[node, entry] : m_members) {
         if (entry.zone != zone || entry.state == MemberState::Gone)
             continue;
-        // A node that did not answer heartbeats ranks below all others for as long as it is silent.
+        // A node that did not respond to heartbeats ranks below all others for as long as it is
+        // silent.
         const bool isSilent = entry.lastHeartbeatAt > entry.lastMessageAt + counterpartTimeout;
         std::uint64_t weight = rendezvousWeight(m_options.self.str(), node.str()) >> 1;
         if (!isSilent)
--- a/lib/Idempotency/KeyClaims.cpp
+++ b/lib/Idempotency/KeyClaims.cpp
@@ -12,12 +12,12 @@
 
 } // namespace
 
-std::optional<KeyRegistry::Refusal> KeyRegistry::chooseWitnesses(const ParsedKey &text,
+std::optional<KeyRegistry::Refusal> KeyRegistry::chooseWitnesses(const ParsedKey &parsedKey,
                                                                  Claim &claim) const
 {
-    if (text.kind == KeyKind::Issued) {
+    if (parsedKey.kind == KeyKind::Issued) {
         claim.roster = issuerRosterId;
-        claim.witnesses = {{text.issuer, text.issuerIncarnation}};
+        claim.witnesses = {{parsedKey.issuer, parsedKey.issuerIncarnation}};
         claim.quorum = 1;
         if (m_rosterCoordinator.view().isTerminated(claim.witnesses.front(),
                                                     m_rosterCoordinator.view().list().revision))
@@ -27,7 +27,7 @@
     }
     const RosterChain &chain = m_rosterCoordinator.chain();
     const Roster *roster
-        = chain.rosterAt(text.kind == KeyKind::Timestamped ? text.createdAt : m_wall);
+        = chain.rosterAt(parsedKey.kind == KeyKind::Timestamped ? parsedKey.createdAt : m_wall);
     if (!roster && !chain.lastActive())
         return Refusal {503, "no-witnesses", "the nodes have not yet agreed on witnesses",
                         defaultRetryAfter};
@@ -65,11 +65,11 @@
 
 bool KeyRegistry::isCurrent(const std::string &key, const Claim &claim) const
 {
-    const ParsedKey text = parseKey(key);
-    if (text.kind == KeyKind::Issued)
+    const ParsedKey parsedKey = parseKey(key);
+    if (parsedKey.kind == KeyKind::Issued)
         return true;
     const Roster *roster = m_rosterCoordinator.chain().rosterAt(
-        text.kind == KeyKind::Timestamped ? text.createdAt : m_wall);
+        parsedKey.kind == KeyKind::Timestamped ? parsedKey.createdAt : m_wall);
     return roster && roster->id == claim.roster;
 }
 
@@ -303,9 +303,9 @@
     m_rosterCoordinator.onProposal(from, proposal, m_now, m_wall, out);
 }
 
-void KeyRegistry::handle(const NodeRun &from, const RosterProposalReply &consent, KeyOutput &out)
+void KeyRegistry::handle(const NodeRun &from, const RosterProposalReply &reply, KeyOutput &out)
 {
-    m_rosterCoordinator.onProposalReply(from, consent, m_now, out);
+    m_rosterCoordinator.onProposalReply(from, reply, m_now, out);
 }
 
 void KeyRegistry::handle(const NodeRun &from, const RosterDecision &decision, KeyOutput &out)
--- a/lib/Idempotency/KeyFormat.cpp
+++ b/lib/Idempotency/KeyFormat.cpp
@@ -99,11 +99,11 @@
     return {};
 }
 
-std::string formatIssuedKey(const ParsedKey &text)
+std::string formatIssuedKey(const ParsedKey &key)
 {
-    return std::string(issuedPrefix) + std::to_string(text.createdAt.time_since_epoch().count())
-        + '-' + std::to_string(text.sequence) + '-' + std::to_string(text.issuerIncarnation) + '-'
-        + text.issuer.str();
+    return std::string(issuedPrefix) + std::to_string(key.createdAt.time_since_epoch().count())
+        + '-' + std::to_string(key.sequence) + '-' + std::to_string(key.issuerIncarnation) + '-'
+        + key.issuer.str();
 }
 
 } // namespace berylridge
--- a/lib/Idempotency/KeyRegistry.cpp
+++ b/lib/Idempotency/KeyRegistry.cpp
@@ -50,13 +50,13 @@
     m_wall = std::max(m_wall, wall);
 }
 
-std::optional<KeyRegistry::Refusal> KeyRegistry::refusalForAge(const ParsedKey &text) const
+std::optional<KeyRegistry::Refusal> KeyRegistry::refusalForAge(const ParsedKey &parsedKey) const
 {
-    if (text.kind == KeyKind::Opaque)
+    if (parsedKey.kind == KeyKind::Opaque)
         return std::nullopt;
-    if (text.createdAt + milliseconds(m_options.lifetime) < m_wall)
+    if (parsedKey.createdAt + milliseconds(m_options.lifetime) < m_wall)
         return Refusal {409, "key-expired", "the key is older than the lifetime of keys", {}};
-    const auto ahead = text.createdAt - m_wall;
+    const auto ahead = parsedKey.createdAt - m_wall;
     if (ahead <= milliseconds(m_options.futureTolerance))
         return std::nullopt;
     Refusal refusal {
@@ -82,8 +82,8 @@
                         TimePoint now, WallTime wall, KeyOutput &out)
 {
     advanceClocks(now, wall);
-    const ParsedKey text = parseKey(key);
-    if (const auto refusal = refusalForAge(text)) {
+    const ParsedKey parsedKey = parseKey(key);
+    if (const auto refusal = refusalForAge(parsedKey)) {
         refuse(request, key, *refusal, out);
         return;
     }
@@ -101,7 +101,7 @@
     held.request = request;
     held.bodyHash = bodyHash;
     held.receivedAt = m_wall;
-    held.retainUntil = retentionEnd(text);
+    held.retainUntil = retentionEnd(parsedKey);
     m_claimingKeys.insert(key);
     startClaim(key, held, out);
 }
@@ -133,7 +133,7 @@
            out);
 }
 
-WallTime KeyRegistry::retentionEnd(const ParsedKey &text) const
+WallTime KeyRegistry::retentionEnd(const ParsedKey &parsedKey) const
 {
     const auto lifetime = milliseconds(m_options.lifetime);
     const auto margin
@@ -141,9 +141,9 @@
     // When another node queries a key that this node does not hold, this node replies that it has
     // not run the key. It must therefore remember a key until the key is expired by every other
     // clock in the fleet.
-    if (text.kind == KeyKind::Opaque)
+    if (parsedKey.kind == KeyKind::Opaque)
         return m_wall + 2 * lifetime + margin;
-    return text.createdAt + lifetime + margin;
+    return parsedKey.createdAt + lifetime + margin;
 }
 
 bool KeyRegistry::mayDispatch(const std::string &key, TimePoint now, WallTime wall) const
@@ -154,8 +154,9 @@
         return false;
     // After a pause of a whole key lifetime, the process may hold an admission that its witnesses
     // have already dropped.
-    const ParsedKey text = parseKey(key);
-    const WallTime from = text.kind == KeyKind::Opaque ? it->second.receivedAt : text.createdAt;
+    const ParsedKey parsedKey = parseKey(key);
+    const WallTime from
+        = parsedKey.kind == KeyKind::Opaque ? it->second.receivedAt : parsedKey.createdAt;
     return std::max(wall, m_wall) <= from + milliseconds(m_options.lifetime);
 }
 
--- a/lib/Idempotency/RosterCoordinator.cpp
+++ b/lib/Idempotency/RosterCoordinator.cpp
@@ -258,19 +258,19 @@
     out.sends.push_back({from.node, std::move(reply)});
 }
 
-void RosterCoordinator::onProposalReply(const NodeRun &from, const RosterProposalReply &consent,
+void RosterCoordinator::onProposalReply(const NodeRun &from, const RosterProposalReply &reply,
                                         TimePoint now, KeyOutput &out)
 {
-    const bool isCurrentProposal = m_proposal && m_proposal->roster.id == consent.roster;
+    const bool isCurrentProposal = m_proposal && m_proposal->roster.id == reply.roster;
     if (!isCurrentProposal)
         return;
-    if (consent.isGranted) {
+    if (reply.isGranted) {
         m_proposal->consented.insert(from);
         tryToDecide(now, out);
         return;
     }
     abandonProposal(now, out);
-    for (const RosterMessage &message : consent.known)
+    for (const RosterMessage &message : reply.known)
         m_chain.add(makeRoster(message));
     // The rejecting node may have missed the roster that the proposal is based on.
     sendRosterUpdate(from.node, out);
--- a/lib/Idempotency/Witness.cpp
+++ b/lib/Idempotency/Witness.cpp
@@ -23,15 +23,15 @@
 VoteResult Witness::vote(const std::string &key, const ReceivedClaim &claim,
                          const RosterChain &chain, WallTime wall)
 {
-    const ParsedKey text = parseKey(key);
-    const Vote eligible = eligibilityVote(text, claim.roster, chain, wall);
+    const ParsedKey parsedKey = parseKey(key);
+    const Vote eligible = eligibilityVote(parsedKey, claim.roster, chain, wall);
     if (eligible != Vote::Yes)
         return {eligible, {}};
     const auto it = m_records.find(key);
     if (it == m_records.end()) {
         if (m_records.size() >= m_maxRecords)
             return {Vote::Full, {}};
-        m_records[key] = {claim.claimant, claim.claim, expiryOf(text, wall)};
+        m_records[key] = {claim.claimant, claim.claim, expiryOf(parsedKey, wall)};
         return {Vote::Yes, {}};
     }
     Record &record = it->second;
@@ -40,7 +40,7 @@
     if (claim.claim < record.claim)
         return {Vote::Stale, {}};
     record.claim = claim.claim;
-    record.expiresAt = expiryOf(text, wall);
+    record.expiresAt = expiryOf(parsedKey, wall);
     return {Vote::Yes, {}};
 }
 
@@ -66,29 +66,29 @@
     std::erase_if(m_records, [&](const auto &item) { return item.second.expiresAt < wall; });
 }
 
-Vote Witness::eligibilityVote(const ParsedKey &text, RosterId claimedRoster,
+Vote Witness::eligibilityVote(const ParsedKey &parsedKey, RosterId claimedRoster,
                               const RosterChain &chain, WallTime wall) const
 {
-    if (text.kind == KeyKind::Opaque)
+    if (parsedKey.kind == KeyKind::Opaque)
         return opaqueEligibility(claimedRoster, chain, wall);
-    if (text.createdAt + milliseconds(m_limits.lifetime) < wall)
+    if (parsedKey.createdAt + milliseconds(m_limits.lifetime) < wall)
         return Vote::Expired;
-    if (text.kind == KeyKind::Issued)
-        return issuedEligibility(text, claimedRoster);
+    if (parsedKey.kind == KeyKind::Issued)
+        return issuedEligibility(parsedKey, claimedRoster);
     // A key created in the future could belong to a roster that is agreed on later and whose
     // members do not know of this vote; they would admit the key again.
-    if (text.createdAt > wall + milliseconds(m_limits.futureTolerance))
+    if (parsedKey.createdAt > wall + milliseconds(m_limits.futureTolerance))
         return Vote::Expired;
-    return memberEligibility(chain.rosterAt(text.createdAt), claimedRoster);
+    return memberEligibility(chain.rosterAt(parsedKey.createdAt), claimedRoster);
 }
 
-Vote Witness::issuedEligibility(const ParsedKey &text, RosterId claimedRoster) const
+Vote Witness::issuedEligibility(const ParsedKey &parsedKey, RosterId claimedRoster) const
 {
-    const bool isOwn = NodeRun {text.issuer, text.issuerIncarnation} == m_self;
+    const bool isOwn = NodeRun {parsedKey.issuer, parsedKey.issuerIncarnation} == m_self;
     // A key that this run did not issue may have been issued by an earlier run, which may have
     // admitted it. A node that restarts loses its record of admitted keys.
-    if (claimedRoster != issuerRosterId || !isOwn || text.sequence == 0
-        || text.sequence > m_issuedCount)
+    if (claimedRoster != issuerRosterId || !isOwn || parsedKey.sequence == 0
+        || parsedKey.sequence > m_issuedCount)
         return Vote::Abstain;
     return Vote::Yes;
 }
@@ -100,7 +100,7 @@
     const Vote eligible = memberEligibility(roster, claimedRoster);
     if (eligible != Vote::Yes)
         return eligible;
-    // An opaque key does not tell whether an earlier roster admitted it. After a whole key
+    // An opaque key does not show whether an earlier roster admitted it. After a whole key
     // lifetime, its caller no longer sends it.
     const auto minRosterAge
         = milliseconds(m_limits.lifetime) + 2 * milliseconds(m_limits.maxClockSkew);
@@ -119,14 +119,14 @@
     return Vote::Yes;
 }
 
-WallTime Witness::expiryOf(const ParsedKey &text, WallTime wall) const
+WallTime Witness::expiryOf(const ParsedKey &parsedKey, WallTime wall) const
 {
     const auto lifetime = milliseconds(m_limits.lifetime);
     // The lifetime of an opaque key begins at its first use, which may be one lifetime before the
     // last use: the holder dispatches within one lifetime of its claim.
-    if (text.kind == KeyKind::Opaque)
+    if (parsedKey.kind == KeyKind::Opaque)
         return wall + 2 * lifetime;
-    return text.createdAt + lifetime;
+    return parsedKey.createdAt + lifetime;
 }
 
 std::string Witness::describe() const
--- a/lib/Policy/FlowAccounting.cpp
+++ b/lib/Policy/FlowAccounting.cpp
@@ -11,7 +11,8 @@
 /// a shorter timeout, one lost datagram would raise the virtual time of a flow that never ceased to
 /// wait, and it would lose service that it is owed.
 constexpr Duration flowIdleTimeout = std::chrono::milliseconds(1500);
-/// A flow's account is kept this long, so that short pauses between its requests do not reset it.
+/// A flow's account is retained this long, so that short pauses between its requests do not reset
+/// it.
 constexpr Duration accountLifetime = std::chrono::minutes(5);
 
 } // namespace
--- a/lib/Policy/Placement.cpp
+++ b/lib/Policy/Placement.cpp
@@ -30,8 +30,7 @@
 /// Attempts across a partition end only by a timeout. Such targets are used only if nothing else is
 /// left.
 constexpr double silentZoneCostMs = 5000.0;
-/// Each step of an engine takes longer the more requests run. This is the
-/// cost when all slots are in use.
+/// Cost when all slots are in use: each step of an engine takes longer the more requests run.
 constexpr double concurrencyCostMs = 60.0;
 
 struct Cost
--- a/lib/Policy/PoolOwner.cpp
+++ b/lib/Policy/PoolOwner.cpp
@@ -317,8 +317,8 @@
     if (isHolderResponsive)
         return false;
     // The holder is silent: paused, partitioned, or lost with its VM. Its request may still run on
-    // the target. The target's own report shows this if it was made after the holder was last heard
-    // from.
+    // the target. The target's own report shows this if it is newer than the holder's last
+    // message.
     const auto target = m_targets.find(lease.target);
     if (target == m_targets.end())
         return true;
@@ -374,8 +374,8 @@
 {
     std::size_t sum = 0;
     for (const auto &[node, holder] : m_holders) {
-        for (const auto &[flow, want] : holder.demands)
-            sum += want.waiting;
+        for (const auto &[flow, demand] : holder.demands)
+            sum += demand.waiting;
     }
     return sum;
 }
--- a/lib/Policy/PoolOwnerGrants.cpp
+++ b/lib/Policy/PoolOwnerGrants.cpp
@@ -117,23 +117,23 @@
                        [&](const auto &entry) { return freeSlots(entry.second, now) > 0; });
 }
 
-bool PoolOwner::isRejectedBy(const FlowAtNode &want, TargetHash target, TimePoint now) const
+bool PoolOwner::isRejectedBy(const FlowAtNode &flowAtNode, TargetHash target, TimePoint now) const
 {
-    const auto found = m_rejectedTargets.find({want, target});
+    const auto found = m_rejectedTargets.find({flowAtNode, target});
     return found != m_rejectedTargets.end() && now < found->second;
 }
 
-std::optional<TargetHash> PoolOwner::selectTarget(const FlowAtNode &want, TimePoint now) const
+std::optional<TargetHash> PoolOwner::selectTarget(const FlowAtNode &flowAtNode, TimePoint now) const
 {
     std::optional<TargetHash> best;
     double bestLoad = 0;
     std::uint64_t bestAffinity = 0;
     for (const auto &[hash, target] : m_targets) {
         const std::uint32_t left = freeSlots(target, now);
-        if (left == 0 || isRejectedBy(want, hash, now))
+        if (left == 0 || isRejectedBy(flowAtNode, hash, now))
             continue;
         const double load = static_cast<double>(target.occupied) / (left + target.occupied);
-        const std::uint64_t affinity = hash ^ want.second;
+        const std::uint64_t affinity = hash ^ flowAtNode.second;
         if (!best || load < bestLoad || (load == bestLoad && affinity < bestAffinity)) {
             best = hash;
             bestLoad = load;
@@ -151,14 +151,14 @@
     for (const auto &[node, holder] : m_holders) {
         if (now - holder.demandReceivedAt > demandLifetime)
             continue;
-        for (const auto &[flow, want] : holder.demands) {
-            if (ungrantedRequests(node, want) == 0 || skipped.contains({node, flow}))
+        for (const auto &[flow, demand] : holder.demands) {
+            if (ungrantedRequests(node, demand) == 0 || skipped.contains({node, flow}))
                 continue;
             SchedulingCandidate candidate;
             candidate.node = &node;
             candidate.flow = flow;
             candidate.virtualTime = m_accounting.virtualTime(flow, now);
-            candidate.age = fromMilliseconds(want.oldestMs) + (now - holder.demandReceivedAt);
+            candidate.age = fromMilliseconds(demand.oldestMs) + (now - holder.demandReceivedAt);
             const SchedulingKey key
                 = std::visit([&](const auto &policy) { return policy.key(candidate, m_history); },
                              m_options.policy);
@@ -172,11 +172,11 @@
 }
 
 /// Returns the number of waiting requests for which no grant is in flight.
-std::uint32_t PoolOwner::ungrantedRequests(const NodeId &node, const FlowDemand &want) const
+std::uint32_t PoolOwner::ungrantedRequests(const NodeId &node, const FlowDemand &demand) const
 {
-    const auto inFlight = m_inFlightGrants.find({node, want.flow});
+    const auto inFlight = m_inFlightGrants.find({node, demand.flow});
     const std::uint32_t inFlightCount = inFlight == m_inFlightGrants.end() ? 0 : inFlight->second;
-    return want.waiting > inFlightCount ? want.waiting - inFlightCount : 0;
+    return demand.waiting > inFlightCount ? demand.waiting - inFlightCount : 0;
 }
 
 } // namespace berylridge
--- a/lib/Policy/WorkspaceShares.cpp
+++ b/lib/Policy/WorkspaceShares.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Maximum unused share that is kept as credit, in seconds of the share.
+/// Maximum unused share that counts as credit, in seconds of the share.
 constexpr double maxCreditSeconds = 1.0;
 /// Maximum debt for what a workspace received over its share, in seconds of the share. A flood that
 /// used idle capacity must not be shut out for long once other workspaces send requests.
@@ -63,17 +63,17 @@
 double WorkspaceShares::capacity(double configuredCapacity, TimePoint now)
 {
     double served = m_served.at(now);
-    double turnedAway = m_rejected.at(now);
+    double rejected = m_rejected.at(now);
     for (const auto &[node, remote] : m_remotes) {
         served += remote.digest.servedPerSecond;
-        turnedAway += remote.digest.rejectedPerSecond;
+        rejected += remote.digest.rejectedPerSecond;
     }
     // Targets that have to read most parts anew have a third of the configured capacity. Shares of
     // the configured capacity would limit nobody then: a flood takes all free capacity, and other
     // workspaces get a third of what it gets.
     m_fleet.servedPerSecond = served;
-    m_fleet.rejectedPerSecond = turnedAway;
-    m_isOverloaded = turnedAway > overloadRejectFraction * served;
+    m_fleet.rejectedPerSecond = rejected;
+    m_isOverloaded = rejected > overloadRejectFraction * served;
     if (m_isOverloaded)
         return served * capacityGrowth;
     return std::max(configuredCapacity, served * capacityGrowth);
--- a/lib/Router/FleetSync.cpp
+++ b/lib/Router/FleetSync.cpp
@@ -15,7 +15,7 @@
 constexpr Duration minDocumentsRequestInterval = std::chrono::milliseconds(200);
 /// Maximum document text in one reply, in bytes. The receiver requests the rest again.
 constexpr std::size_t maxReplyBytes = 512 << 10;
-/// Time that the load balancer needs after the begin of a planned stop to see that this node is not
+/// Time that the load balancer needs after the start of a planned stop to see that this node is not
 /// ready.
 constexpr Duration balancerNoticeDelay = std::chrono::seconds(2);
 /// Time without a new request after which the load balancer is assumed to have stopped sending.
--- a/lib/Router/PoolManager.cpp
+++ b/lib/Router/PoolManager.cpp
@@ -11,7 +11,8 @@
 /// Wait after which a request that its own zone has not served is offered to other zones' pools
 /// too.
 constexpr Duration spillDelay = std::chrono::milliseconds(20);
-/// Time after a spill during which other zones are asked immediately, since the own zone is full.
+/// Time after a spill during which other zones' pools receive demand immediately, since the own
+/// zone is full.
 constexpr Duration spillDuration = std::chrono::seconds(2);
 constexpr Duration usageReportPeriod = std::chrono::milliseconds(500);
 
--- a/lib/Router/PoolManager.h
+++ b/lib/Router/PoolManager.h
@@ -123,10 +123,10 @@
     LeaseConsumer &m_leaseConsumer;
     std::map<PoolId, ManagedPool> m_pools;
     std::map<ServiceId, std::vector<PoolId>>
-        m_byService; ///< Pools in the order in which this node asks them.
+        m_byService; ///< Pools in the order in which this node sends them demand.
     std::map<TargetId, std::pair<PoolId, ServiceId>> m_targetPool;
     std::map<ServiceId, TimePoint>
-        m_spillUntil; ///< Time until which other zones' pools are asked immediately.
+        m_spillUntil; ///< Time until which other zones' pools receive demand immediately.
     std::map<ServiceId, std::size_t> m_openTargetCounts;
     std::set<ServiceId> m_changedServices;
     TimePoint m_nextUsageReportAt {};
--- a/lib/Router/PoolMessages.cpp
+++ b/lib/Router/PoolMessages.cpp
@@ -15,9 +15,9 @@
 /// Owners that receive a usage report per period. With one pool in each of three zones this covers
 /// all other owners.
 constexpr std::size_t ownersPerUsageReport = 2;
-/// Maximum number of pools that one node asks for a service's slots. The selection differs per
-/// node, so that each pool is asked by equally many nodes. With fewer pools than the limits, all
-/// are asked.
+/// Maximum number of pools of one service, in this zone and in all other zones, that one node sends
+/// its demand to. The selection differs per node, so that each pool receives the demand of equally
+/// many nodes. With fewer pools than the limits, all receive it.
 constexpr std::size_t ownZonePoolLimit = 4;
 constexpr std::size_t otherZonePoolLimit = 6;
 /// Maximum number of flows in one demand message, so that it fits into a datagram. The flows with
--- a/lib/Router/RequestCrashes.cpp
+++ b/lib/Router/RequestCrashes.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// Time for the target to answer a poll after a broken connection, and for a crash report to reach
-/// every node, before the request that may have caused the crash is sent to a second target.
+/// Time for the target to respond to a poll after a broken connection, and for a crash report to
+/// reach every node, before the request that may have caused the crash is sent to a second target.
 constexpr Duration crashCheckTimeout = std::chrono::milliseconds(400);
 /// Copies of each crash report. At a datagram loss of 10 %, all four are lost once in 10000 cases.
 constexpr int crashReportCopies = 4;
--- a/lib/Router/RequestManager.cpp
+++ b/lib/Router/RequestManager.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Number of ended requests whose traces are kept for explain().
+/// Number of ended requests whose traces are retained for explain().
 constexpr std::size_t maxExplainedRequests = 1000;
 constexpr Duration minRetryAfter = std::chrono::seconds(1);
 constexpr Duration maxRetryAfter = std::chrono::seconds(60);
@@ -98,23 +98,23 @@
     request.queueDeadline = m_context.now + maxQueueWait;
     if (!request.isIdempotent && event.idempotencyKey)
         request.key = scopedKey(event.service, request.workspace, *event.idempotencyKey);
-    Request &kept = m_requests[event.handle] = std::move(request);
-    addTrace(kept, "arrived", kept.workspace.str());
-    m_queueDeadlines.emplace(kept.queueDeadline, kept.handle);
+    Request &added = m_requests[event.handle] = std::move(request);
+    addTrace(added, "arrived", added.workspace.str());
+    m_queueDeadlines.emplace(added.queueDeadline, added.handle);
 
-    if (kept.key.empty()) {
-        admit(kept, service);
+    if (added.key.empty()) {
+        admit(added, service);
         return;
     }
     // The key is claimed before any other check can refuse the request. Only the claim shows
     // whether the operation may already have run through another node.
-    step(kept, RequestSignal::ClaimBegun);
-    addTrace(kept, "claims its idempotency key");
+    step(added, RequestSignal::ClaimBegun);
+    addTrace(added, "claims its idempotency key");
     KeyOutput output;
-    const std::string key = kept.key;
+    const std::string key = added.key;
     // The fingerprint also covers the method and the path: a key identifies one request, not one
     // body.
-    m_keys.begin(kept.handle, key, kept.fingerprint, m_context.now, m_context.wall, output);
+    m_keys.begin(added.handle, key, added.fingerprint, m_context.now, m_context.wall, output);
     applyKeyOutput(std::move(output));
 }
 
@@ -207,7 +207,7 @@
 
 void RequestManager::onDocuments()
 {
-    std::map<ServiceId, Service> kept;
+    std::map<ServiceId, Service> updatedServices;
     for (const auto &document : m_context.documents.services()) {
         Service service;
         const auto found = m_services.find(document->service);
@@ -218,9 +218,9 @@
         service.byCredential.clear();
         for (const WorkspaceShare &share : document->workspaces)
             service.byCredential.emplace(share.credentialDigest, &share);
-        kept.emplace(document->service, std::move(service));
+        updatedServices.emplace(document->service, std::move(service));
     }
-    m_services.swap(kept);
+    m_services.swap(updatedServices);
     // Requests that wait for a withdrawn service are refused now; running ones complete.
     std::vector<RequestHandle> orphaned;
     for (const auto &[handle, request] : m_requests) {
@@ -350,7 +350,8 @@
     return found == m_services.end() ? nullptr : &found->second.queue;
 }
 
-/// Refuses a request: answers it immediately and releases everything that it held.
+/// Refuses a request: sends the caller the refusal immediately and releases everything that it
+/// held.
 void RequestManager::refuse(Request &request, Refusal refusal)
 {
     removeFromQueue(request);
--- a/lib/Router/RequestManager.h
+++ b/lib/Router/RequestManager.h
@@ -126,7 +126,7 @@
     struct CrashBroadcast
     {
         CrashReport crashReport;
-        TimePoint at;
+        TimePoint at; ///< Time of the next copy.
         int remainingCopies = 0;
     };
     std::deque<CrashBroadcast> m_crashBroadcasts;
--- a/unittests/Balancer/BalancerCoreTest.cpp
+++ b/unittests/Balancer/BalancerCoreTest.cpp
@@ -98,8 +98,8 @@
     EXPECT_EQ(findAction<Refuse>()->verdict, Verdict::NotRun);
 }
 
-// An idempotent request fails at its first target and is retried once. The second failure is passed
-// on.
+// An idempotent request fails at its first target and is retried once. The second failure is
+// relayed to the caller.
 TEST_F(BalancerCoreTest, IdempotentRequestIsRetriedUpToTheRoutesAttempts)
 {
     installCatalog();
--- a/unittests/Balancer/ReaderRoleTest.cpp
+++ b/unittests/Balancer/ReaderRoleTest.cpp
@@ -47,9 +47,9 @@
 
 } // namespace
 
-// A new node has no state, and a peer reports to have one. The peer usually answers sooner than the
-// platform. If it doesn't, for example because of a one-way network partition, the node must read
-// from the platform itself.
+// A new node has no state, and a peer reports to have one. The peer usually responds sooner than
+// the platform. If it doesn't, for example because of a one-way network partition, the node must
+// read from the platform itself.
 TEST_F(ReaderRoleTest, NewNodeWaitsForStateFromAPeer)
 {
     receiveDigest("m1", true, 1);
--- a/unittests/Fleet/MembershipTest.cpp
+++ b/unittests/Fleet/MembershipTest.cpp
@@ -158,8 +158,8 @@
 }
 
 // Another zone is partitioned from this one and its last zone view expires. Its nodes must no
-// longer be asked as owners, but must not count as gone either, since they still serve requests on
-// their side of the partition.
+// longer be eligible as owners, but must not count as gone either, since they still serve requests
+// on their side of the partition.
 TEST_F(MembershipTest, PartitionedZoneHasNoEligibleOwners)
 {
     ZoneView view;
--- a/unittests/Idempotency/KeyRegistryTest.cpp
+++ b/unittests/Idempotency/KeyRegistryTest.cpp
@@ -100,7 +100,7 @@
     EXPECT_EQ(fleet.admissions(), 1U);
 }
 
-// A request is abandoned in the queue before it is dispatched, and the caller is told that it has
+// A request is abandoned in the queue before it is dispatched, and the response states that it has
 // not run. Another router must be able to run the same key.
 TEST(KeyRegistry, ReleasedKeyRunsElsewhere)
 {
--- a/unittests/Policy/FleetLimitsTest.cpp
+++ b/unittests/Policy/FleetLimitsTest.cpp
@@ -28,8 +28,8 @@
     }
 }
 
-// Guards against 70 nodes using up the 680 connections of a target with idle ones. Without room for
-// new connections, the target resets these.
+// Guards against 70 nodes using up the 680 connections of a target with idle ones. Beyond its
+// limit, the target resets each new connection.
 TEST(IdleConnectionLimit, FleetLeavesRoomForNewConnections)
 {
     for (const std::size_t nodes : {2U, 6U, 70U}) {
--- a/unittests/Policy/LoadShedderTest.cpp
+++ b/unittests/Policy/LoadShedderTest.cpp
@@ -33,7 +33,7 @@
 
 } // namespace
 
-// Guards against a flood of one workspace at one node delaying all its callers until they give up:
+// Guards against a flood of one workspace at one node delaying all its callers until they time out:
 // 900 requests per second where the node can handle 400. Only as much of the flood as needed is
 // shed, and nothing of the small workspace.
 TEST(LoadShedder, ShedsAFloodAndServesOtherCredentials)
--- a/unittests/Policy/PlacementTest.cpp
+++ b/unittests/Policy/PlacementTest.cpp
@@ -249,7 +249,7 @@
     EXPECT_EQ(prompts.sharedParts(chain, clock.now()).at(0).copies, 0U);
 }
 
-// Guards against the last digest of a node that died reserving a target's capacity forever.
+// Guards against the last digest of a terminated node reserving a target's capacity forever.
 TEST(TargetLoads, DropsTheLoadOfASilentNode)
 {
     ManualClock clock;
--- a/unittests/Policy/PoolOwnerTest.cpp
+++ b/unittests/Policy/PoolOwnerTest.cpp
@@ -287,7 +287,7 @@
     EXPECT_EQ(grants().size(), 1U) << "the rejection of the target has expired";
 }
 
-// Guards against a grant being considered lost only because nothing was heard about it after its
+// Guards against a grant being considered lost only because no message about it arrived after its
 // term. Its holder may have started a request on a cold target and been partitioned before it could
 // report; one more request would crash the target.
 TEST_F(PoolOwnerTest, UnconfirmedGrantMayBeInUse)
--- a/unittests/Policy/ServiceQueueTest.cpp
+++ b/unittests/Policy/ServiceQueueTest.cpp
@@ -39,7 +39,7 @@
     }
     EXPECT_EQ(queue.expectedWait(flow, clock.now()), Duration(1s));
 
-    // All slots are lost and nothing drains, so the wait that callers are told must grow.
+    // All slots are lost and nothing drains, so the wait that is reported to callers must grow.
     clock.advance(10s);
     EXPECT_EQ(queue.expectedWait(flow, clock.now()), Duration(50s));
 }
--- a/unittests/Policy/TargetCapacityTest.cpp
+++ b/unittests/Policy/TargetCapacityTest.cpp
@@ -95,7 +95,7 @@
     EXPECT_EQ(limit(), 2U);
 }
 
-// Guards against a burst on a cold boot. A warm, idle target that nobody heard from for seconds may
+// Guards against a burst on a cold boot. A warm, idle target that sent no response for seconds may
 // have restarted unnoticed.
 TEST_F(TargetCapacityTest, StaleBootEvidenceAllowsOnlyColdSlots)
 {
