--- a/include/berylridge/Net/Metrics.h
+++ b/include/berylridge/Net/Metrics.h
@@ -79,14 +79,14 @@
     LatencyHistogram requestLatency;
 
     /// Counts a rejected request under its problem type.
-    void addRefusal(const std::string &type);
+    void countRejectedRequest(const std::string &type);
 
     /// Prints all metrics. controlCpuSeconds is the processor time of the control thread.
     std::string print(double controlCpuSeconds) const;
 
 private:
     mutable std::mutex m_mutex;
-    std::map<std::string, std::uint64_t> m_refusals;
+    std::map<std::string, std::uint64_t> m_rejectedRequests;
 };
 
 } // namespace berylridge
--- a/include/berylridge/Net/WireProtocol.h
+++ b/include/berylridge/Net/WireProtocol.h
@@ -69,7 +69,7 @@
 concept WireProtocol
     = requires(const T &protocol, const StringRequest &request, std::string_view text,
                const Dispatch &dispatch, const AttemptIds &names, RequestHead &requestHead,
-               const ResponseHead &answerHead, CallerResponseHead &callerHead,
+               const ResponseHead &responseHead, CallerResponseHead &callerHead,
                const Problem &problem)
 {
     {
@@ -83,7 +83,7 @@
         } -> std::same_as<bool>;
     protocol.completeRequestHead(request, dispatch, names, requestHead);
     {
-        protocol.readResponseHead(answerHead, names)
+        protocol.readResponseHead(responseHead, names)
         } -> std::same_as<ResponseInfo>;
     {
         protocol.forwardsResponseField(text)
--- a/lib/Net/CallerSession.cpp
+++ b/lib/Net/CallerSession.cpp
@@ -332,7 +332,7 @@
     m_state = State::Waiting;
     m_deadline->clear();
     ++m_thread.metrics().requestsByVerdict[static_cast<std::size_t>(problem.verdict)];
-    m_thread.metrics().addRefusal(problem.type);
+    m_thread.metrics().countRejectedRequest(problem.type);
     const std::string placeholderRequestId = m_thread.options().placeholderRequestId();
     auto response = m_thread.protocol().buildProblemResponse(
         problem, requestId.empty() ? std::string_view(placeholderRequestId) : requestId);
--- a/lib/Net/Exchange.cpp
+++ b/lib/Net/Exchange.cpp
@@ -362,7 +362,7 @@
 
 void Exchange::refuse(const Refuse &command)
 {
-    m_thread.metrics().addRefusal(command.type);
+    m_thread.metrics().countRejectedRequest(command.type);
     if (m_session && m_isResponseStarted) {
         const auto session = std::exchange(m_session, nullptr);
         end(command.verdict);
--- a/lib/Net/Metrics.cpp
+++ b/lib/Net/Metrics.cpp
@@ -110,10 +110,10 @@
     printSample(name, "_count", static_cast<std::uint64_t>(cumulativeCount), out);
 }
 
-void Metrics::addRefusal(const std::string &type)
+void Metrics::countRejectedRequest(const std::string &type)
 {
     const std::lock_guard lock(m_mutex);
-    ++m_refusals[type];
+    ++m_rejectedRequests[type];
 }
 
 std::string Metrics::print(double controlCpuSeconds) const
@@ -131,7 +131,7 @@
     printMetadata("berylridge_refusals_total", "refusals by problem type", "counter", out);
     {
         const std::lock_guard lock(m_mutex);
-        for (const auto &[type, count] : m_refusals)
+        for (const auto &[type, count] : m_rejectedRequests)
             printSample("berylridge_refusals_total", label("type", type), count, out);
     }
     counter("berylridge_callers_gone_total", "callers that left before their answer",
--- a/lib/Net/NativeProtocol.cpp
+++ b/lib/Net/NativeProtocol.cpp
@@ -53,11 +53,11 @@
 
     ResponseInfo readResponseHead(const ResponseHead &head, const AttemptIds &names) const
     {
-        ResponseInfo facts;
+        ResponseInfo info;
         const auto attemptId = head.find(beastView(fields::attemptId));
-        facts.isUsable = attemptId == head.end() || view(attemptId->value()) == names.attemptId;
-        facts.bootId = std::string(view(head[beastView(fields::bootId)]));
-        return facts;
+        info.isUsable = attemptId == head.end() || view(attemptId->value()) == names.attemptId;
+        info.bootId = std::string(view(head[beastView(fields::bootId)]));
+        return info;
     }
 
     bool forwardsResponseField(std::string_view name) const
--- a/lib/Net/PeerTransport.cpp
+++ b/lib/Net/PeerTransport.cpp
@@ -71,7 +71,7 @@
         if (error)
             return;
         receiveAll();
-        m_callbacks.endIteration();
+        m_callbacks.onIterationEnd();
         receive();
     });
 }
@@ -200,7 +200,7 @@
     response.result(http::status::ok);
     response.set(http::field::content_type, "application/json");
     response.body() = m_deliverServer.handle(request.body());
-    m_callbacks.endIteration();
+    m_callbacks.onIterationEnd();
     return response;
 }
 
@@ -210,7 +210,7 @@
     if (!socketAddress) {
         asio::post(m_context, [this, action] {
             m_callbacks.onEvent(ProbeEnded {action.node, action.incarnation, false});
-            m_callbacks.endIteration();
+            m_callbacks.onIterationEnd();
         });
         return;
     }
@@ -237,7 +237,7 @@
         probe->socket.close(ignored);
         m_callbacks.onEvent(
             ProbeEnded {action.node, action.incarnation, error == asio::error::connection_refused});
-        m_callbacks.endIteration();
+        m_callbacks.onIterationEnd();
     });
 }
 
--- a/lib/Net/PeerTransport.h
+++ b/lib/Net/PeerTransport.h
@@ -35,8 +35,8 @@
 public:
     struct Callbacks
     {
-        std::function<void(Event)> onEvent; ///< Called once for each event.
-        std::function<void()> endIteration; ///< Called once after the events of one wake-up.
+        std::function<void(Event)> onEvent;   ///< Called once for each event.
+        std::function<void()> onIterationEnd; ///< Called once after the events of one wake-up.
         std::function<void(LogRecord)> log;
     };
 
--- a/lib/Net/PlatformWatcher.cpp
+++ b/lib/Net/PlatformWatcher.cpp
@@ -195,11 +195,11 @@
     stop();
 }
 
-void PlatformWatcher::setEnabled(bool isOn)
+void PlatformWatcher::setEnabled(bool isEnabled)
 {
-    if (isOn == (m_documentPoller != nullptr))
+    if (isEnabled == (m_documentPoller != nullptr))
         return;
-    if (isOn)
+    if (isEnabled)
         start();
     else
         stop();
--- a/lib/Net/PlatformWatcher.h
+++ b/lib/Net/PlatformWatcher.h
@@ -78,7 +78,7 @@
     PlatformWatcher(const PlatformWatcher &) = delete;
     PlatformWatcher &operator=(const PlatformWatcher &) = delete;
 
-    void setEnabled(bool isOn);
+    void setEnabled(bool isEnabled);
 
 private:
     void start();
--- a/lib/Net/TargetPoller.cpp
+++ b/lib/Net/TargetPoller.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr Duration pollTimeout = std::chrono::seconds(1);
-constexpr std::chrono::seconds unusedClientTimeout {30};
+constexpr std::chrono::seconds idleClientTimeout {30};
 constexpr unsigned okStatus = 200;
 
 } // namespace
@@ -49,7 +49,7 @@
 
 void TargetPoller::poll(const PollTarget &command)
 {
-    closeUnusedClients();
+    closeIdleClients();
     ++m_metrics.targetPolls;
     Client &client = m_clients[command.endpoint];
     if (!client.http)
@@ -72,18 +72,18 @@
         });
 }
 
-void TargetPoller::closeUnusedClients()
+void TargetPoller::closeIdleClients()
 {
     const auto now = std::chrono::steady_clock::now();
-    if (now - m_lastSweep < unusedClientTimeout)
+    if (now - m_lastSweep < idleClientTimeout)
         return;
     m_lastSweep = now;
     std::erase_if(m_clients, [&](auto &entry) {
-        const bool isUnused
-            = now - entry.second.lastUse > unusedClientTimeout && entry.second.http->pending() == 0;
-        if (isUnused)
+        const bool isIdle
+            = now - entry.second.lastUse > idleClientTimeout && entry.second.http->pending() == 0;
+        if (isIdle)
             entry.second.http->close();
-        return isUnused;
+        return isIdle;
     });
 }
 
--- a/lib/Net/TargetPoller.h
+++ b/lib/Net/TargetPoller.h
@@ -36,7 +36,7 @@
         std::chrono::steady_clock::time_point lastUse;
     };
 
-    void closeUnusedClients();
+    void closeIdleClients();
 
     asio::io_context &m_context;
     Metrics &m_metrics;
--- a/lib/Net/TrafficThread.cpp
+++ b/lib/Net/TrafficThread.cpp
@@ -225,7 +225,7 @@
          [this] { return overloadProblem(); }, placeholderRequestId, isKeepAliveAllowed});
     if (screening.immediateResponse) {
         ++m_metrics.requestsByVerdict[static_cast<std::size_t>(Verdict::NotRun)];
-        m_metrics.addRefusal(overloadProblemType);
+        m_metrics.countRejectedRequest(overloadProblemType);
     }
     return screening;
 }
--- a/unittests/Admin/AdminApiTest.cpp
+++ b/unittests/Admin/AdminApiTest.cpp
@@ -13,7 +13,7 @@
 {
     AuditTrail trail;
     std::string state = "ready";
-    std::vector<std::string> orders;
+    std::vector<std::string> executedCommands;
     std::vector<LogEventId> logged;
     AdminApi api {hooks(), trail};
 
@@ -23,8 +23,9 @@
         built.node = NodeId("a1");
         built.status = [this] { return status(); };
         built.explain = [](const std::string &id) { return std::vector {"request " + id, id}; };
-        built.leave = [this](const std::string &who) { order("leave " + who, "leaving"); };
-        built.returnToService = [this](const std::string &who) { order("return " + who, "ready"); };
+        built.leave = [this](const std::string &who) { execute("leave " + who, "leaving"); };
+        built.returnToService
+            = [this](const std::string &who) { execute("return " + who, "ready"); };
         built.documents = [] { return std::vector<DocumentText> {{"fleet", 3, "{}"}}; };
         built.log = [this](const LogRecord &record) { logged.push_back(record.id); };
         built.wallNow = [] { return WallTime(std::chrono::milliseconds(1767225600123)); };
@@ -43,9 +44,9 @@
         return built;
     }
 
-    void order(std::string what, std::string next)
+    void execute(std::string what, std::string next)
     {
-        orders.push_back(std::move(what));
+        executedCommands.push_back(std::move(what));
         state = std::move(next);
     }
 
@@ -87,7 +88,7 @@
     FakeNode node;
     EXPECT_EQ(node.call("leave", parameters("who", "lan")).result["state"].asString(), "leaving");
     EXPECT_EQ(node.call("return").result["state"].asString(), "ready");
-    EXPECT_EQ(node.orders, (std::vector<std::string> {"leave lan", "return operator"}));
+    EXPECT_EQ(node.executedCommands, (std::vector<std::string> {"leave lan", "return operator"}));
 
     const auto trail = node.call("audit").result["entries"];
     ASSERT_EQ(trail.size(), 2U);
@@ -112,16 +113,16 @@
     EXPECT_EQ(next["entries"][0]["what"].asString(), "audit");
 }
 
-// Guards against an unauthorized client that orders the node to leave through the admin port.
-// Without the operators' key the request isn't parsed; the attempt is logged and recorded in the
-// audit trail.
+// Guards against an unauthorized client that executedCommands the node to leave through the admin
+// port. Without the operators' key the request isn't parsed; the attempt is logged and recorded in
+// the audit trail.
 TEST(AdminApi, CallWithoutKeyIsRejected)
 {
     FakeNode node;
     const auto reply = node.call("leave", parameters("who", "lan"), false);
     EXPECT_FALSE(reply.isSuccess);
     EXPECT_EQ(node.state, "ready");
-    EXPECT_TRUE(node.orders.empty());
+    EXPECT_TRUE(node.executedCommands.empty());
     EXPECT_EQ(node.logged, std::vector {LogEventId::OperatorRejected});
     EXPECT_EQ(node.trail.after(0, 10).entries.at(0).entry.what, "rejected");
 }
@@ -135,7 +136,7 @@
     EXPECT_FALSE(node.call("audit", parameters("after", -1)).isSuccess);
     EXPECT_FALSE(node.call("documents", parameters("withText", 1)).isSuccess);
     EXPECT_FALSE(node.call("reboot").isSuccess);
-    EXPECT_TRUE(node.orders.empty());
+    EXPECT_TRUE(node.executedCommands.empty());
 }
 
 TEST(AdminApi, RespondsWithErrorToInvalidBodies)
@@ -146,7 +147,7 @@
           R"({"jsonrpc": "2.0", "method": "leave", "params": 3, "id": 1})"})
         EXPECT_NE(node.api.handleRpc(body, true).find("error"), std::string::npos) << body;
     EXPECT_NE(node.api.handleRpc(std::string(100'000, '['), true).find("error"), std::string::npos);
-    EXPECT_TRUE(node.orders.empty());
+    EXPECT_TRUE(node.executedCommands.empty());
 }
 
 TEST(AdminApi, ReturnsDocumentTextOnlyOnRequest)
--- a/unittests/Net/AdminTest.cpp
+++ b/unittests/Net/AdminTest.cpp
@@ -34,7 +34,7 @@
         [&] { return get(node.node().admin(), "/readyz").starts_with("HTTP/1.1 200 "); }));
 }
 
-TEST(AdminTest, metricsCountRequestsAndRefusals)
+TEST(AdminTest, metricsCountRequestsAndRejections)
 {
     FakeCore core([](const Event &event, Actions &actions) {
         if (const auto *arrived = std::get_if<RequestArrived>(&event))
--- a/unittests/Net/CallerHttpTest.cpp
+++ b/unittests/Net/CallerHttpTest.cpp
@@ -186,8 +186,8 @@
     // Guards against a slot that is never freed: the caller disconnects while the core dispatches
     // its request. The command finds no request, and the thread must report that nothing was sent.
     FakeCore core([](const Event &event, Actions &actions) {
-        if (const auto *gone = std::get_if<CallerGone>(&event))
-            actions.emplace_back(makeDispatch(gone->handle, closedPort()));
+        if (const auto *disconnected = std::get_if<CallerGone>(&event))
+            actions.emplace_back(makeDispatch(disconnected->handle, closedPort()));
     });
     TestNode node(core);
     FakeCaller caller = node.caller();
--- a/unittests/Net/ForwardingTest.cpp
+++ b/unittests/Net/ForwardingTest.cpp
@@ -53,7 +53,7 @@
     EXPECT_EQ(response.find("X-Attempt-Id"), std::string::npos) << response;
 }
 
-TEST(ForwardingTest, answersPipelinedRequestsInOrder)
+TEST(ForwardingTest, respondsToPipelinedRequestsInOrder)
 {
     FakeTarget target([](FakeTargetConnection &peer) {
         while (true) {
--- a/unittests/Net/FuzzTest.cpp
+++ b/unittests/Net/FuzzTest.cpp
@@ -39,7 +39,7 @@
     return text;
 }
 
-std::string reseal(std::string body)
+std::string appendAuthenticator(std::string body)
 {
     std::array<std::byte, authenticatorSize> tag {};
     computeAuthenticator(TestNode::fleetKey, std::as_bytes(std::span(body)), tag);
@@ -72,7 +72,8 @@
     const auto samples = sampleDatagrams();
     int readCount = 0;
     for (int i = 0; i < datagramRounds; ++i) {
-        const std::string bytes = reseal(mutated(samples[random() % samples.size()], random));
+        const std::string bytes
+            = appendAuthenticator(mutated(samples[random() % samples.size()], random));
         readCount += decodeDatagram(TestNode::fleetKey, std::as_bytes(std::span(bytes))) ? 1 : 0;
     }
     EXPECT_GT(readCount, 0);
--- a/unittests/Net/NodeFixture.cpp
+++ b/unittests/Net/NodeFixture.cpp
@@ -82,8 +82,8 @@
             actions.emplace_back(Refuse {failed->handle, 502, verdict, "the target failed",
                                          "target-failed", std::nullopt});
         }
-        if (const auto *gone = std::get_if<CallerGone>(&event))
-            actions.emplace_back(AbortAttempt {gone->handle, 1});
+        if (const auto *disconnected = std::get_if<CallerGone>(&event))
+            actions.emplace_back(AbortAttempt {disconnected->handle, 1});
     };
 }
 
--- a/unittests/Net/ScreeningTest.cpp
+++ b/unittests/Net/ScreeningTest.cpp
@@ -54,7 +54,7 @@
 
 // Guards against a reset that destroys the response because bytes of the body arrive after the
 // connection is closed.
-TEST_F(ScreeningTest, requestWithIncompleteBodyIsNotAnsweredImmediately)
+TEST_F(ScreeningTest, requestWithIncompleteBodyGetsNoImmediateResponse)
 {
     const Screening screening = screen(completeRequest.substr(0, completeRequest.size() - 1));
     EXPECT_EQ(screening.decision, ShedDecision::Shed);
@@ -62,7 +62,7 @@
 }
 
 // Guards against losing the bytes of the next request together with the rejected one.
-TEST_F(ScreeningTest, pipelinedRequestIsNotAnsweredImmediately)
+TEST_F(ScreeningTest, pipelinedRequestGetsNoImmediateResponse)
 {
     EXPECT_FALSE(screen(completeRequest + completeRequest).immediateResponse);
 }
