--- a/include/berylridge/Net/Datagram.h
+++ b/include/berylridge/Net/Datagram.h
@@ -62,7 +62,8 @@
     NodeId from;
     Incarnation incarnation = 0;
     std::vector<PeerMessage> messages;
-    std::uint32_t unknownMessageCount = 0; ///< Skipped; a newer release sent them.
+    std::uint32_t unknownMessageCount = 0; ///< Skipped messages of kinds that only a newer
+                                           ///< release knows.
 };
 
 /// Verifies the authenticator, then parses the messages. A datagram that fails authentication isn't
--- a/include/berylridge/Net/FileWatcher.h
+++ b/include/berylridge/Net/FileWatcher.h
@@ -1,4 +1,4 @@
-// Detects changes of a file by polling, because some machines have no file notification service.
+// Detects changes of a file by polling, because some VMs have no file notification service.
 #pragma once
 
 #include "berylridge/Net/Asio.h"
--- a/include/berylridge/Net/Metrics.h
+++ b/include/berylridge/Net/Metrics.h
@@ -66,10 +66,13 @@
     Counter datagramsReceived {0};
     Counter datagramBytesSent {0};
     Counter datagramBytesReceived {0};
+
+    /// Counts RPC calls between nodes, for messages that are too large for a datagram.
     Counter callsSent {0};
     Counter callBytesSent {0};
     Counter callsReceived {0};
     Counter callBytesReceived {0};
+
     Counter datagramsRejected {0};
     Counter platformCalls {0};
     Counter targetPolls {0};
--- a/include/berylridge/Net/RouterNode.h
+++ b/include/berylridge/Net/RouterNode.h
@@ -1,4 +1,4 @@
-// A router process around a decision core. It turns socket input into events for the core and
+// Runs a router process around a decision core: converts socket input into events for the core and
 // carries out the core's actions on sockets.
 #pragma once
 
--- a/include/berylridge/Net/WireProtocol.h
+++ b/include/berylridge/Net/WireProtocol.h
@@ -1,6 +1,7 @@
-// Defines the interface to an HTTP mapping: the names of header fields and their meaning. The shell
-// uses it to forward requests and responses. The product's native protocol is one implementation;
-// an adapter for a foreign platform provides another.
+// Defines the interface to an HTTP mapping: the names of header fields and their meaning. The
+// shell, which is the networking code around the decision core, uses it to forward requests and
+// responses. The product's native protocol is one implementation; an adapter for a foreign platform
+// provides another.
 #pragma once
 
 #include "berylridge/Net/Asio.h"
@@ -68,7 +69,7 @@
 template <typename T>
 concept WireProtocol
     = requires(const T &protocol, const StringRequest &request, std::string_view text,
-               const Dispatch &dispatch, const AttemptIds &names, RequestHead &requestHead,
+               const Dispatch &dispatch, const AttemptIds &ids, RequestHead &requestHead,
                const ResponseHead &responseHead, CallerResponseHead &callerHead,
                const Problem &problem)
 {
@@ -81,9 +82,9 @@
     {
         protocol.forwardsRequestField(text)
         } -> std::same_as<bool>;
-    protocol.completeRequestHead(request, dispatch, names, requestHead);
+    protocol.completeRequestHead(request, dispatch, ids, requestHead);
     {
-        protocol.readResponseHead(responseHead, names)
+        protocol.readResponseHead(responseHead, ids)
         } -> std::same_as<ResponseInfo>;
     {
         protocol.forwardsResponseField(text)
@@ -129,11 +130,11 @@
                 },
                 [&protocol](std::string_view name) { return protocol.forwardsRequestField(name); },
                 [&protocol](const StringRequest &request, const Dispatch &dispatch,
-                            const AttemptIds &names, RequestHead &head) {
-                    protocol.completeRequestHead(request, dispatch, names, head);
+                            const AttemptIds &ids, RequestHead &head) {
+                    protocol.completeRequestHead(request, dispatch, ids, head);
                 },
-                [&protocol](const ResponseHead &head, const AttemptIds &names) {
-                    return protocol.readResponseHead(head, names);
+                [&protocol](const ResponseHead &head, const AttemptIds &ids) {
+                    return protocol.readResponseHead(head, ids);
                 },
                 [&protocol](std::string_view name) { return protocol.forwardsResponseField(name); },
                 [&protocol](std::string_view requestId, CallerResponseHead &head) {
--- a/lib/Net/CallerListener.cpp
+++ b/lib/Net/CallerListener.cpp
@@ -17,8 +17,8 @@
 constexpr std::chrono::milliseconds acceptRetryDelay {100};
 
 /// Limits the connections that wait to be accepted. A thread that gets almost no processor time
-/// still answers this many within the second for which callers wait; from a longer queue it would
-/// only accept connections of callers that have already timed out.
+/// still responds to this many within the second for which callers wait; from a longer queue it
+/// would only accept connections of callers that have already timed out.
 constexpr int maxPendingConnections = 256;
 
 } // namespace
@@ -75,10 +75,10 @@
 
 error_code CallerListener::acceptPending()
 {
-    // Accepts every pending connection, because no measure of the thread's load sees what stays in
-    // the system's queue. Calls accept4() directly, because Asio registers each connection with the
-    // event loop before its first bytes are examined. The count is bounded, so that a flood doesn't
-    // delay the thread's other work.
+    // Accepts every pending connection, because the measurement of the thread's load doesn't
+    // include connections that stay in the system's queue. Calls accept4() directly, because Asio
+    // registers each connection with the event loop before its first bytes are examined. The count
+    // is bounded, so that a flood doesn't delay the thread's other work.
     for (int i = 0; i < maxPendingConnections; ++i) {
         FileDescriptor connection(
             ::accept4(m_acceptor.native_handle(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
--- a/lib/Net/ConnectionPool.h
+++ b/lib/Net/ConnectionPool.h
@@ -41,8 +41,8 @@
                                     Clock::time_point now);
 
     /// Adds a connection. Must be called only after a complete response without trailing bytes.
-    /// `announced` is the target's idle timeout; at most `limit` connections to the target are
-    /// kept.
+    /// `announced` is the target's idle timeout; at most `limit` idle connections to the
+    /// target stay in the pool.
     void put(const Endpoint &endpoint, tcp::socket socket,
              std::optional<std::chrono::seconds> announced, std::size_t limit,
              Clock::time_point now);
--- a/lib/Net/ControlLoop.cpp
+++ b/lib/Net/ControlLoop.cpp
@@ -12,11 +12,11 @@
 } // namespace
 
 ControlLoop::ControlLoop(asio::io_context &context, CoreHandle core, Metrics &metrics,
-                         ActionHandler onAction, std::function<void()> endIteration)
+                         ActionHandler onAction, std::function<void()> onIterationEnd)
     : m_core(std::move(core))
     , m_metrics(metrics)
     , m_onAction(std::move(onAction))
-    , m_onIterationEnd(std::move(endIteration))
+    , m_onIterationEnd(std::move(onIterationEnd))
     , m_timer(context)
     , m_mailbox(context, [this](std::vector<Event> &events) {
         for (const Event &event : events)
--- a/lib/Net/ControlLoop.h
+++ b/lib/Net/ControlLoop.h
@@ -19,10 +19,10 @@
 public:
     using ActionHandler = std::function<void(Action &)>;
 
-    /// endIteration is called once after all actions that result from one wake-up of the event
+    /// Calls onIterationEnd once after all actions that result from one iteration of the event
     /// loop.
     ControlLoop(asio::io_context &context, CoreHandle core, Metrics &metrics,
-                ActionHandler onAction, std::function<void()> endIteration);
+                ActionHandler onAction, std::function<void()> onIterationEnd);
 
     /// Queue events for the control thread. Thread-safe.
     void post(Event event) { m_mailbox.put(std::move(event)); }
--- a/lib/Net/EventStream.cpp
+++ b/lib/Net/EventStream.cpp
@@ -104,8 +104,8 @@
     if (m_isDone)
         return false;
     const std::optional<std::uint64_t> number = id ? parseEventNumber(*id) : std::nullopt;
-    // A resuming replica may repeat events. Event numbers increase, so an event without a higher
-    // number was already forwarded.
+    // A target that resumes a stream may repeat events. Event numbers increase, so an event without
+    // a higher number was already forwarded.
     if (number && m_lastEventNumber && *number <= *m_lastEventNumber)
         return true;
     if (id) {
--- a/lib/Net/Exchange.cpp
+++ b/lib/Net/Exchange.cpp
@@ -158,7 +158,7 @@
     for (const auto &field : head) {
         const std::string_view name = view(field.name_string());
         const bool isLength = field.name() == http::field::content_length;
-        // A stream that is resumed elsewhere has another length than the one the first replica
+        // A stream that is resumed elsewhere has another length than the one the first target
         // announced.
         if (isHopByHop(name, connection) || !m_thread.protocol().forwardsResponseField(name)
             || (isLength && m_stream))
--- a/lib/Net/HttpListener.h
+++ b/lib/Net/HttpListener.h
@@ -20,7 +20,7 @@
     Duration idleTimeout = std::chrono::seconds(60); ///< Also limits the time to receive a request.
 };
 
-/// Answers each request with one call of a function.
+/// Calls a handler for each request and sends the response that it returns.
 class HttpListener
 {
 public:
--- a/lib/Net/LogLine.cpp
+++ b/lib/Net/LogLine.cpp
@@ -51,7 +51,7 @@
         append(line, "detail", record.detail);
     if (record.fields.isObject() && !record.fields.empty()) {
         const std::string fields = Json::writeString(compactWriter(), record.fields);
-        line.append(",").append(fields, 1, fields.size() - 2); // Without the enclosing braces.
+        line.append(",").append(fields, 1, fields.size() - 2); // Skips the enclosing braces.
     }
     return line + '}';
 }
--- a/lib/Net/Metrics.cpp
+++ b/lib/Net/Metrics.cpp
@@ -13,7 +13,7 @@
 using LogAxis = histogram::axis::regular<double, histogram::axis::transform::log>;
 
 constexpr unsigned bucketCount = 40;
-constexpr double minBucketSeconds = 0.0001; ///< Seconds.
+constexpr double minBucketSeconds = 0.0001;
 constexpr double maxBucketSeconds = 1000;
 
 void printMetadata(std::string_view name, std::string_view help, std::string_view type,
--- a/lib/Net/NativeProtocol.cpp
+++ b/lib/Net/NativeProtocol.cpp
@@ -39,23 +39,23 @@
         return !contains(routerFields, name);
     }
 
-    void completeRequestHead(const StringRequest &, const Dispatch &dispatch,
-                             const AttemptIds &names, RequestHead &head) const
+    void completeRequestHead(const StringRequest &, const Dispatch &dispatch, const AttemptIds &ids,
+                             RequestHead &head) const
     {
         head.set(http::field::host,
                  dispatch.endpoint.address + ":" + std::to_string(dispatch.endpoint.port));
-        head.set(beastView(fields::requestId), beastView(names.requestId));
-        head.set(beastView(fields::attemptId), beastView(names.attemptId));
+        head.set(beastView(fields::requestId), beastView(ids.requestId));
+        head.set(beastView(fields::attemptId), beastView(ids.attemptId));
         head.set(beastView(fields::workspace), dispatch.workspace.str());
-        if (!names.lastEventId.empty())
-            head.set(beastView(fields::lastEventId), beastView(names.lastEventId));
+        if (!ids.lastEventId.empty())
+            head.set(beastView(fields::lastEventId), beastView(ids.lastEventId));
     }
 
-    ResponseInfo readResponseHead(const ResponseHead &head, const AttemptIds &names) const
+    ResponseInfo readResponseHead(const ResponseHead &head, const AttemptIds &ids) const
     {
         ResponseInfo info;
         const auto attemptId = head.find(beastView(fields::attemptId));
-        info.isUsable = attemptId == head.end() || view(attemptId->value()) == names.attemptId;
+        info.isUsable = attemptId == head.end() || view(attemptId->value()) == ids.attemptId;
         info.bootId = std::string(view(head[beastView(fields::bootId)]));
         return info;
     }
--- a/lib/Net/PeerTransport.cpp
+++ b/lib/Net/PeerTransport.cpp
@@ -14,7 +14,8 @@
 constexpr std::chrono::seconds idleSweepPeriod {10};
 constexpr std::chrono::seconds rejectionLogPeriod {1};
 constexpr std::uint64_t maxCallBodyBytes = 16 << 20;
-/// Maximum number of datagrams per wake-up, so that timers and operators' calls run in between.
+/// Maximum number of datagrams received per event loop iteration, so that timers and operators'
+/// calls run in between.
 constexpr int maxDatagramsPerWakeUp = 64;
 constexpr int socketBufferBytes = 1 << 20;
 
--- a/lib/Net/PeerTransport.h
+++ b/lib/Net/PeerTransport.h
@@ -36,7 +36,8 @@
     struct Callbacks
     {
         std::function<void(Event)> onEvent;   ///< Called once for each event.
-        std::function<void()> onIterationEnd; ///< Called once after the events of one wake-up.
+        std::function<void()> onIterationEnd; ///< Called once after the events of one event loop
+                                              ///< iteration.
         std::function<void(LogRecord)> log;
     };
 
--- a/lib/Net/PlatformWatcher.h
+++ b/lib/Net/PlatformWatcher.h
@@ -18,12 +18,13 @@
 
 namespace berylridge {
 
-/// Parses the response to GET /v1/documents; returns nothing if it is invalid.
 struct DocumentsResponse
 {
     std::uint64_t revision = 0;
     std::vector<DocumentText> documents;
 };
+
+/// Parses the response to GET /v1/documents; returns nothing if it is invalid.
 std::optional<DocumentsResponse> parseDocumentsResponse(const std::string &body);
 
 /// Parses the response to GET /v1/vms; returns nothing if it is invalid.
--- a/lib/Net/RouterNode.cpp
+++ b/lib/Net/RouterNode.cpp
@@ -115,8 +115,8 @@
     void waitForSignal();
     std::string printMetrics();
 
-    // Members are destroyed in reverse sendCommand, and the later ones use the earlier ones until
-    // then.
+    // The order matters: members are destroyed in reverse order, and later ones use earlier ones
+    // until then.
     asio::io_context m_context {1};
     LogSink &m_log;
     AuditHandler m_audit;
--- a/lib/Net/TargetAttempt.cpp
+++ b/lib/Net/TargetAttempt.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Maximum time for which sent bytes may stay unacknowledged by the target's machine. Behind a
+/// Maximum time for which sent bytes may stay unacknowledged by the target's VM. Behind a
 /// network partition a pooled connection accepts a request and never responds, and the system
 /// detects that only after minutes by default.
 constexpr int tcpUserTimeoutMs = 1500;
--- a/lib/Net/TrafficThread.cpp
+++ b/lib/Net/TrafficThread.cpp
@@ -18,7 +18,8 @@
 constexpr std::chrono::seconds idleSweepPeriod {1};
 /// Smaller timer delays don't indicate load.
 constexpr std::chrono::milliseconds minReportedLag {15};
-/// The caller's next connection may reach another node, which probably has capacity.
+/// Retry delay of rejected callers. It is short, because the caller's next connection may reach
+/// another node, which probably has capacity.
 constexpr Duration overloadRetryAfter = std::chrono::milliseconds(30);
 constexpr const char *overloadProblemType = "busy";
 constexpr std::chrono::milliseconds drainPeriod {10};
--- a/lib/Net/TrafficThread.h
+++ b/lib/Net/TrafficThread.h
@@ -44,7 +44,7 @@
     std::uint64_t bodyLimit = 4 << 20;
     std::uint32_t connectionLimit = 4096;
     Duration readTimeout = std::chrono::seconds(10);
-    Duration acceptedLag {0}; ///< See Settings.
+    Duration acceptedLag {0}; ///< With a longer lag the thread sheds requests; 0 means never.
     unsigned threads = 1;
     WireProtocolHandle protocol = nativeProtocol();
     std::function<void(std::vector<Event> &)>
--- a/tools/berylctl/Status.cpp
+++ b/tools/berylctl/Status.cpp
@@ -71,7 +71,7 @@
     table.print();
 }
 
-/// The nodes on which each version of a document is active.
+/// Maps each version of a document to the names of the nodes on which it is active.
 using NodesByVersion = std::map<std::uint64_t, std::set<std::string>>;
 
 std::string joinNodes(const std::set<std::string> &nodes)
--- a/unittests/Admin/AdminApiTest.cpp
+++ b/unittests/Admin/AdminApiTest.cpp
@@ -113,9 +113,9 @@
     EXPECT_EQ(next["entries"][0]["what"].asString(), "audit");
 }
 
-// Guards against an unauthorized client that executedCommands the node to leave through the admin
-// port. Without the operators' key the request isn't parsed; the attempt is logged and recorded in
-// the audit trail.
+// Guards against an unauthorized client that commands the node to leave through the admin port.
+// Without the operators' key the request isn't parsed; the attempt is logged and recorded in the
+// audit trail.
 TEST(AdminApi, CallWithoutKeyIsRejected)
 {
     FakeNode node;
--- a/unittests/Net/ForwardingTest.cpp
+++ b/unittests/Net/ForwardingTest.cpp
@@ -280,7 +280,7 @@
 {
     // Guards against a purchase whose outcome is lost: the caller disconnects and later repeats the
     // purchase. The core doesn't abort the attempt, and the shell must read the complete response,
-    // so that the repeat is answered with it instead of being rejected.
+    // so that the repeat receives it instead of a rejection.
     std::atomic<bool> hasRequest {false};
     std::atomic<bool> canRespond {false};
     FakeTarget target([&](FakeTargetConnection &peer) {
--- a/unittests/Net/FuzzTest.cpp
+++ b/unittests/Net/FuzzTest.cpp
@@ -1,4 +1,5 @@
-// Seeded, bounded fuzzing of untrusted input: datagrams and callers' HTTP requests.
+// Fuzzes untrusted input (datagrams and callers' HTTP requests) with fixed seeds and a bounded
+// number of inputs.
 #include "NodeFixture.h"
 
 #include "berylridge/Net/Datagram.h"
--- a/unittests/Net/ResumeTest.cpp
+++ b/unittests/Net/ResumeTest.cpp
@@ -50,7 +50,7 @@
 
 TEST(ResumeTest, callerReceivesOneContinuousStream)
 {
-    // Guards against gaps and duplicates in a resumed stream. The first replica is killed in the
+    // Guards against gaps and duplicates in a resumed stream. The first target is killed in the
     // middle of event 3. The second one receives the id of the last event that the caller has, and
     // repeats one event more than requested. A partial event must not be relayed, because the
     // caller would then receive it partly twice.
@@ -94,7 +94,7 @@
 {
     // Guards against a stream that ends without [DONE]: its events and a valid last chunk arrive
     // together. The events must be relayed, the missing end must be detected, and the second
-    // replica must continue after them.
+    // target must continue after them.
     FakeTarget first([](FakeTargetConnection &peer) {
         peer.readRequest();
         peer.send(streamHead + chunk(event(1) + event(2)) + "0\r\n\r\n");
