--- a/test/process/ChildProcess.cpp
+++ b/test/process/ChildProcess.cpp
@@ -22,14 +22,14 @@
     for (auto &argument : arguments)
         argv.push_back(argument.data());
     argv.push_back(nullptr);
-    posix_spawn_file_actions_t files;
-    posix_spawn_file_actions_init(&files);
-    posix_spawn_file_actions_addopen(&files, STDOUT_FILENO, log.c_str(),
+    posix_spawn_file_actions_t fileActions;
+    posix_spawn_file_actions_init(&fileActions);
+    posix_spawn_file_actions_addopen(&fileActions, STDOUT_FILENO, log.c_str(),
                                      O_WRONLY | O_CREAT | O_APPEND, 0644);
-    posix_spawn_file_actions_adddup2(&files, STDOUT_FILENO, STDERR_FILENO);
+    posix_spawn_file_actions_adddup2(&fileActions, STDOUT_FILENO, STDERR_FILENO);
     pid_t pid = -1;
-    const int error = posix_spawn(&pid, path.c_str(), &files, nullptr, argv.data(), environ);
-    posix_spawn_file_actions_destroy(&files);
+    const int error = posix_spawn(&pid, path.c_str(), &fileActions, nullptr, argv.data(), environ);
+    posix_spawn_file_actions_destroy(&fileActions);
     if (error != 0)
         throw std::runtime_error("can't start " + path);
     return pid;
@@ -51,7 +51,7 @@
     kill();
 }
 
-void ChildProcess::signal(int number) const
+void ChildProcess::sendSignal(int number) const
 {
     if (!m_status)
         ::kill(m_pid, number);
@@ -59,15 +59,15 @@
 
 std::optional<int> ChildProcess::status()
 {
-    int raw = 0;
-    if (!m_status && waitpid(m_pid, &raw, WNOHANG) == m_pid)
-        m_status = WIFEXITED(raw) ? WEXITSTATUS(raw) : 128 + WTERMSIG(raw);
+    int waitStatus = 0;
+    if (!m_status && waitpid(m_pid, &waitStatus, WNOHANG) == m_pid)
+        m_status = WIFEXITED(waitStatus) ? WEXITSTATUS(waitStatus) : 128 + WTERMSIG(waitStatus);
     return m_status;
 }
 
-std::optional<int> ChildProcess::wait(Duration limit)
+std::optional<int> ChildProcess::wait(Duration timeout)
 {
-    eventually([this] { return status().has_value(); }, limit);
+    waitUntil([this] { return status().has_value(); }, timeout);
     return status();
 }
 
@@ -75,15 +75,15 @@
 {
     if (status())
         return;
-    signal(SIGKILL);
+    sendSignal(SIGKILL);
     wait(std::chrono::seconds(30));
 }
 
-bool eventually(const std::function<bool()> &condition, Duration limit)
+bool waitUntil(const std::function<bool()> &condition, Duration timeout)
 {
-    const auto end = std::chrono::steady_clock::now() + limit;
+    const auto deadline = std::chrono::steady_clock::now() + timeout;
     while (!condition()) {
-        if (std::chrono::steady_clock::now() >= end)
+        if (std::chrono::steady_clock::now() >= deadline)
             return false;
         std::this_thread::sleep_for(pollPeriod);
     }
--- a/test/process/ChildProcess.h
+++ b/test/process/ChildProcess.h
@@ -22,11 +22,11 @@
     ChildProcess(const ChildProcess &) = delete;
     ChildProcess &operator=(const ChildProcess &) = delete;
 
-    void signal(int number) const;
-    /// The exit status, or 128 plus the signal's number; empty while it runs.
+    void sendSignal(int number) const;
+    /// The exit status, or 128 plus the sendSignal's number; empty while it runs.
     std::optional<int> status();
-    /// Waits for the end. Empty if it still runs after the limit.
-    std::optional<int> wait(Duration limit);
+    /// Waits for the end. Empty if it still runs after the timeout.
+    std::optional<int> wait(Duration timeout);
     /// SIGKILL, and waits for the end.
     void kill();
 
@@ -38,7 +38,7 @@
     std::optional<int> m_status;
 };
 
-/// Asks a condition again and again until it holds. False if it doesn't within the limit.
-bool eventually(const std::function<bool()> &condition, Duration limit = std::chrono::seconds(30));
+/// Asks a condition again and again until it holds. False if it doesn't within the timeout.
+bool waitUntil(const std::function<bool()> &condition, Duration timeout = std::chrono::seconds(30));
 
 } // namespace berylridge::test
--- a/test/process/FleetFixture.cpp
+++ b/test/process/FleetFixture.cpp
@@ -7,13 +7,13 @@
 namespace {
 
 /// A berylload that found a broken promise ends with this.
-constexpr int violationStatus = 1;
+constexpr int violationExitStatus = 1;
 
 } // namespace
 
-void FleetProcess::startFleet(const FleetPlan &plan)
+void FleetProcess::startFleet(const FleetOptions &options)
 {
-    m_fleet = std::make_unique<TestFleet>(plan);
+    m_fleet = std::make_unique<TestFleet>(options);
     ASSERT_TRUE(m_fleet->start()) << "the fleet did not get ready\n" << m_fleet->logs();
 }
 
@@ -22,26 +22,27 @@
     m_load = m_fleet->startLoad(m_fleet->profile(seconds));
 }
 
-Json::Value FleetProcess::endLoad()
+Json::Value FleetProcess::waitForLoadReport()
 {
     const auto status = m_load->wait(std::chrono::seconds(120));
     auto report = m_fleet->loadReport();
     EXPECT_TRUE(status) << "the load did not end";
-    EXPECT_NE(status.value_or(0), violationStatus) << toText(report);
+    EXPECT_NE(status.value_or(0), violationExitStatus) << toText(report);
     EXPECT_EQ(status.value_or(0), 0) << m_fleet->logs();
     EXPECT_EQ(report["violations"].asUInt64(), 0U) << toText(report);
     EXPECT_GT(report["purchases"]["served"].asUInt64(), 0U) << toText(report);
-    EXPECT_GT(total(report, "served"), 0U);
+    EXPECT_GT(totalOutcome(report, "served"), 0U);
     return report;
 }
 
 void FleetProcess::expectNoOverload()
 {
-    EXPECT_EQ(m_fleet->countOverloads(), 0U) << "an engine got more than it bears while cold\n"
-                                             << m_fleet->logs();
+    EXPECT_EQ(m_fleet->countOverloadCrashes(), 0U)
+        << "an engine got more than it bears while cold\n"
+        << m_fleet->logs();
 }
 
-std::uint64_t FleetProcess::total(const Json::Value &report, const std::string &outcome)
+std::uint64_t FleetProcess::totalOutcome(const Json::Value &report, const std::string &outcome)
 {
     std::uint64_t sum = 0;
     for (const auto &row : report["workspaces"])
@@ -49,7 +50,7 @@
     return sum;
 }
 
-std::uint64_t FleetProcess::startedInZone(const std::string &zone) const
+std::uint64_t FleetProcess::requestsStartedInZone(const std::string &zone) const
 {
     std::uint64_t started = 0;
     for (std::size_t i = 0; i < m_fleet->engines().size(); ++i) {
@@ -59,10 +60,10 @@
     return started;
 }
 
-bool FleetProcess::zoneGetsWork(const std::string &zone) const
+bool FleetProcess::waitForNewRequestsInZone(const std::string &zone) const
 {
-    const auto before = startedInZone(zone);
-    return eventually([&] { return startedInZone(zone) > before; });
+    const auto before = requestsStartedInZone(zone);
+    return waitUntil([&] { return requestsStartedInZone(zone) > before; });
 }
 
 } // namespace berylridge::test
--- a/test/process/FleetFixture.h
+++ b/test/process/FleetFixture.h
@@ -12,20 +12,20 @@
 {
 protected:
     /// Starts a fleet; ends the test where it doesn't get ready.
-    void startFleet(const FleetPlan &plan);
+    void startFleet(const FleetOptions &options);
     /// Starts a load of some seconds over all routers.
     void startLoad(double seconds);
     /// Waits for the load's end; checks that no promise was broken, and returns the report.
-    Json::Value endLoad();
+    Json::Value waitForLoadReport();
     /// Checks that no engine got more than it bears while cold, whichever are down now.
     void expectNoOverload();
 
     /// Sum of an outcome over all workspaces of a report.
-    static std::uint64_t total(const Json::Value &report, const std::string &outcome);
+    static std::uint64_t totalOutcome(const Json::Value &report, const std::string &outcome);
     /// Requests started at the engines of a zone.
-    std::uint64_t startedInZone(const std::string &zone) const;
+    std::uint64_t requestsStartedInZone(const std::string &zone) const;
     /// Waits until the engines of a zone start more requests.
-    bool zoneGetsWork(const std::string &zone) const;
+    bool waitForNewRequestsInZone(const std::string &zone) const;
 
     std::unique_ptr<TestFleet> m_fleet;
     std::unique_ptr<ChildProcess> m_load;
--- a/test/process/FleetProcessTest.cpp
+++ b/test/process/FleetProcessTest.cpp
@@ -21,98 +21,101 @@
 
 constexpr const char *generatePath = "/v1/services/assistant/generate";
 constexpr const char *purchasePath = "/v1/services/catalogue/purchases";
-constexpr int deadlyStatus = 71;
+constexpr int markerCrashExitStatus = 71;
 
 /// Long enough for a lease and a suspicion to run out at the daemons' default settings.
-void outlastLeases()
+void waitForLeaseExpiry()
 {
     std::this_thread::sleep_for(seconds(4));
 }
 
 } // namespace
 
-// The whole path without any fault: callers of three workspaces stream, look up and buy through
-// three routers; every answer must be whole and its own, and every purchase executed once.
+// The expectedBody path without any fault: callers of three workspaces stream, look up and
+// sendPurchase through three routers; every answer must be expectedBody and its own, and every
+// purchase executed once.
 TEST_F(FleetProcess, WholePath)
 {
-    FleetPlan plan;
-    plan.routersPerZone = 3;
-    ASSERT_NO_FATAL_FAILURE(startFleet(plan));
+    FleetOptions options;
+    options.routersPerZone = 3;
+    ASSERT_NO_FATAL_FAILURE(startFleet(options));
     startLoad(5);
-    const auto report = endLoad();
+    const auto report = waitForLoadReport();
     expectNoOverload();
     for (const auto &row : report["workspaces"])
         EXPECT_GT(row["outcomes"]["served"].asUInt64(), 0U) << row["name"];
     EXPECT_EQ(report["purchases"]["served"], report["purchases"]["keys"]);
-    EXPECT_EQ(total(report, "no-answer") + total(report, "incomplete"), 0U) << toText(report);
+    EXPECT_EQ(totalOutcome(report, "no-answer") + totalOutcome(report, "incomplete"), 0U)
+        << toText(report);
 }
 
 // A router dies with requests in its hands and comes back with no memory of them. Callers that got
-// no answer buy again through another router with the same key: no purchase may run twice, and the
-// leases that the dead router had given must not add up with its successor's on a cold engine.
+// no answer sendPurchase again through another router with the same key: no purchase may run twice,
+// and the leases that the dead router had given must not add up with its successor's on a cold
+// engine.
 TEST_F(FleetProcess, RouterKilledAndRestarted)
 {
-    FleetPlan plan;
-    plan.routersPerZone = 2;
-    ASSERT_NO_FATAL_FAILURE(startFleet(plan));
+    FleetOptions options;
+    options.routersPerZone = 2;
+    ASSERT_NO_FATAL_FAILURE(startFleet(options));
     startLoad(10);
-    for (const std::size_t victim : {0U, 3U}) {
+    for (const std::size_t routerIndex : {0U, 3U}) {
         std::this_thread::sleep_for(milliseconds(1500));
-        m_fleet->routerProcess(victim).kill();
+        m_fleet->routerProcess(routerIndex).kill();
         std::this_thread::sleep_for(milliseconds(1500));
-        m_fleet->startRouter(victim);
+        m_fleet->startRouter(routerIndex);
     }
-    endLoad();
+    waitForLoadReport();
     expectNoOverload();
-    EXPECT_TRUE(eventually([&] { return m_fleet->isReady(0) && m_fleet->isReady(3); }));
+    EXPECT_TRUE(waitUntil([&] { return m_fleet->isReady(0) && m_fleet->isReady(3); }));
 }
 
 // A router is frozen for longer than a lease, others take its work over, and it wakes with its old
 // view. If it acted on that view, a purchase that was sent again elsewhere would run twice.
 TEST_F(FleetProcess, RouterFrozenLongerThanALease)
 {
-    FleetPlan plan;
-    plan.routersPerZone = 2;
-    ASSERT_NO_FATAL_FAILURE(startFleet(plan));
+    FleetOptions options;
+    options.routersPerZone = 2;
+    ASSERT_NO_FATAL_FAILURE(startFleet(options));
     startLoad(12);
     std::this_thread::sleep_for(seconds(2));
-    m_fleet->routerProcess(1).signal(SIGSTOP);
-    outlastLeases();
-    m_fleet->routerProcess(1).signal(SIGCONT);
-    endLoad();
+    m_fleet->routerProcess(1).sendSignal(SIGSTOP);
+    waitForLeaseExpiry();
+    m_fleet->routerProcess(1).sendSignal(SIGCONT);
+    waitForLoadReport();
     expectNoOverload();
-    EXPECT_TRUE(eventually([&] { return m_fleet->isReady(1); }));
+    EXPECT_TRUE(waitUntil([&] { return m_fleet->isReady(1); }));
 }
 
 // Zone a is cut off from the other zones while callers resend purchases on both sides of the cut.
 // Both sides go on with lookups and streams; no purchase may run on both.
 TEST_F(FleetProcess, ZoneCutOffFromOthers)
 {
-    FleetPlan plan;
-    plan.routersPerZone = 2;
-    plan.hasRelay = true;
-    ASSERT_NO_FATAL_FAILURE(startFleet(plan));
+    FleetOptions options;
+    options.routersPerZone = 2;
+    options.hasRelay = true;
+    ASSERT_NO_FATAL_FAILURE(startFleet(options));
     startLoad(12);
     std::this_thread::sleep_for(seconds(2));
-    m_fleet->relay().cutOff("a");
-    EXPECT_TRUE(zoneGetsWork("a"));
-    outlastLeases();
-    m_fleet->relay().mend();
-    endLoad();
+    m_fleet->relay().partitionZone("a");
+    EXPECT_TRUE(waitForNewRequestsInZone("a"));
+    waitForLeaseExpiry();
+    m_fleet->relay().healPartition();
+    waitForLoadReport();
     expectNoOverload();
-    EXPECT_GT(m_fleet->relay().relayedDatagrams(), 0U);
-    EXPECT_GT(m_fleet->relay().swallowedDatagrams(), 0U);
+    EXPECT_GT(m_fleet->relay().forwardedDatagrams(), 0U);
+    EXPECT_GT(m_fleet->relay().droppedDatagrams(), 0U);
 }
 
 // A caller behind a broken network asks both sides of a cut for the same purchase at the same time.
 // If each side took the key for new, the studio would be charged twice; one side may refuse.
 TEST_F(FleetProcess, SameKeyOnBothSidesOfACut)
 {
-    FleetPlan plan;
-    plan.routersPerZone = 2;
-    plan.hasRelay = true;
-    ASSERT_NO_FATAL_FAILURE(startFleet(plan));
-    m_fleet->relay().cutOff("a");
+    FleetOptions options;
+    options.routersPerZone = 2;
+    options.hasRelay = true;
+    ASSERT_NO_FATAL_FAILURE(startFleet(options));
+    m_fleet->relay().partitionZone("a");
     RandomEngine random(7);
     boost::asio::io_context io;
     HttpCaller caller(io);
@@ -121,7 +124,7 @@
     for (int i = 0; i < keys; ++i) {
         const auto key = uuidV7(SystemClock().wallNow(), random);
         for (const std::size_t router : {0U, 2U, 5U}) {
-            auto spec = m_fleet->callerSpec(router, 0, "POST", purchasePath);
+            auto spec = m_fleet->callSpec(router, 0, "POST", purchasePath);
             spec.headers.emplace_back("Idempotency-Key", key);
             spec.body = "{}";
             caller.call(spec, [&outcomes, key](const CallResult &result) {
@@ -132,11 +135,11 @@
         io.run_for(milliseconds(100));
     }
     io.run();
-    m_fleet->relay().mend();
-    EXPECT_GT(m_fleet->relay().swallowedDatagrams(), 0U);
+    m_fleet->relay().healPartition();
+    EXPECT_GT(m_fleet->relay().droppedDatagrams(), 0U);
     int served = 0;
     for (const auto &[key, of] : outcomes) {
-        const auto executions = m_fleet->executionsOf(key);
+        const auto executions = m_fleet->executionCount(key);
         EXPECT_LE(executions, 1U) << key;
         const bool isServed = std::find(of.begin(), of.end(), Outcome::Served) != of.end();
         EXPECT_TRUE(!isServed || executions == 1) << key;
@@ -149,104 +152,107 @@
 // memory, and an engine restarts cold, all under load with purchases that are sent again.
 TEST_F(FleetProcess, CutKillAndColdStartTogether)
 {
-    FleetPlan plan;
-    plan.routersPerZone = 2;
-    plan.hasRelay = true;
-    ASSERT_NO_FATAL_FAILURE(startFleet(plan));
+    FleetOptions options;
+    options.routersPerZone = 2;
+    options.hasRelay = true;
+    ASSERT_NO_FATAL_FAILURE(startFleet(options));
     startLoad(14);
     std::this_thread::sleep_for(seconds(2));
-    m_fleet->relay().cutOff("a");
+    m_fleet->relay().partitionZone("a");
     m_fleet->routerProcess(2).kill();
     m_fleet->engineProcess(2).kill();
     std::this_thread::sleep_for(seconds(1));
     m_fleet->startEngine(2);
     m_fleet->startRouter(2);
-    outlastLeases();
-    m_fleet->relay().mend();
-    endLoad();
+    waitForLeaseExpiry();
+    m_fleet->relay().healPartition();
+    waitForLoadReport();
     expectNoOverload();
     for (std::size_t i = 0; i < m_fleet->routerCount(); ++i)
-        EXPECT_TRUE(eventually([&] { return m_fleet->isReady(i); })) << i;
+        EXPECT_TRUE(waitUntil([&] { return m_fleet->isReady(i); })) << i;
 }
 
 // The platform stops answering, then shows an old state: callers see nothing of it, and a router
 // that restarts meanwhile must not bring the old state back, which would give work to zone c again.
 TEST_F(FleetProcess, PlatformDownThenStale)
 {
-    FleetPlan plan;
-    plan.routersPerZone = 2;
-    ASSERT_NO_FATAL_FAILURE(startFleet(plan));
+    FleetOptions options;
+    options.routersPerZone = 2;
+    ASSERT_NO_FATAL_FAILURE(startFleet(options));
     startLoad(20);
-    m_fleet->orderPlatform(R"({"mode":"down"})");
+    m_fleet->controlPlatform(R"({"mode":"down"})");
     for (const char *zone : {"a", "b", "c"})
-        EXPECT_TRUE(zoneGetsWork(zone));
-    m_fleet->orderPlatform(R"({"mode":"normal"})");
-    m_fleet->publishZonesOut({"c"});
+        EXPECT_TRUE(waitForNewRequestsInZone(zone));
+    m_fleet->controlPlatform(R"({"mode":"normal"})");
+    m_fleet->publishEvacuatedZones({"c"});
     std::uint64_t started = 0;
-    ASSERT_TRUE(eventually([&] {
-        started = startedInZone("c");
+    ASSERT_TRUE(waitUntil([&] {
+        started = requestsStartedInZone("c");
         std::this_thread::sleep_for(seconds(1));
-        return startedInZone("c") == started;
+        return requestsStartedInZone("c") == started;
     })) << "zone c still gets work\n"
         << m_fleet->logs();
     // Revision 4 is the last one before zone c was taken out.
-    m_fleet->orderPlatform(R"({"mode":"stale","revision":4})");
+    m_fleet->controlPlatform(R"({"mode":"stale","revision":4})");
     m_fleet->routerProcess(0).kill();
     m_fleet->startRouter(0);
-    EXPECT_TRUE(eventually([&] { return m_fleet->isReady(0); })) << m_fleet->logs();
-    endLoad();
-    EXPECT_EQ(startedInZone("c"), started) << "the old configuration came back";
+    EXPECT_TRUE(waitUntil([&] { return m_fleet->isReady(0); })) << m_fleet->logs();
+    waitForLoadReport();
+    EXPECT_EQ(requestsStartedInZone("c"), started) << "the old configuration came back";
 }
 
 // Operators take zone b out of service under load and bring it back: a few seconds after the
 // document nothing new starts there, what runs is left to end, and after its return it gets work.
 TEST_F(FleetProcess, ZoneOutAndBack)
 {
-    FleetPlan plan;
-    ASSERT_NO_FATAL_FAILURE(startFleet(plan));
+    FleetOptions options;
+    ASSERT_NO_FATAL_FAILURE(startFleet(options));
     startLoad(15);
-    ASSERT_TRUE(zoneGetsWork("b"));
-    m_fleet->publishZonesOut({"b"});
+    ASSERT_TRUE(waitForNewRequestsInZone("b"));
+    m_fleet->publishEvacuatedZones({"b"});
     std::this_thread::sleep_for(seconds(3));
-    const auto started = startedInZone("b");
+    const auto started = requestsStartedInZone("b");
     std::this_thread::sleep_for(seconds(3));
-    EXPECT_EQ(startedInZone("b"), started) << "work began in a zone that was taken out";
-    m_fleet->publishZonesOut({});
-    EXPECT_TRUE(zoneGetsWork("b")) << m_fleet->logs();
-    const auto report = endLoad();
-    EXPECT_EQ(total(report, "no-answer") + total(report, "incomplete"), 0U) << toText(report);
+    EXPECT_EQ(requestsStartedInZone("b"), started) << "work began in a zone that was taken out";
+    m_fleet->publishEvacuatedZones({});
+    EXPECT_TRUE(waitForNewRequestsInZone("b")) << m_fleet->logs();
+    const auto report = waitForLoadReport();
+    EXPECT_EQ(totalOutcome(report, "no-answer") + totalOutcome(report, "incomplete"), 0U)
+        << toText(report);
     expectNoOverload();
 }
 
-// A router is told to stop while streams run through it. Their callers must get them whole, and
-// the process must end by itself with status 0.
+// A router is told to stop while streams run through it. Their callers must get them expectedBody,
+// and the process must end by itself with status 0.
 TEST_F(FleetProcess, GracefulStopCutsNothing)
 {
-    FleetPlan plan;
-    plan.warmAfter = 1;
-    plan.tokensPerSecond = 20;
-    ASSERT_NO_FATAL_FAILURE(startFleet(plan));
+    FleetOptions options;
+    options.warmAfter = 1;
+    options.tokensPerSecond = 20;
+    ASSERT_NO_FATAL_FAILURE(startFleet(options));
     constexpr unsigned tokens = 60;
     constexpr int streams = 3;
     boost::asio::io_context io;
     HttpCaller caller(io);
     std::vector<Outcome> outcomes;
     for (int i = 0; i < streams; ++i) {
-        auto spec = m_fleet->callerSpec(0, 0, "POST", generatePath);
+        auto spec = m_fleet->callSpec(0, 0, "POST", generatePath);
         spec.body = R"({"tokens":60,"prompt":")" + std::to_string(i) + "\"}";
-        caller.call(spec, [&outcomes, whole = wholeStream(spec.body, tokens)](const auto &result) {
-            outcomes.push_back(judge(result, whole, false));
-        });
+        caller.call(spec,
+                    [&outcomes, expectedBody = wholeStream(spec.body, tokens)](const auto &result) {
+                        outcomes.push_back(judge(result, expectedBody, false));
+                    });
     }
     // All of them must run before the stop; the engines are warm after one answer each.
-    std::thread running([&] { io.run(); });
+    std::thread ioThread([&] { io.run(); });
     std::uint64_t started = 0;
-    EXPECT_TRUE(eventually([&] {
-        started = startedInZone("a") + startedInZone("b") + startedInZone("c");
+    EXPECT_TRUE(waitUntil([&] {
+        started
+            = requestsStartedInZone("a") + requestsStartedInZone("b") + requestsStartedInZone("c");
         return started >= streams;
     })) << m_fleet->logs();
-    m_fleet->routerProcess(0).signal(SIGTERM);
-    running.join();
+    m_fleet->routerProcess(0).sendSignal(SIGTERM);
+    ioThread.join();
     EXPECT_EQ(outcomes, std::vector<Outcome>(streams, Outcome::Served)) << m_fleet->logs();
     EXPECT_EQ(m_fleet->routerProcess(0).wait(seconds(30)), 0) << m_fleet->logs();
 }
@@ -255,9 +261,9 @@
 // that it bore before, and it would fall over at once, again and again.
 TEST_F(FleetProcess, EngineRestartsCold)
 {
-    FleetPlan plan;
-    plan.routersPerZone = 2;
-    ASSERT_NO_FATAL_FAILURE(startFleet(plan));
+    FleetOptions options;
+    options.routersPerZone = 2;
+    ASSERT_NO_FATAL_FAILURE(startFleet(options));
     startLoad(12);
     std::this_thread::sleep_for(seconds(3));
     for (int i = 0; i < 2; ++i) {
@@ -265,8 +271,8 @@
         m_fleet->startEngine(0);
         std::this_thread::sleep_for(seconds(2));
     }
-    EXPECT_TRUE(zoneGetsWork("a")) << m_fleet->logs();
-    endLoad();
+    EXPECT_TRUE(waitForNewRequestsInZone("a")) << m_fleet->logs();
+    waitForLoadReport();
     expectNoOverload();
 }
 
@@ -275,39 +281,39 @@
 // it run again.
 TEST_F(FleetProcess, ExecutedPurchaseIsNotRepeated)
 {
-    FleetPlan plan;
-    ASSERT_NO_FATAL_FAILURE(startFleet(plan));
+    FleetOptions options;
+    ASSERT_NO_FATAL_FAILURE(startFleet(options));
     RandomEngine random(1);
     const auto key = uuidV7(SystemClock().wallNow(), random);
     for (const auto &service : m_fleet->services())
-        m_fleet->orderTarget(service.endpoint, R"({"order":"cut-answer","count":1})");
-    const auto buy = [&](std::size_t router) {
-        auto spec = m_fleet->callerSpec(router, 0, "POST", purchasePath);
+        m_fleet->controlTarget(service.endpoint, R"({"order":"cut-answer","count":1})");
+    const auto sendPurchase = [&](std::size_t router) {
+        auto spec = m_fleet->callSpec(router, 0, "POST", purchasePath);
         spec.headers.emplace_back("Idempotency-Key", key);
         spec.body = "{}";
         return fetch(spec);
     };
-    const auto first = buy(0);
+    const auto first = sendPurchase(0);
     EXPECT_EQ(judge(first, purchaseAnswer("{}"), false), Outcome::MayHaveRun) << first.body;
     for (std::size_t i = 0; i < m_fleet->routerCount(); ++i) {
-        const auto again = buy(i);
+        const auto again = sendPurchase(i);
         EXPECT_NE(judge(again, purchaseAnswer("{}"), false), Outcome::NotRun) << again.body;
     }
-    EXPECT_EQ(m_fleet->executionsOf(key), 1U);
+    EXPECT_EQ(m_fleet->executionCount(key), 1U);
 }
 
 // One body crashes every engine that runs it, and its caller sends it again and again through all
 // routers. After two engines the fleet must refuse it instead of losing the rest.
 TEST_F(FleetProcess, QueryOfDeathStopsAtTwoEngines)
 {
-    FleetPlan plan;
-    plan.enginesPerZone = 2;
-    ASSERT_NO_FATAL_FAILURE(startFleet(plan));
+    FleetOptions options;
+    options.enginesPerZone = 2;
+    ASSERT_NO_FATAL_FAILURE(startFleet(options));
     for (const auto &engine : m_fleet->engines())
-        m_fleet->orderTarget(engine.endpoint, R"({"marker":"poison"})");
+        m_fleet->controlTarget(engine.endpoint, R"({"marker":"poison"})");
     for (int round = 0; round < 2; ++round) {
         for (std::size_t router = 0; router < m_fleet->routerCount(); ++router) {
-            auto spec = m_fleet->callerSpec(router, 0, "POST", generatePath);
+            auto spec = m_fleet->callSpec(router, 0, "POST", generatePath);
             spec.body = R"({"tokens":4,"prompt":"poison"})";
             spec.timeout = seconds(20);
             EXPECT_NE(fetch(spec).status, 200U);
@@ -317,33 +323,33 @@
     }
     int crashed = 0;
     for (std::size_t i = 0; i < m_fleet->engines().size(); ++i)
-        crashed += m_fleet->engineProcess(i).status() == deadlyStatus ? 1 : 0;
+        crashed += m_fleet->engineProcess(i).status() == markerCrashExitStatus ? 1 : 0;
     EXPECT_LE(crashed, 2) << m_fleet->logs();
     EXPECT_GE(crashed, 1);
 }
 
 // An engine answers with another attempt's id, with more than it announced, or cuts a stream: the
-// caller must get its own whole answer from elsewhere, or see that it has none.
+// caller must get its own expectedBody answer from elsewhere, or see that it has none.
 TEST_F(FleetProcess, WrongAnswersNeverReachACallerAsWhole)
 {
-    FleetPlan plan;
-    ASSERT_NO_FATAL_FAILURE(startFleet(plan));
+    FleetOptions options;
+    ASSERT_NO_FATAL_FAILURE(startFleet(options));
     const std::string body = R"({"tokens":12,"prompt":"slip"})";
-    for (const char *order : {"crossed", "over-long", "cut-answer", "late"}) {
+    for (const char *fault : {"crossed", "over-long", "cut-answer", "late"}) {
         for (const auto &engine : m_fleet->engines())
-            m_fleet->orderTarget(engine.endpoint,
-                                 R"({"order":")" + std::string(order) + R"(","count":1})");
+            m_fleet->controlTarget(engine.endpoint,
+                                   R"({"order":")" + std::string(fault) + R"(","count":1})");
         for (int i = 0; i < 4; ++i) {
-            auto spec = m_fleet->callerSpec(0, 0, "POST", generatePath);
+            auto spec = m_fleet->callSpec(0, 0, "POST", generatePath);
             spec.body = body;
             const auto outcome = judge(fetch(spec), wholeStream(body, 12), false);
-            EXPECT_NE(outcome, Outcome::Wrong) << order;
-            EXPECT_NE(outcome, Outcome::BadRefusal) << order;
+            EXPECT_NE(outcome, Outcome::Wrong) << fault;
+            EXPECT_NE(outcome, Outcome::BadRefusal) << fault;
         }
     }
-    auto spec = m_fleet->callerSpec(0, 0, "POST", generatePath);
+    auto spec = m_fleet->callSpec(0, 0, "POST", generatePath);
     spec.body = body;
-    EXPECT_TRUE(eventually([&] {
+    EXPECT_TRUE(waitUntil([&] {
         return judge(fetch(spec), wholeStream(body, 12), false) == Outcome::Served;
     })) << m_fleet->logs();
 }
--- a/test/process/LinkRelay.cpp
+++ b/test/process/LinkRelay.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-constexpr std::size_t chunkSize = 65536;
+constexpr std::size_t bufferSize = 65536;
 
 template <typename Protocol>
 typename Protocol::endpoint toAsio(const Endpoint &endpoint)
@@ -26,35 +26,36 @@
     return {asio::ip::make_address(endpoint.address), endpoint.port};
 }
 
-using IsCut = std::function<bool()>;
+using IsPartitioned = std::function<bool()>;
 
 /// Copies one direction of a connection until either side ends; while the link is cut, it swallows.
-class Pump : public std::enable_shared_from_this<Pump>
+class StreamForwarder : public std::enable_shared_from_this<StreamForwarder>
 {
 public:
-    Pump(std::shared_ptr<tcp::socket> from, std::shared_ptr<tcp::socket> to, IsCut isCut)
+    StreamForwarder(std::shared_ptr<tcp::socket> from, std::shared_ptr<tcp::socket> to,
+                    IsPartitioned isPartitioned)
         : m_from(std::move(from))
         , m_to(std::move(to))
-        , m_isCut(std::move(isCut))
+        , m_isPartitioned(std::move(isPartitioned))
     {
     }
 
     void run()
     {
-        m_from->async_read_some(asio::buffer(m_bytes),
+        m_from->async_read_some(asio::buffer(m_buffer),
                                 [self = shared_from_this()](error_code error, std::size_t size) {
                                     if (error)
                                         return self->close();
-                                    self->pass(size);
+                                    self->forward(size);
                                 });
     }
 
 private:
-    void pass(std::size_t size)
+    void forward(std::size_t size)
     {
-        if (m_isCut())
+        if (m_isPartitioned())
             return run();
-        asio::async_write(*m_to, asio::buffer(m_bytes, size),
+        asio::async_write(*m_to, asio::buffer(m_buffer, size),
                           [self = shared_from_this()](error_code error, std::size_t) {
                               if (error)
                                   return self->close();
@@ -71,8 +72,8 @@
 
     std::shared_ptr<tcp::socket> m_from;
     std::shared_ptr<tcp::socket> m_to;
-    IsCut m_isCut;
-    std::array<std::byte, chunkSize> m_bytes {};
+    IsPartitioned m_isPartitioned;
+    std::array<std::byte, bufferSize> m_buffer {};
 };
 
 } // namespace
@@ -80,45 +81,45 @@
 class LinkRelay::Link : public std::enable_shared_from_this<Link>
 {
 public:
-    Link(LinkRelay &relay, const Endpoint &entry, std::string zone, const Endpoint &node)
+    Link(LinkRelay &relay, const Endpoint &relayEndpoint, std::string zone, const Endpoint &node)
         : m_relay(relay)
         , m_zone(std::move(zone))
         , m_node(node)
-        , m_datagrams(relay.m_io, toAsio<udp>(entry))
-        , m_out(relay.m_io, udp::v4())
-        , m_acceptor(relay.m_io, toAsio<tcp>(entry))
+        , m_receiveSocket(relay.m_io, toAsio<udp>(relayEndpoint))
+        , m_sendSocket(relay.m_io, udp::v4())
+        , m_acceptor(relay.m_io, toAsio<tcp>(relayEndpoint))
     {
     }
 
     void start()
     {
-        relayDatagrams();
+        receiveDatagram();
         accept();
     }
 
 private:
-    void relayDatagrams()
+    void receiveDatagram()
     {
-        m_datagrams.async_receive_from(
-            asio::buffer(m_bytes), m_sender,
+        m_receiveSocket.async_receive_from(
+            asio::buffer(m_buffer), m_sender,
             [self = shared_from_this()](error_code error, std::size_t size) {
                 if (error == asio::error::operation_aborted)
                     return;
                 if (!error)
-                    self->pass(size);
-                self->relayDatagrams();
+                    self->forward(size);
+                self->receiveDatagram();
             });
     }
 
-    void pass(std::size_t size)
+    void forward(std::size_t size)
     {
-        if (m_relay.isCut(m_sender.address().to_string(), m_zone)) {
-            ++m_relay.m_swallowed;
+        if (m_relay.isPartitioned(m_sender.address().to_string(), m_zone)) {
+            ++m_relay.m_dropped;
             return;
         }
-        ++m_relay.m_relayed;
+        ++m_relay.m_forwarded;
         error_code ignored;
-        m_out.send_to(asio::buffer(m_bytes, size), toAsio<udp>(m_node), 0, ignored);
+        m_sendSocket.send_to(asio::buffer(m_buffer, size), toAsio<udp>(m_node), 0, ignored);
     }
 
     void accept()
@@ -132,33 +133,35 @@
         });
     }
 
-    void connect(const std::shared_ptr<tcp::socket> &caller)
+    void connect(const std::shared_ptr<tcp::socket> &source)
     {
         error_code error;
-        const auto from = caller->remote_endpoint(error).address().to_string();
-        const IsCut isCut = [this, from] { return m_relay.isCut(from, m_zone); };
+        const auto from = source->remote_endpoint(error).address().to_string();
+        const IsPartitioned isPartitioned
+            = [this, from] { return m_relay.isPartitioned(from, m_zone); };
         const auto node = std::make_shared<tcp::socket>(m_relay.m_io);
-        node->async_connect(toAsio<tcp>(m_node),
-                            [self = shared_from_this(), caller, node, isCut](error_code failure) {
-                                if (failure)
-                                    return;
-                                std::make_shared<Pump>(caller, node, isCut)->run();
-                                std::make_shared<Pump>(node, caller, isCut)->run();
-                            });
+        node->async_connect(
+            toAsio<tcp>(m_node),
+            [self = shared_from_this(), source, node, isPartitioned](error_code failure) {
+                if (failure)
+                    return;
+                std::make_shared<StreamForwarder>(source, node, isPartitioned)->run();
+                std::make_shared<StreamForwarder>(node, source, isPartitioned)->run();
+            });
     }
 
     LinkRelay &m_relay;
     std::string m_zone;
     Endpoint m_node;
-    udp::socket m_datagrams;
-    udp::socket m_out;
+    udp::socket m_receiveSocket;
+    udp::socket m_sendSocket;
     tcp::acceptor m_acceptor;
     udp::endpoint m_sender;
-    std::array<std::byte, chunkSize> m_bytes {};
+    std::array<std::byte, bufferSize> m_buffer {};
 };
 
 LinkRelay::LinkRelay()
-    : m_work(asio::make_work_guard(m_io))
+    : m_workGuard(asio::make_work_guard(m_io))
 {
 }
 
@@ -169,10 +172,11 @@
         m_thread.join();
 }
 
-void LinkRelay::add(const Endpoint &entry, const std::string &zone, const Endpoint &node)
+void LinkRelay::addLink(const Endpoint &relayEndpoint, const std::string &zone,
+                        const Endpoint &node)
 {
     m_zoneOfAddress[node.address] = zone;
-    m_links.push_back(std::make_shared<Link>(*this, entry, zone, node));
+    m_links.push_back(std::make_shared<Link>(*this, relayEndpoint, zone, node));
     m_links.back()->start();
 }
 
@@ -181,22 +185,22 @@
     m_thread = std::thread([this] { m_io.run(); });
 }
 
-bool LinkRelay::isCut(const std::string &fromAddress, const std::string &toZone) const
+bool LinkRelay::isPartitioned(const std::string &fromAddress, const std::string &toZone) const
 {
     const auto from = m_zoneOfAddress.find(fromAddress);
-    if (m_cutZone.empty() || from == m_zoneOfAddress.end() || from->second == toZone)
+    if (m_partitionedZone.empty() || from == m_zoneOfAddress.end() || from->second == toZone)
         return false;
-    return from->second == m_cutZone || toZone == m_cutZone;
+    return from->second == m_partitionedZone || toZone == m_partitionedZone;
 }
 
-void LinkRelay::cutOff(const std::string &zone)
+void LinkRelay::partitionZone(const std::string &zone)
 {
-    asio::post(m_io, [this, zone] { m_cutZone = zone; });
+    asio::post(m_io, [this, zone] { m_partitionedZone = zone; });
 }
 
-void LinkRelay::mend()
+void LinkRelay::healPartition()
 {
-    asio::post(m_io, [this] { m_cutZone.clear(); });
+    asio::post(m_io, [this] { m_partitionedZone.clear(); });
 }
 
 } // namespace berylridge::test
--- a/test/process/LinkRelay.h
+++ b/test/process/LinkRelay.h
@@ -1,4 +1,4 @@
-// A relay for datagrams and connections between nodes, which tests can cut and mend.
+// A relay for datagrams and connections between nodes, which tests can cut and healPartition.
 #pragma once
 
 #include "berylridge/Support/Endpoint.h"
@@ -24,29 +24,29 @@
     LinkRelay(const LinkRelay &) = delete;
     LinkRelay &operator=(const LinkRelay &) = delete;
 
-    /// Relays what comes to the entry to a node of a zone. Only before run().
-    void add(const Endpoint &entry, const std::string &zone, const Endpoint &node);
+    /// Relays what comes to the relayEndpoint to a node of a zone. Only before run().
+    void addLink(const Endpoint &relayEndpoint, const std::string &zone, const Endpoint &node);
     void run();
 
     /// Cuts the zone off from all others, both ways.
-    void cutOff(const std::string &zone);
-    void mend();
+    void partitionZone(const std::string &zone);
+    void healPartition();
 
     /// Of both ways together, since the start.
-    std::uint64_t relayedDatagrams() const { return m_relayed; }
-    std::uint64_t swallowedDatagrams() const { return m_swallowed; }
+    std::uint64_t forwardedDatagrams() const { return m_forwarded; }
+    std::uint64_t droppedDatagrams() const { return m_dropped; }
 
 private:
     class Link;
-    bool isCut(const std::string &fromAddress, const std::string &toZone) const;
+    bool isPartitioned(const std::string &fromAddress, const std::string &toZone) const;
 
     boost::asio::io_context m_io;
-    boost::asio::executor_work_guard<boost::asio::io_context::executor_type> m_work;
+    boost::asio::executor_work_guard<boost::asio::io_context::executor_type> m_workGuard;
     std::vector<std::shared_ptr<Link>> m_links;
     std::map<std::string, std::string> m_zoneOfAddress; ///< Of the nodes' own addresses.
-    std::string m_cutZone;                              ///< Used on the relay's thread.
-    std::atomic<std::uint64_t> m_relayed = 0;
-    std::atomic<std::uint64_t> m_swallowed = 0;
+    std::string m_partitionedZone;                      ///< Used on the relay's thread.
+    std::atomic<std::uint64_t> m_forwarded = 0;
+    std::atomic<std::uint64_t> m_dropped = 0;
     std::thread m_thread;
 };
 
--- a/test/process/StandInsTest.cpp
+++ b/test/process/StandInsTest.cpp
@@ -22,11 +22,11 @@
 public:
     StandIn(const std::string &program, std::vector<std::string> arguments)
         : m_log((std::filesystem::temp_directory_path()
-                 / (program + "-" + std::to_string(getpid()) + "-" + std::to_string(newNumber())))
+                 / (program + "-" + std::to_string(getpid()) + "-" + std::to_string(nextSerial())))
                     .string())
         , process(program, std::move(arguments), m_log)
     {
-        eventually([this] { return readPort(); });
+        waitUntil([this] { return readPort(); });
     }
     ~StandIn() { std::filesystem::remove(m_log); }
     StandIn(const StandIn &) = delete;
@@ -53,15 +53,16 @@
     {
         std::ostringstream text;
         text << std::ifstream(m_log).rdbuf();
-        const std::string whole = text.str();
+        const std::string expectedBody = text.str();
         std::smatch match;
-        if (!std::regex_search(whole, match, std::regex("listening on ([0-9.]+):([0-9]+)\n")))
+        if (!std::regex_search(expectedBody, match,
+                               std::regex("listening on ([0-9.]+):([0-9]+)\n")))
             return false;
         m_endpoint = {match[1], static_cast<std::uint16_t>(std::stoi(match[2]))};
         return true;
     }
 
-    static int newNumber()
+    static int nextSerial()
     {
         static int number = 0;
         return number++;
@@ -78,39 +79,40 @@
 
 } // namespace
 
-TEST(StandIns, StreamIsAFunctionOfTheBodyAndResumes)
+TEST(StandIns, StreamIsDeterministicAndResumes)
 {
     const StandIn engine("standin-engine", {"--tokens-per-second", "1000"});
-    const auto whole = wholeStream(prompt, 10);
+    const auto expectedBody = wholeStream(prompt, 10);
     const auto first = fetch(engine.spec("POST", "/generate", prompt));
-    EXPECT_EQ(judge(first, whole, true), Outcome::Served);
+    EXPECT_EQ(judge(first, expectedBody, true), Outcome::Served);
     EXPECT_FALSE(first.header("X-Boot-Id").empty());
 
     auto spec = engine.spec("POST", "/generate", prompt);
     spec.headers.emplace_back("Last-Event-ID", "4");
     const auto rest = fetch(spec);
-    EXPECT_TRUE(whole.ends_with(rest.body));
+    EXPECT_TRUE(expectedBody.ends_with(rest.body));
     EXPECT_TRUE(rest.body.starts_with("id: 5\n"));
 }
 
-TEST(StandIns, OrderedFaultsAreSeenAsSuch)
+TEST(StandIns, InjectedFaultsAreVisibleToTheCaller)
 {
     const StandIn engine("standin-engine", {"--tokens-per-second", "1000", "--warm-after", "0"});
-    const auto after = [&](const std::string &order, Duration limit = std::chrono::seconds(30)) {
-        fetch(engine.spec("POST", "/control", order));
-        auto spec = engine.spec("POST", "/generate", prompt);
-        spec.headers.emplace_back("X-Attempt-Id", "attempt-1");
-        spec.timeout = limit;
-        return fetch(spec);
-    };
-    EXPECT_EQ(after(R"({"order":"cut-answer"})").end, CallEnd::Cut);
-    EXPECT_EQ(after(R"({"order":"cut-before"})").end, CallEnd::NoAnswer);
-    EXPECT_EQ(after(R"({"order":"hang"})", std::chrono::seconds(1)).end, CallEnd::TimedOut);
-    EXPECT_EQ(after(R"({"order":"crossed"})").header("X-Attempt-Id"), "another-attempt-1");
-    EXPECT_EQ(after(R"({"order":"none"})").header("X-Attempt-Id"), "attempt-1");
+    const auto callWithFault
+        = [&](const std::string &fault, Duration limit = std::chrono::seconds(30)) {
+              fetch(engine.spec("POST", "/control", fault));
+              auto spec = engine.spec("POST", "/generate", prompt);
+              spec.headers.emplace_back("X-Attempt-Id", "attempt-1");
+              spec.timeout = limit;
+              return fetch(spec);
+          };
+    EXPECT_EQ(callWithFault(R"({"order":"cut-answer"})").end, CallEnd::Cut);
+    EXPECT_EQ(callWithFault(R"({"order":"cut-before"})").end, CallEnd::NoAnswer);
+    EXPECT_EQ(callWithFault(R"({"order":"hang"})", std::chrono::seconds(1)).end, CallEnd::TimedOut);
+    EXPECT_EQ(callWithFault(R"({"order":"crossed"})").header("X-Attempt-Id"), "another-attempt-1");
+    EXPECT_EQ(callWithFault(R"({"order":"none"})").header("X-Attempt-Id"), "attempt-1");
 }
 
-TEST(StandIns, ColdEngineCrashesUnderMoreThanItBears)
+TEST(StandIns, ColdEngineCrashesWhenOverloaded)
 {
     StandIn engine("standin-engine", {"--cold-slots", "1", "--tokens-per-second", "5"});
     auto spec = engine.spec("POST", "/generate", prompt);
@@ -131,19 +133,19 @@
     EXPECT_EQ(engine.process.wait(std::chrono::seconds(30)), 71);
 }
 
-TEST(StandIns, ClosingTheConnectionCancels)
+TEST(StandIns, ClosingTheConnectionCancelsTheRequest)
 {
     const StandIn engine("standin-engine", {"--tokens-per-second", "5"});
     auto spec = engine.spec("POST", "/generate", prompt);
     spec.timeout = std::chrono::milliseconds(300);
     EXPECT_EQ(fetch(spec).end, CallEnd::TimedOut);
-    EXPECT_TRUE(eventually([&] { return engine.json("/stats")["cancels"].asUInt64() == 1; }));
+    EXPECT_TRUE(waitUntil([&] { return engine.json("/stats")["cancels"].asUInt64() == 1; }));
     EXPECT_EQ(engine.json("/load")["running"].asUInt(), 0U);
 }
 
 // The service runs the purchase and its answer is lost on the way: the caller can't tell, but the
 // count must show the execution, or a doubled purchase would go unseen.
-TEST(StandIns, PurchaseCountsThoughItsAnswerIsCut)
+TEST(StandIns, PurchaseIsCountedWhenItsResponseIsLost)
 {
     const StandIn service("standin-service", {});
     fetch(service.spec("POST", "/control", R"({"order":"cut-answer"})"));
@@ -154,19 +156,19 @@
     EXPECT_EQ(service.json("/stats")["executionsByKey"]["k1"].asUInt64(), 2U);
 }
 
-TEST(StandIns, PlatformWatchWakesAndStaleShowsTheOldRevision)
+TEST(StandIns, PlatformWatchReturnsUpdatesAndStaleModeServesAnOldRevision)
 {
     const StandIn platform("standin-platform", {});
-    const auto put = [&](int version) {
+    const auto putDocument = [&](int version) {
         const auto text = R"({"name":"fleet","text":"{}","version":)" + std::to_string(version);
         EXPECT_EQ(fetch(platform.spec("PUT", "/v1/documents", text + "}")).status, 200U);
     };
-    put(1);
+    putDocument(1);
     const auto first = platform.json("/v1/documents?since=0");
     const auto revision = first["revision"].asUInt64();
     EXPECT_EQ(first["documents"][0]["version"].asUInt(), 1U);
 
-    // A caller waits for what comes next, and gets it as soon as it is put.
+    // A caller waits for what comes next, and gets it as soon as it is putDocument.
     boost::asio::io_context io;
     HttpCaller caller(io);
     CallResult watched;
@@ -174,7 +176,7 @@
         platform.spec("GET", "/v1/documents?since=" + std::to_string(revision) + "&wait=60"),
         [&](CallResult result) { watched = std::move(result); });
     io.run_for(std::chrono::milliseconds(100));
-    put(2);
+    putDocument(2);
     io.run();
     EXPECT_EQ((*parseJson(watched.body))["documents"][0]["version"].asUInt(), 2U);
 
--- a/test/process/TestFleet.cpp
+++ b/test/process/TestFleet.cpp
@@ -20,13 +20,13 @@
 constexpr std::uint16_t adminPort = 7500;
 constexpr std::uint16_t targetPort = 9000;
 constexpr std::uint16_t platformPort = 8500;
-constexpr unsigned claimGroup = 250;
+constexpr unsigned reservationGroup = 250;
 constexpr unsigned platformGroup = 200;
 constexpr unsigned relayGroup = 150; ///< Plus the zone's number.
 constexpr unsigned serviceGroup = 100;
 constexpr unsigned engineGroup = 50;
 constexpr unsigned firstBlock = 20;
-constexpr unsigned blocks = 200;
+constexpr unsigned blockCount = 200;
 
 const char *const engineService = "assistant";
 const char *const plainService = "catalogue";
@@ -49,7 +49,7 @@
     return value;
 }
 
-Json::Value toJson(const std::vector<TargetPlace> &targets)
+Json::Value toJson(const std::vector<TargetLocation> &targets)
 {
     Json::Value list(Json::arrayValue);
     for (const auto &target : targets)
@@ -57,7 +57,7 @@
     return list;
 }
 
-void write(const std::string &path, const Json::Value &value)
+void writeJson(const std::string &path, const Json::Value &value)
 {
     std::ofstream(path) << toText(value) << '\n';
 }
@@ -80,13 +80,13 @@
 
 } // namespace
 
-TestFleet::TestFleet(FleetPlan plan)
-    : m_plan(std::move(plan))
+TestFleet::TestFleet(FleetOptions options)
+    : m_options(std::move(options))
 {
     std::string name = (std::filesystem::temp_directory_path() / "berylridge-XXXXXX").string();
     m_directory = mkdtemp(name.data());
-    claimAddresses();
-    place();
+    reserveAddresses();
+    assignAddresses();
 }
 
 TestFleet::~TestFleet()
@@ -102,17 +102,18 @@
 }
 
 /// Other runs of these tests may use the machine at the same time: a port that is listened at for
-/// the fleet's whole life claims the block of addresses.
-void TestFleet::claimAddresses()
+/// the fleet's fullText life claims the block of addresses.
+void TestFleet::reserveAddresses()
 {
-    for (unsigned i = 0; i < blocks && !m_claim; ++i) {
-        m_block = firstBlock + (static_cast<unsigned>(getpid()) + i) % blocks;
-        auto claim = std::make_unique<boost::asio::ip::tcp::acceptor>(m_io);
+    for (unsigned i = 0; i < blockCount && !m_reservationSocket; ++i) {
+        m_block = firstBlock + (static_cast<unsigned>(getpid()) + i) % blockCount;
+        auto reservation = std::make_unique<boost::asio::ip::tcp::acceptor>(m_io);
         boost::system::error_code error;
-        claim->open(boost::asio::ip::tcp::v4(), error);
-        claim->bind({boost::asio::ip::make_address(address(claimGroup, 1)), platformPort}, error);
+        reservation->open(boost::asio::ip::tcp::v4(), error);
+        reservation->bind(
+            {boost::asio::ip::make_address(address(reservationGroup, 1)), platformPort}, error);
         if (!error)
-            m_claim = std::move(claim);
+            m_reservationSocket = std::move(reservation);
     }
 }
 
@@ -122,33 +123,35 @@
         + std::to_string(number);
 }
 
-void TestFleet::place()
+void TestFleet::assignAddresses()
 {
     m_platform = {address(platformGroup, 1), platformPort};
     unsigned zoneNumber = 0;
-    for (const auto &zone : m_plan.zones) {
+    for (const auto &zone : m_options.zones) {
         ++zoneNumber;
-        for (unsigned i = 1; i <= m_plan.routersPerZone; ++i) {
-            RouterPlace router;
+        for (unsigned i = 1; i <= m_options.routersPerZone; ++i) {
+            RouterLocation router;
             router.node = zone + std::to_string(i);
             router.zone = zone;
-            const auto own = address(zoneNumber, i);
-            router.callers = {own, callersPort};
-            router.peers = {own, peersPort};
-            router.admin = {own, adminPort};
+            const auto routerAddress = address(zoneNumber, i);
+            router.callers = {routerAddress, callersPort};
+            router.peers = {routerAddress, peersPort};
+            router.admin = {routerAddress, adminPort};
             router.advertised = router.peers;
-            if (m_plan.hasRelay)
+            if (m_options.hasRelay)
                 router.advertised.address = address(relayGroup + zoneNumber, i);
             m_routers.push_back(router);
         }
-        placeTargets(zone, "engine-", engineGroup + zoneNumber, m_plan.enginesPerZone, m_engines);
-        placeTargets(zone, "catalogue-", serviceGroup + zoneNumber, m_plan.servicesPerZone,
-                     m_services);
+        assignTargetAddresses(zone, "engine-", engineGroup + zoneNumber, m_options.enginesPerZone,
+                              m_engines);
+        assignTargetAddresses(zone, "catalogue-", serviceGroup + zoneNumber,
+                              m_options.servicesPerZone, m_services);
     }
 }
 
-void TestFleet::placeTargets(const std::string &zone, const std::string &prefix, unsigned group,
-                             unsigned count, std::vector<TargetPlace> &targets) const
+void TestFleet::assignTargetAddresses(const std::string &zone, const std::string &prefix,
+                                      unsigned group, unsigned count,
+                                      std::vector<TargetLocation> &targets) const
 {
     for (unsigned i = 1; i <= count; ++i) {
         const Endpoint endpoint {address(group, i), targetPort};
@@ -166,9 +169,9 @@
     m_routerProcesses.resize(m_routers.size());
     for (std::size_t i = 0; i < m_routers.size(); ++i)
         startRouter(i);
-    return eventually([this] {
+    return waitUntil([this] {
         for (std::size_t i = 0; i < m_routers.size(); ++i) {
-            if (!isReady(i) || !admitsPurchases(i))
+            if (!isReady(i) || !acceptsPurchases(i))
                 return false;
         }
         return true;
@@ -177,10 +180,10 @@
 
 /// Nodes that have just started can't vouch for keys made before their start, whoever made them, so
 /// a new fleet refuses purchases for a moment.
-bool TestFleet::admitsPurchases(std::size_t router) const
+bool TestFleet::acceptsPurchases(std::size_t router) const
 {
     static RandomEngine random(1);
-    auto spec = callerSpec(router, 0, "POST", "/v1/services/catalogue/purchases");
+    auto spec = callSpec(router, 0, "POST", "/v1/services/catalogue/purchases");
     spec.headers.emplace_back("Idempotency-Key", uuidV7(SystemClock().wallNow(), random));
     spec.body = "{}";
     return fetch(std::move(spec)).status == 200;
@@ -188,7 +191,7 @@
 
 void TestFleet::startStandIns()
 {
-    write(file("vms.json"), vmList());
+    writeJson(file("vms.json"), vmList());
     m_platformProcess = std::make_unique<ChildProcess>(
         "standin-platform",
         std::vector<std::string> {"--address", m_platform.address, "--port",
@@ -201,51 +204,53 @@
                                       std::to_string(service.endpoint.port)},
             file(service.name + ".log")));
     }
-    eventually([this] { return isListening(m_platform); });
+    waitUntil([this] { return isListening(m_platform); });
     for (const auto &service : m_services)
-        eventually([&] { return isListening(service.endpoint); });
+        waitUntil([&] { return isListening(service.endpoint); });
     putDocument("service/assistant", serviceDocument(engineService, m_engines, true));
     putDocument("service/catalogue", serviceDocument(plainService, m_services, false));
-    publishZonesOut({});
+    publishEvacuatedZones({});
 }
 
 void TestFleet::startRelay()
 {
-    if (!m_plan.hasRelay)
+    if (!m_options.hasRelay)
         return;
     m_relay = std::make_unique<LinkRelay>();
     for (const auto &router : m_routers)
-        m_relay->add(router.advertised, router.zone, router.peers);
+        m_relay->addLink(router.advertised, router.zone, router.peers);
     m_relay->run();
 }
 
 void TestFleet::startEngine(std::size_t index)
 {
     const auto &engine = m_engines[index];
-    m_endedByOverload += isOverloaded(index) ? 1 : 0;
+    m_restartedOverloads += hasOverloadCrash(index) ? 1 : 0;
     m_engineProcesses[index].reset();
     m_engineProcesses[index] = std::make_unique<ChildProcess>(
         "standin-engine",
-        std::vector<std::string> {
-            "--address", engine.endpoint.address, "--port", std::to_string(engine.endpoint.port),
-            "--slots", std::to_string(m_plan.slots), "--cold-slots",
-            std::to_string(m_plan.coldSlots), "--warm-after", std::to_string(m_plan.warmAfter),
-            "--tokens-per-second", std::to_string(m_plan.tokensPerSecond)},
+        std::vector<std::string> {"--address", engine.endpoint.address, "--port",
+                                  std::to_string(engine.endpoint.port), "--slots",
+                                  std::to_string(m_options.slots), "--cold-slots",
+                                  std::to_string(m_options.coldSlots), "--warm-after",
+                                  std::to_string(m_options.warmAfter), "--tokens-per-second",
+                                  std::to_string(m_options.tokensPerSecond)},
         file(engine.name + ".log"));
-    eventually([&] { return isListening(engine.endpoint); });
+    waitUntil([&] { return isListening(engine.endpoint); });
 }
 
-bool TestFleet::isOverloaded(std::size_t engine) const
+bool TestFleet::hasOverloadCrash(std::size_t engine) const
 {
-    constexpr int overloadStatus = 70; // standin-engine's exit status
-    return m_engineProcesses[engine] && m_engineProcesses[engine]->status() == overloadStatus;
+    constexpr int overloadCrashExitStatus = 70; // standin-engine's exit status
+    return m_engineProcesses[engine]
+        && m_engineProcesses[engine]->status() == overloadCrashExitStatus;
 }
 
-std::uint32_t TestFleet::countOverloads() const
+std::uint32_t TestFleet::countOverloadCrashes() const
 {
-    std::uint32_t overloads = m_endedByOverload;
+    std::uint32_t overloads = m_restartedOverloads;
     for (std::size_t i = 0; i < m_engines.size(); ++i)
-        overloads += isOverloaded(i) ? 1 : 0;
+        overloads += hasOverloadCrash(i) ? 1 : 0;
     return overloads;
 }
 
@@ -265,7 +270,7 @@
     return send(m_routers[index].admin, "GET", "/readyz", "").status == 200;
 }
 
-void TestFleet::writeSettings(const RouterPlace &router) const
+void TestFleet::writeSettings(const RouterLocation &router) const
 {
     Json::Value settings;
     settings["node"] = router.node;
@@ -273,13 +278,13 @@
     settings["callers"] = toJson(router.callers);
     settings["peers"] = toJson(router.peers);
     settings["admin"] = toJson(router.admin);
-    if (m_plan.hasRelay)
+    if (m_options.hasRelay)
         settings["advertised"] = toJson(router.advertised);
     settings["fleetKey"] = "a key that only the tests' fleet uses";
     settings["operatorsKeyDigest"] = credentialDigest("operators");
     settings["platform"].append(toJson(m_platform));
     settings["chartDirectory"] = BERYLRIDGE_SOURCE_DIR "/charts";
-    write(file(router.node + ".settings.json"), settings);
+    writeJson(file(router.node + ".settings.json"), settings);
 }
 
 Json::Value TestFleet::vmList() const
@@ -296,17 +301,18 @@
 }
 
 Json::Value TestFleet::serviceDocument(const std::string &name,
-                                       const std::vector<TargetPlace> &targets, bool isEngine) const
+                                       const std::vector<TargetLocation> &targets,
+                                       bool isEngine) const
 {
     Json::Value document;
     document["service"] = name;
     document["kind"] = isEngine ? "model-engine" : "plain";
-    document["slots"] = isEngine ? m_plan.slots : 32;
-    document["coldSlots"] = isEngine ? m_plan.coldSlots : 32;
-    document["warmAfter"] = m_plan.warmAfter;
+    document["slots"] = isEngine ? m_options.slots : 32;
+    document["coldSlots"] = isEngine ? m_options.coldSlots : 32;
+    document["warmAfter"] = m_options.warmAfter;
     document["idleTimeoutMs"] = 5000;
     if (isEngine) {
-        // A prompt may be run again: nothing but its answer comes of it.
+        // A prompt may be run again: nothing but its response comes of it.
         Json::Value route;
         route["method"] = "POST";
         route["pathPrefix"] = "/generate";
@@ -319,7 +325,7 @@
         entry["zone"] = target.zone;
         document["targets"].append(entry);
     }
-    for (std::uint32_t i = 0; i < m_plan.workspaces; ++i) {
+    for (std::uint32_t i = 0; i < m_options.workspaces; ++i) {
         Json::Value share;
         share["workspace"] = workspaceName(i);
         share["weight"] = 1;
@@ -335,11 +341,11 @@
     document["name"] = name;
     document["version"] = static_cast<Json::UInt64>(++m_documentVersion);
     document["text"] = toText(body);
-    const auto answer = send(m_platform, "PUT", "/v1/documents", toText(document));
-    EXPECT_EQ(answer.status, 200U) << "the platform did not take " << name;
+    const auto response = send(m_platform, "PUT", "/v1/documents", toText(document));
+    EXPECT_EQ(response.status, 200U) << "the platform did not take " << name;
 }
 
-void TestFleet::publishZonesOut(const std::vector<std::string> &zones)
+void TestFleet::publishEvacuatedZones(const std::vector<std::string> &zones)
 {
     Json::Value document;
     document["zonesOut"] = Json::Value(Json::arrayValue);
@@ -348,14 +354,14 @@
     putDocument("fleet", document);
 }
 
-void TestFleet::orderPlatform(const std::string &order)
+void TestFleet::controlPlatform(const std::string &command)
 {
-    EXPECT_EQ(send(m_platform, "POST", "/control", order).status, 200U);
+    EXPECT_EQ(send(m_platform, "POST", "/control", command).status, 200U);
 }
 
-void TestFleet::orderTarget(const Endpoint &target, const std::string &order) const
+void TestFleet::controlTarget(const Endpoint &target, const std::string &command) const
 {
-    EXPECT_EQ(send(target, "POST", "/control", order).status, 200U);
+    EXPECT_EQ(send(target, "POST", "/control", command).status, 200U);
 }
 
 Json::Value TestFleet::stats(const Endpoint &endpoint)
@@ -374,7 +380,7 @@
     return stats(m_services[index].endpoint);
 }
 
-std::uint64_t TestFleet::executionsOf(const std::string &key) const
+std::uint64_t TestFleet::executionCount(const std::string &key) const
 {
     std::uint64_t executions = 0;
     for (std::size_t i = 0; i < m_services.size(); ++i)
@@ -382,8 +388,8 @@
     return executions;
 }
 
-CallSpec TestFleet::callerSpec(std::size_t router, std::uint32_t workspace,
-                               const std::string &method, const std::string &target) const
+CallSpec TestFleet::callSpec(std::size_t router, std::uint32_t workspace, const std::string &method,
+                             const std::string &target) const
 {
     CallSpec spec;
     spec.endpoint = m_routers[router].callers;
@@ -402,7 +408,7 @@
     profile["timeoutMs"] = 40000;
     for (const auto &router : m_routers)
         profile["routers"].append(toJson(router.callers));
-    for (std::uint32_t i = 0; i < m_plan.workspaces; ++i) {
+    for (std::uint32_t i = 0; i < m_options.workspaces; ++i) {
         Json::Value workspace;
         workspace["name"] = workspaceName(i);
         workspace["key"] = workspaceKey(i);
@@ -416,7 +422,7 @@
 
 std::unique_ptr<ChildProcess> TestFleet::startLoad(const Json::Value &profile)
 {
-    write(file("profile.json"), profile);
+    writeJson(file("profile.json"), profile);
     return std::make_unique<ChildProcess>(
         "berylload",
         std::vector<std::string> {"--profile", file("profile.json"), "--json", file("report.json")},
@@ -431,16 +437,17 @@
 
 std::string TestFleet::logs() const
 {
-    constexpr std::size_t mostOfEach = 3000;
+    constexpr std::size_t maxBytesPerLog = 3000;
     std::ostringstream all;
     for (const auto &entry : std::filesystem::directory_iterator(m_directory)) {
         if (entry.path().extension() != ".log")
             continue;
         std::ostringstream text;
         text << std::ifstream(entry.path()).rdbuf();
-        const std::string whole = text.str();
+        const std::string fullText = text.str();
         all << "--- " << entry.path().filename() << '\n'
-            << (whole.size() > mostOfEach ? whole.substr(whole.size() - mostOfEach) : whole);
+            << (fullText.size() > maxBytesPerLog ? fullText.substr(fullText.size() - maxBytesPerLog)
+                                                 : fullText);
     }
     return all.str();
 }
--- a/test/process/TestFleet.h
+++ b/test/process/TestFleet.h
@@ -18,7 +18,7 @@
 
 namespace berylridge::test {
 
-struct FleetPlan
+struct FleetOptions
 {
     std::vector<std::string> zones {"a", "b", "c"};
     std::uint32_t routersPerZone = 1;
@@ -33,7 +33,7 @@
 };
 
 /// One router and where it is.
-struct RouterPlace
+struct RouterLocation
 {
     std::string node;
     std::string zone;
@@ -43,7 +43,7 @@
     Endpoint advertised; ///< Where other nodes reach it: its peers endpoint, or the relay's.
 };
 
-struct TargetPlace
+struct TargetLocation
 {
     std::string name;
     std::string zone;
@@ -53,7 +53,7 @@
 class TestFleet
 {
 public:
-    explicit TestFleet(FleetPlan plan);
+    explicit TestFleet(FleetOptions options);
     ~TestFleet();
     TestFleet(const TestFleet &) = delete;
     TestFleet &operator=(const TestFleet &) = delete;
@@ -62,33 +62,33 @@
     bool start();
 
     std::size_t routerCount() const { return m_routers.size(); }
-    const RouterPlace &router(std::size_t index) const { return m_routers[index]; }
+    const RouterLocation &router(std::size_t index) const { return m_routers[index]; }
     ChildProcess &routerProcess(std::size_t index) { return *m_routerProcesses[index]; }
-    const std::vector<TargetPlace> &engines() const { return m_engines; }
-    const std::vector<TargetPlace> &services() const { return m_services; }
+    const std::vector<TargetLocation> &engines() const { return m_engines; }
+    const std::vector<TargetLocation> &services() const { return m_services; }
     ChildProcess &engineProcess(std::size_t index) { return *m_engineProcesses[index]; }
     LinkRelay &relay() { return *m_relay; }
 
     /// Engines that crashed because they got more than they bear while cold, restarted ones too.
-    std::uint32_t countOverloads() const;
+    std::uint32_t countOverloadCrashes() const;
 
     void startRouter(std::size_t index);
     void startEngine(std::size_t index);
     bool isReady(std::size_t index) const;
 
     /// Puts the next version of the fleet document into force at the platform.
-    void publishZonesOut(const std::vector<std::string> &zones);
-    void orderPlatform(const std::string &order);
+    void publishEvacuatedZones(const std::vector<std::string> &zones);
+    void controlPlatform(const std::string &command);
     /// A stand-in's counts.
     Json::Value engineStats(std::size_t index) const;
     Json::Value serviceStats(std::size_t index) const;
-    void orderTarget(const Endpoint &target, const std::string &order) const;
+    void controlTarget(const Endpoint &target, const std::string &command) const;
     /// Over all plain services.
-    std::uint64_t executionsOf(const std::string &key) const;
+    std::uint64_t executionCount(const std::string &key) const;
 
     /// A call to a router in the name of a workspace.
-    CallSpec callerSpec(std::size_t router, std::uint32_t workspace, const std::string &method,
-                        const std::string &target) const;
+    CallSpec callSpec(std::size_t router, std::uint32_t workspace, const std::string &method,
+                      const std::string &target) const;
     /// A profile for berylload over all routers, to be changed and passed to startLoad().
     Json::Value profile(double seconds) const;
     /// Starts berylload; its report is read by loadReport() when it has ended.
@@ -98,34 +98,34 @@
     std::string logs() const;
 
 private:
-    bool admitsPurchases(std::size_t router) const;
-    bool isOverloaded(std::size_t engine) const;
-    void claimAddresses();
-    void place();
-    void placeTargets(const std::string &zone, const std::string &prefix, unsigned group,
-                      unsigned count, std::vector<TargetPlace> &targets) const;
+    bool acceptsPurchases(std::size_t router) const;
+    bool hasOverloadCrash(std::size_t engine) const;
+    void reserveAddresses();
+    void assignAddresses();
+    void assignTargetAddresses(const std::string &zone, const std::string &prefix, unsigned group,
+                               unsigned count, std::vector<TargetLocation> &targets) const;
     void startStandIns();
     void startRelay();
     std::string address(unsigned group, unsigned number) const;
     std::string file(const std::string &name) const { return (m_directory / name).string(); }
-    void writeSettings(const RouterPlace &router) const;
+    void writeSettings(const RouterLocation &router) const;
     Json::Value vmList() const;
-    Json::Value serviceDocument(const std::string &name, const std::vector<TargetPlace> &targets,
+    Json::Value serviceDocument(const std::string &name, const std::vector<TargetLocation> &targets,
                                 bool isEngine) const;
     void putDocument(const std::string &name, const Json::Value &body);
     static Json::Value stats(const Endpoint &endpoint);
 
-    FleetPlan m_plan;
+    FleetOptions m_options;
     std::filesystem::path m_directory;
     unsigned m_block = 0; ///< Second number of all addresses: 127.BLOCK.x.y.
     boost::asio::io_context m_io;
-    std::unique_ptr<boost::asio::ip::tcp::acceptor> m_claim;
+    std::unique_ptr<boost::asio::ip::tcp::acceptor> m_reservationSocket;
     Endpoint m_platform;
-    std::vector<RouterPlace> m_routers;
-    std::vector<TargetPlace> m_engines;
-    std::vector<TargetPlace> m_services;
+    std::vector<RouterLocation> m_routers;
+    std::vector<TargetLocation> m_engines;
+    std::vector<TargetLocation> m_services;
     std::uint64_t m_documentVersion = 0;
-    std::uint32_t m_endedByOverload = 0; ///< Of engines that were started again.
+    std::uint32_t m_restartedOverloads = 0; ///< Of engines that were started again.
     std::unique_ptr<LinkRelay> m_relay;
     std::unique_ptr<ChildProcess> m_platformProcess;
     std::vector<std::unique_ptr<ChildProcess>> m_engineProcesses;
--- a/test/standins/Connection.h
+++ b/test/standins/Connection.h
@@ -1,4 +1,4 @@
-// One connection of a caller to a stand-in: reads a request, has it answered, reads the next.
+// One connection of a caller to a stand-in: reads a request, has it finishResponse, reads the next.
 #pragma once
 
 #include "HttpServer.h"
@@ -23,26 +23,27 @@
     void readRequest();
     void write(std::string bytes);
     /// The answer is over: reads the next request once all of it is written.
-    void answered(bool isKept);
+    void finishResponse(bool isKeepAlive);
     void reset();
     /// Resets, and tells the handler of an unfinished answer that its caller is gone.
-    void lost();
+    void disconnect();
 
 private:
     void watchForClose();
-    void lookForClose();
+    void checkForClose();
     void writeNext();
     void readNextIfIdle();
 
     HttpServer &m_server;
-    std::shared_ptr<std::unordered_set<Connection *>> m_open; ///< May outlive the server.
+    std::shared_ptr<std::unordered_set<Connection *>>
+        m_openConnections; ///< May outlive the server.
     boost::asio::ip::tcp::socket m_socket;
     boost::beast::flat_buffer m_buffer;
     std::optional<boost::beast::http::request_parser<boost::beast::http::string_body>> m_parser;
     std::shared_ptr<Exchange> m_exchange;
-    std::deque<std::string> m_out;
-    bool m_isAnswered = false;
-    bool m_isKept = true;
+    std::deque<std::string> m_writeQueue;
+    bool m_isResponseFinished = false;
+    bool m_isKeepAlive = true;
 };
 
 } // namespace berylridge::standin
--- a/test/standins/Engine.cpp
+++ b/test/standins/Engine.cpp
@@ -14,13 +14,13 @@
 constexpr std::uint64_t defaultTokens = 32;
 constexpr std::uint64_t mostTokens = 100000;
 
-[[noreturn]] void crash(int status, const char *why)
+[[noreturn]] void crash(int status, const char *reason)
 {
-    std::cerr << "crash: " << why << std::endl;
+    std::cerr << "crash: " << reason << std::endl;
     std::_Exit(status);
 }
 
-std::uint64_t tokensAsked(const std::string &body)
+std::uint64_t requestedTokens(const std::string &body)
 {
     const auto value = parseJson(body);
     if (!value || !value->isObject() || !(*value)["tokens"].isUInt64())
@@ -38,29 +38,29 @@
 
 } // namespace
 
-/// One answer on its way.
+/// One respond on its way.
 class Engine::Stream : public std::enable_shared_from_this<Stream>
 {
 public:
-    Stream(Engine &engine, std::shared_ptr<Exchange> exchange, Misbehaviour misbehaviour)
+    Stream(Engine &engine, std::shared_ptr<Exchange> exchange, Fault fault)
         : m_engine(engine)
         , m_exchange(std::move(exchange))
-        , m_misbehaviour(misbehaviour)
-        , m_work(engine.m_meter.begin(m_exchange->header("X-Workspace")))
-        , m_tokens(tokensAsked(m_exchange->request().body()))
-        , m_next(lastEventId(*m_exchange) + 1)
+        , m_fault(fault)
+        , m_runningRequest(engine.m_meter.begin(m_exchange->header("X-Workspace")))
+        , m_tokens(requestedTokens(m_exchange->request().body()))
+        , m_nextToken(lastEventId(*m_exchange) + 1)
         , m_timer(engine.m_io)
     {
     }
 
     void start()
     {
-        m_exchange->onGone([weak = weak_from_this()] {
+        m_exchange->setDisconnectHandler([weak = weak_from_this()] {
             if (const auto self = weak.lock())
-                self->cancelled();
+                self->onCallerDisconnected();
         });
-        m_timer.expires_after(m_misbehaviour == Misbehaviour::Late ? m_engine.m_orders.lateBy()
-                                                                   : m_engine.m_options.prefill);
+        m_timer.expires_after(m_fault == Fault::DelayedResponse ? m_engine.m_faults.responseDelay()
+                                                                : m_engine.m_options.prefillTime);
         waitForTimer([](Stream &stream) { stream.begin(); });
     }
 
@@ -76,20 +76,20 @@
 
     void begin()
     {
-        if (m_misbehaviour == Misbehaviour::Hang)
+        if (m_fault == Fault::Hang)
             return waitForever();
-        setTargetHeaders(*m_exchange, m_engine.m_meter.bootId(), m_misbehaviour);
-        if (m_misbehaviour == Misbehaviour::ServerError) {
+        setTargetHeaders(*m_exchange, m_engine.m_meter.bootId(), m_fault);
+        if (m_fault == Fault::ServerError) {
             end(true);
-            return m_exchange->answer(500, "text/plain", "ordered to fail\n");
+            return m_exchange->respond(500, "text/plain", "ordered to fail\n");
         }
-        if (m_misbehaviour == Misbehaviour::OverLong) {
+        if (m_fault == Fault::ExcessBytes) {
             const auto &body = m_exchange->request().body();
             end(true);
-            return m_exchange->answerOverLong(200, "text/event-stream",
-                                              wholeStream(body, m_tokens));
+            return m_exchange->respondWithExcessBytes(200, "text/event-stream",
+                                                      wholeStream(body, m_tokens));
         }
-        m_exchange->beginChunks(200, "text/event-stream");
+        m_exchange->beginChunkedResponse(200, "text/event-stream");
         sendNext();
     }
 
@@ -101,15 +101,15 @@
 
     void sendNext()
     {
-        if (m_misbehaviour == Misbehaviour::CutAnswer && m_next > m_tokens / 2) {
+        if (m_fault == Fault::ResetDuringResponse && m_nextToken > m_tokens / 2) {
             end(false);
-            return m_exchange->cut();
+            return m_exchange->resetConnection();
         }
-        if (m_next > m_tokens)
+        if (m_nextToken > m_tokens)
             return sendEnd();
         m_exchange->sendChunk(
-            streamEvent(m_next, streamToken(m_exchange->request().body(), m_next)));
-        ++m_next;
+            streamEvent(m_nextToken, streamToken(m_exchange->request().body(), m_nextToken)));
+        ++m_nextToken;
         const double period = 1.0 / m_engine.m_options.tokensPerSecond;
         m_timer.expires_at(m_timer.expiry() + fromSeconds(period));
         waitForTimer([](Stream &stream) { stream.sendNext(); });
@@ -118,11 +118,11 @@
     void sendEnd()
     {
         end(true);
-        m_exchange->sendChunk(streamEvent(m_next, streamEnd));
-        m_exchange->endChunks();
+        m_exchange->sendChunk(streamEvent(m_nextToken, streamEnd));
+        m_exchange->endChunkedResponse();
     }
 
-    void cancelled()
+    void onCallerDisconnected()
     {
         m_engine.m_meter.countCancel();
         end(false);
@@ -132,15 +132,15 @@
     void end(bool isCompleted)
     {
         m_isEnded = true;
-        m_engine.m_meter.end(m_work, isCompleted);
+        m_engine.m_meter.end(m_runningRequest, isCompleted);
     }
 
     Engine &m_engine;
     std::shared_ptr<Exchange> m_exchange;
-    Misbehaviour m_misbehaviour;
-    RunningWork m_work;
+    Fault m_fault;
+    RunningRequest m_runningRequest;
     std::uint64_t m_tokens;
-    std::uint64_t m_next;
+    std::uint64_t m_nextToken;
     boost::asio::steady_timer m_timer;
     bool m_isEnded = false;
 };
@@ -158,46 +158,46 @@
     if (path == "/load")
         return report(exchange);
     if (path == "/stats")
-        return exchange->answer(200, "application/json", toText(m_meter.toJson()));
+        return exchange->respond(200, "application/json", toText(m_meter.toJson()));
     if (path == "/control")
-        return m_orders.take(exchange);
+        return m_faults.handleControlRequest(exchange);
     if (exchange->request().method() != boost::beast::http::verb::post)
-        return exchange->answer(405, "text/plain", "only POST generates\n");
+        return exchange->respond(405, "text/plain", "only POST generates\n");
     generate(exchange);
 }
 
 void Engine::report(const std::shared_ptr<Exchange> &exchange)
 {
     const auto now = SystemClock().now();
-    if (m_report.isNull() || now - m_reportedAt >= m_options.loadLag) {
-        m_report = m_meter.load();
+    if (m_loadReport.isNull() || now - m_reportedAt >= m_options.maxReportAge) {
+        m_loadReport = m_meter.load();
         m_reportedAt = now;
     }
-    auto report = m_report;
+    auto report = m_loadReport;
     const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(now - m_reportedAt);
     report["ageMs"] = static_cast<Json::UInt64>(age.count());
     exchange->setHeader("X-Boot-Id", m_meter.bootId());
-    exchange->answer(200, "application/json", toText(report));
+    exchange->respond(200, "application/json", toText(report));
 }
 
 void Engine::generate(const std::shared_ptr<Exchange> &exchange)
 {
     const auto &body = exchange->request().body();
-    const bool isConfigured = !m_options.deadlyMarker.empty();
-    if (m_orders.isDeadly(body)
-        || (isConfigured && body.find(m_options.deadlyMarker) != std::string::npos))
-        crash(deadlyExitStatus, "a body that no engine survives");
+    const bool isConfigured = !m_options.crashMarker.empty();
+    if (m_faults.hasCrashMarker(body)
+        || (isConfigured && body.find(m_options.crashMarker) != std::string::npos))
+        crash(markerCrashExitStatus, "a body that no engine survives");
     if (m_meter.isCold() && m_meter.isFull()) {
         m_meter.countOverload();
-        if (!m_options.isRejecting)
-            crash(overloadExitStatus, "more work than a cold engine bears");
-        setTargetHeaders(*exchange, m_meter.bootId(), Misbehaviour::None);
-        return exchange->answer(503, "text/plain", "cold and full\n");
+        if (!m_options.isRejectingOverload)
+            crash(overloadCrashExitStatus, "more work than a cold engine bears");
+        setTargetHeaders(*exchange, m_meter.bootId(), Fault::None);
+        return exchange->respond(503, "text/plain", "cold and full\n");
     }
-    const auto misbehaviour = m_orders.next(*exchange);
-    if (misbehaviour == Misbehaviour::CutBefore)
-        return exchange->cut();
-    std::make_shared<Stream>(*this, exchange, misbehaviour)->start();
+    const auto fault = m_faults.nextFault(*exchange);
+    if (fault == Fault::ResetBeforeExecution)
+        return exchange->resetConnection();
+    std::make_shared<Stream>(*this, exchange, fault)->start();
 }
 
 } // namespace berylridge::standin
--- a/test/standins/Engine.h
+++ b/test/standins/Engine.h
@@ -2,9 +2,9 @@
 // and goes wrong on order.
 #pragma once
 
+#include "FaultInjector.h"
 #include "HttpServer.h"
 #include "LoadMeter.h"
-#include "Orders.h"
 
 #include <boost/asio/steady_timer.hpp>
 #include <cstdint>
@@ -19,15 +19,15 @@
     std::uint32_t coldSlots = 1;
     std::uint64_t warmAfter = 8;
     double tokensPerSecond = 50; ///< Of each stream.
-    Duration prefill = std::chrono::milliseconds(20);
-    Duration loadLag {0};     ///< How old a load report may be.
-    bool isRejecting = false; ///< Answers 503 when overloaded, instead of crashing.
-    std::string deadlyMarker; ///< A body that contains it crashes the engine.
+    Duration prefillTime = std::chrono::milliseconds(20);
+    Duration maxReportAge {0};        ///< How old a load report may be.
+    bool isRejectingOverload = false; ///< Answers 503 when overloaded, instead of crashing.
+    std::string crashMarker;          ///< A body that contains it crashes the engine.
 };
 
 /// Exit statuses of a crash, so that tests can tell one from another.
-inline constexpr int overloadExitStatus = 70;
-inline constexpr int deadlyExitStatus = 71;
+inline constexpr int overloadCrashExitStatus = 70;
+inline constexpr int markerCrashExitStatus = 71;
 
 class Engine
 {
@@ -44,8 +44,8 @@
     boost::asio::io_context &m_io;
     EngineOptions m_options;
     LoadMeter m_meter;
-    Orders m_orders;
-    Json::Value m_report; ///< The last load report, kept for the lag.
+    FaultInjector m_faults;
+    Json::Value m_loadReport; ///< The last load report, kept for the lag.
     TimePoint m_reportedAt {};
 };
 
--- a/test/standins/HttpServer.cpp
+++ b/test/standins/HttpServer.cpp
@@ -19,7 +19,7 @@
 
 namespace {
 
-boost::beast::string_view beastView(std::string_view text)
+boost::beast::string_view toBeastView(std::string_view text)
 {
     return {text.data(), text.size()};
 }
@@ -34,7 +34,7 @@
 
 std::string Exchange::header(std::string_view name) const
 {
-    return std::string(m_request[beastView(name)]);
+    return std::string(m_request[toBeastView(name)]);
 }
 
 std::string Exchange::path() const
@@ -43,22 +43,22 @@
     return target.substr(0, target.find('?'));
 }
 
-std::uint64_t Exchange::queryNumber(std::string_view name, std::uint64_t otherwise) const
+std::uint64_t Exchange::queryNumber(std::string_view name, std::uint64_t defaultValue) const
 {
     const std::string target(m_request.target());
-    const std::string wanted = std::string(name) + "=";
+    const std::string parameterPrefix = std::string(name) + "=";
     std::size_t at = target.find('?');
     while (at != std::string::npos) {
         ++at;
-        if (target.compare(at, wanted.size(), wanted) == 0) {
-            std::uint64_t number = otherwise;
-            std::from_chars(target.data() + at + wanted.size(), target.data() + target.size(),
-                            number);
+        if (target.compare(at, parameterPrefix.size(), parameterPrefix) == 0) {
+            std::uint64_t number = defaultValue;
+            std::from_chars(target.data() + at + parameterPrefix.size(),
+                            target.data() + target.size(), number);
             return number;
         }
         at = target.find('&', at);
     }
-    return otherwise;
+    return defaultValue;
 }
 
 void Exchange::setHeader(std::string_view name, std::string_view value)
@@ -66,8 +66,8 @@
     m_headers.append(name).append(": ").append(value).append("\r\n");
 }
 
-std::string Exchange::head(unsigned status, std::string_view contentType,
-                           std::string_view framing) const
+std::string Exchange::formatHead(unsigned status, std::string_view contentType,
+                                 std::string_view framing) const
 {
     std::ostringstream out;
     out << "HTTP/1.1 " << status << ' ' << http::obsolete_reason(http::int_to_status(status))
@@ -76,79 +76,80 @@
     return out.str();
 }
 
-void Exchange::answer(unsigned status, std::string_view contentType, const std::string &body)
+void Exchange::respond(unsigned status, std::string_view contentType, const std::string &body)
 {
-    if (m_isOver)
+    if (m_isFinished)
         return;
-    m_connection->write(head(status, contentType, "Content-Length: " + std::to_string(body.size()))
-                        + body);
+    m_connection->write(
+        formatHead(status, contentType, "Content-Length: " + std::to_string(body.size())) + body);
     finish();
 }
 
-void Exchange::beginChunks(unsigned status, std::string_view contentType)
+void Exchange::beginChunkedResponse(unsigned status, std::string_view contentType)
 {
-    if (!m_isOver)
-        m_connection->write(head(status, contentType, "Transfer-Encoding: chunked"));
+    if (!m_isFinished)
+        m_connection->write(formatHead(status, contentType, "Transfer-Encoding: chunked"));
 }
 
 void Exchange::sendChunk(std::string_view data)
 {
-    if (m_isOver)
+    if (m_isFinished)
         return;
     std::ostringstream chunk;
     chunk << std::hex << data.size() << "\r\n" << data << "\r\n";
     m_connection->write(chunk.str());
 }
 
-void Exchange::endChunks()
+void Exchange::endChunkedResponse()
 {
-    if (m_isOver)
+    if (m_isFinished)
         return;
     m_connection->write("0\r\n\r\n");
     finish();
 }
 
-void Exchange::answerOverLong(unsigned status, std::string_view contentType,
-                              const std::string &body)
+void Exchange::respondWithExcessBytes(unsigned status, std::string_view contentType,
+                                      const std::string &body)
 {
-    if (m_isOver)
+    if (m_isFinished)
         return;
-    m_connection->write(head(status, contentType, "Content-Length: " + std::to_string(body.size()))
-                        + body + "bytes that no head announced");
+    m_connection->write(
+        formatHead(status, contentType, "Content-Length: " + std::to_string(body.size())) + body
+        + "bytes that no head announced");
     finish();
 }
 
-void Exchange::cut()
+void Exchange::resetConnection()
 {
-    if (m_isOver)
+    if (m_isFinished)
         return;
-    m_isOver = true;
+    m_isFinished = true;
     const auto connection = std::move(m_connection);
-    m_onGone = nullptr;
+    m_disconnectHandler = nullptr;
     connection->reset();
 }
 
 void Exchange::finish()
 {
-    m_isOver = true;
-    m_onGone = nullptr;
+    m_isFinished = true;
+    m_disconnectHandler = nullptr;
     const auto connection = std::move(m_connection);
-    connection->answered(true);
+    connection->finishResponse(true);
 }
 
-void Exchange::gone()
+void Exchange::onCallerDisconnected()
 {
-    if (m_isOver)
+    if (m_isFinished)
         return;
-    m_isOver = true;
+    m_isFinished = true;
     m_connection.reset();
-    const auto callback = std::move(m_onGone);
-    m_onGone = nullptr;
+    const auto callback = std::move(m_disconnectHandler);
+    m_disconnectHandler = nullptr;
     if (callback)
         callback();
 }
 
-HttpServer::HttpServer(asio::io_context &io, Handler handler)
+HttpServer::HttpServer(asio::io_context &io, RequestHandler handler)
     : m_acceptor(io)
     , m_handler(std::move(handler))
 {
@@ -188,7 +189,7 @@
 {
     const std::vector<Connection *> open(m_connections->begin(), m_connections->end());
     for (auto *connection : open)
-        connection->lost();
+        connection->disconnect();
 }
 
 void runAfter(asio::io_context &io, Duration delay, std::function<void()> function)
--- a/test/standins/HttpServer.h
+++ b/test/standins/HttpServer.h
@@ -1,5 +1,5 @@
 // The HTTP plumbing that the stand-ins share: one thread, many connections, answers sent whole or
-// piece by piece, and ways to answer wrongly on order.
+// piece by piece, and ways to respond wrongly on order.
 #pragma once
 
 #include "berylridge/Support/Endpoint.h"
@@ -22,8 +22,8 @@
 
 class Connection;
 
-/// One request and its answer. Calls on an answer that is over, or whose caller is gone, do
-/// nothing.
+/// One request and its respond. Calls on an respond that is over, or whose caller is
+/// onCallerDisconnected, do nothing.
 class Exchange
 {
 public:
@@ -35,45 +35,50 @@
     /// The path without its query.
     std::string path() const;
     /// A number from the query, as in "?wait=20".
-    std::uint64_t queryNumber(std::string_view name, std::uint64_t otherwise) const;
+    std::uint64_t queryNumber(std::string_view name, std::uint64_t defaultValue) const;
 
-    /// Goes into the head of the answer that follows.
+    /// Goes into the formatHead of the respond that follows.
     void setHeader(std::string_view name, std::string_view value);
     /// Answers whole.
-    void answer(unsigned status, std::string_view contentType, const std::string &body);
-    /// Begins an answer in chunks.
-    void beginChunks(unsigned status, std::string_view contentType);
+    void respond(unsigned status, std::string_view contentType, const std::string &body);
+    /// Begins an respond in chunks.
+    void beginChunkedResponse(unsigned status, std::string_view contentType);
     void sendChunk(std::string_view data);
-    void endChunks();
-    /// Answers with more bytes than the head announces.
-    void answerOverLong(unsigned status, std::string_view contentType, const std::string &body);
+    void endChunkedResponse();
+    /// Answers with more bytes than the formatHead announces.
+    void respondWithExcessBytes(unsigned status, std::string_view contentType,
+                                const std::string &body);
     /// Resets the connection.
-    void cut();
+    void resetConnection();
 
-    /// Called once if the caller goes before the answer is over.
-    void onGone(std::function<void()> callback) { m_onGone = std::move(callback); }
-    bool isOver() const { return m_isOver; }
+    /// Called once if the caller goes before the respond is over.
+    void setDisconnectHandler(std::function<void()> callback)
+    {
+        m_disconnectHandler = std::move(callback);
+    }
+    bool isFinished() const { return m_isFinished; }
 
 private:
     friend class Connection;
-    std::string head(unsigned status, std::string_view contentType, std::string_view framing) const;
+    std::string formatHead(unsigned status, std::string_view contentType,
+                           std::string_view framing) const;
     void finish();
-    void gone();
+    void onCallerDisconnected();
 
     std::shared_ptr<Connection> m_connection;
     Request m_request;
     std::string m_headers;
-    std::function<void()> m_onGone;
-    bool m_isOver = false;
+    std::function<void()> m_disconnectHandler;
+    bool m_isFinished = false;
 };
 
-using Handler = std::function<void(const std::shared_ptr<Exchange> &)>;
+using RequestHandler = std::function<void(const std::shared_ptr<Exchange> &)>;
 
 /// Listens and hands each request to the handler.
 class HttpServer
 {
 public:
-    HttpServer(boost::asio::io_context &io, Handler handler);
+    HttpServer(boost::asio::io_context &io, RequestHandler handler);
 
     /// Starts to listen.
     Expected<Endpoint> listen(const Endpoint &endpoint);
@@ -85,7 +90,7 @@
     void accept();
 
     boost::asio::ip::tcp::acceptor m_acceptor;
-    Handler m_handler;
+    RequestHandler m_handler;
     std::shared_ptr<std::unordered_set<Connection *>> m_connections
         = std::make_shared<std::unordered_set<Connection *>>();
 };
--- a/test/standins/LoadMeter.cpp
+++ b/test/standins/LoadMeter.cpp
@@ -7,13 +7,13 @@
 
 namespace {
 
-std::string newBootId()
+std::string makeBootId()
 {
     const auto now = SystemClock().wallNow().time_since_epoch().count();
     return "boot-" + std::to_string(now) + "-" + std::to_string(getpid());
 }
 
-Json::Value number(std::uint64_t value)
+Json::Value toJsonNumber(std::uint64_t value)
 {
     return {static_cast<Json::UInt64>(value)};
 }
@@ -24,11 +24,11 @@
     : m_slots(slots)
     , m_coldSlots(coldSlots)
     , m_warmAfter(warmAfter)
-    , m_bootId(newBootId())
+    , m_bootId(makeBootId())
 {
 }
 
-RunningWork LoadMeter::begin(const std::string &workspace)
+RunningRequest LoadMeter::begin(const std::string &workspace)
 {
     if (!isCold() && isFull())
         ++m_overSlots;
@@ -41,25 +41,25 @@
     ++load.started;
     ++load.running;
     const auto now = SystemClock().now();
-    m_runningSince.emplace(now, workspace);
+    m_startTimes.emplace(now, workspace);
     return {workspace, now};
 }
 
-void LoadMeter::end(const RunningWork &work, bool isCompleted)
+void LoadMeter::end(const RunningRequest &runningRequest, bool isCompleted)
 {
     --m_running;
     if (isCompleted)
         ++m_completed;
-    auto &load = m_workspaces[work.workspace];
+    auto &load = m_workspaces[runningRequest.workspace];
     --load.running;
-    const double seconds = toSeconds(SystemClock().now() - work.since);
+    const double seconds = toSeconds(SystemClock().now() - runningRequest.startedAt);
     load.busySeconds += seconds;
     m_busySeconds += seconds;
-    auto [first, last] = m_runningSince.equal_range(work.since);
-    const auto mine
-        = std::find_if(first, last, [&](const auto &e) { return e.second == work.workspace; });
-    if (mine != last)
-        m_runningSince.erase(mine);
+    auto [first, last] = m_startTimes.equal_range(runningRequest.startedAt);
+    const auto entry = std::find_if(
+        first, last, [&](const auto &e) { return e.second == runningRequest.workspace; });
+    if (entry != last)
+        m_startTimes.erase(entry);
 }
 
 Json::Value LoadMeter::load() const
@@ -67,7 +67,7 @@
     Json::Value value;
     value["bootId"] = m_bootId;
     value["running"] = m_running;
-    value["completed"] = number(m_completed);
+    value["completed"] = toJsonNumber(m_completed);
     value["ageMs"] = 0;
     return value;
 }
@@ -79,23 +79,23 @@
     value["isCold"] = isCold();
     value["maxRunning"] = m_maxRunning;
     value["maxRunningCold"] = m_maxRunningCold;
-    value["started"] = number(m_started);
-    value["overloads"] = number(m_overloads);
-    value["cancels"] = number(m_cancels);
-    value["overSlots"] = number(m_overSlots);
+    value["started"] = toJsonNumber(m_started);
+    value["overloads"] = toJsonNumber(m_overloads);
+    value["cancels"] = toJsonNumber(m_cancels);
+    value["overSlots"] = toJsonNumber(m_overSlots);
     const auto now = SystemClock().now();
-    std::map<std::string, double> open;
-    double openSeconds = 0;
-    for (const auto &[since, workspace] : m_runningSince) {
-        open[workspace] += toSeconds(now - since);
-        openSeconds += toSeconds(now - since);
+    std::map<std::string, double> runningSeconds;
+    double totalRunningSeconds = 0;
+    for (const auto &[startedAt, workspace] : m_startTimes) {
+        runningSeconds[workspace] += toSeconds(now - startedAt);
+        totalRunningSeconds += toSeconds(now - startedAt);
     }
-    value["busySeconds"] = m_busySeconds + openSeconds;
+    value["busySeconds"] = m_busySeconds + totalRunningSeconds;
     auto &workspaces = value["workspaces"] = Json::Value(Json::objectValue);
     for (const auto &[name, load] : m_workspaces) {
-        workspaces[name]["started"] = number(load.started);
+        workspaces[name]["started"] = toJsonNumber(load.started);
         workspaces[name]["running"] = load.running;
-        workspaces[name]["busySeconds"] = load.busySeconds + open[name];
+        workspaces[name]["busySeconds"] = load.busySeconds + runningSeconds[name];
     }
     return value;
 }
--- a/test/standins/LoadMeter.h
+++ b/test/standins/LoadMeter.h
@@ -11,10 +11,10 @@
 namespace berylridge::standin {
 
 /// One request that runs at the target.
-struct RunningWork
+struct RunningRequest
 {
     std::string workspace;
-    TimePoint since;
+    TimePoint startedAt;
 };
 
 /// Of one workspace at one target.
@@ -35,8 +35,8 @@
     /// Whether one more request would be more than it can bear now.
     bool isFull() const { return m_running >= (isCold() ? m_coldSlots : m_slots); }
 
-    RunningWork begin(const std::string &workspace);
-    void end(const RunningWork &work, bool isCompleted);
+    RunningRequest begin(const std::string &workspace);
+    void end(const RunningRequest &runningRequest, bool isCompleted);
     void countOverload() { ++m_overloads; }
     void countCancel() { ++m_cancels; }
 
@@ -52,7 +52,7 @@
     std::uint64_t m_warmAfter;
     std::string m_bootId;
     std::map<std::string, WorkspaceLoad> m_workspaces;
-    std::multimap<TimePoint, std::string> m_runningSince;
+    std::multimap<TimePoint, std::string> m_startTimes;
     std::uint32_t m_running = 0;
     std::uint32_t m_maxRunning = 0;
     std::uint32_t m_maxRunningCold = 0;
--- a/test/standins/Platform.cpp
+++ b/test/standins/Platform.cpp
@@ -12,14 +12,14 @@
 
 using boost::beast::http::verb;
 
-/// Orders that arrive while the service is down must still be heard.
-bool isForTests(const Exchange &exchange)
+/// FaultInjector that arrive while the service is down must still be heard.
+bool isTestControlRequest(const Exchange &exchange)
 {
     const auto path = exchange.path();
     return path == "/control" || path == "/stats" || exchange.request().method() == verb::put;
 }
 
-std::vector<std::string> jsonFiles(const std::string &directory)
+std::vector<std::string> listJsonFiles(const std::string &directory)
 {
     std::vector<std::string> files;
     std::error_code error;
@@ -33,9 +33,9 @@
 
 } // namespace
 
-Platform::Platform(boost::asio::io_context &io, Duration vmLag)
+Platform::Platform(boost::asio::io_context &io, Duration vmListDelay)
     : m_io(io)
-    , m_vmLag(vmLag)
+    , m_vmListDelay(vmListDelay)
     , m_documents(io, "documents")
     , m_vms(io, "vms")
 {
@@ -44,11 +44,11 @@
 std::optional<std::string> Platform::load(const std::string &directory, const std::string &vmFile)
 {
     Json::Value documents(Json::arrayValue);
-    for (const auto &name : jsonFiles(directory)) {
+    for (const auto &name : listJsonFiles(directory)) {
         const auto file = parseJsonFile(name);
         if (!file)
             return file.failureReason();
-        if (const auto error = takeDocument(*file, documents))
+        if (const auto error = addDocument(*file, documents))
             return name + ": " + *error;
     }
     m_documents.set(documents);
@@ -61,8 +61,8 @@
     return std::nullopt;
 }
 
-std::optional<std::string> Platform::takeDocument(const Json::Value &file,
-                                                  Json::Value &documents) const
+std::optional<std::string> Platform::addDocument(const Json::Value &file,
+                                                 Json::Value &documents) const
 {
     if (!file.isObject() || !file["name"].isString() || !file["version"].isUInt64())
         return "a document has a name, a version and a text or body";
@@ -70,9 +70,9 @@
     document["name"] = file["name"];
     document["version"] = file["version"];
     document["text"] = file.isMember("body") ? Json::Value(toText(file["body"])) : file["text"];
-    for (auto &known : documents) {
-        if (known["name"] == document["name"]) {
-            known = document;
+    for (auto &existing : documents) {
+        if (existing["name"] == document["name"]) {
+            existing = document;
             return std::nullopt;
         }
     }
@@ -85,60 +85,60 @@
     const std::string path = exchange->path();
     const bool isPut = exchange->request().method() == verb::put;
     ++m_calls[std::string(exchange->request().method_string()) + " " + path];
-    if (m_isDown && !isForTests(*exchange))
-        return exchange->cut();
+    if (m_isDown && !isTestControlRequest(*exchange))
+        return exchange->resetConnection();
     if (path == "/v1/documents")
-        return isPut ? putDocument(exchange) : m_documents.answer(exchange);
+        return isPut ? putDocument(exchange) : m_documents.respond(exchange);
     if (path == "/v1/vms")
-        return isPut ? putVms(exchange) : m_vms.answer(exchange);
+        return isPut ? putVms(exchange) : m_vms.respond(exchange);
     if (path == "/control")
-        return control(exchange);
+        return handleControlRequest(exchange);
     if (path == "/stats")
-        return exchange->answer(200, "application/json", stats());
-    exchange->answer(404, "text/plain", "no such thing\n");
+        return exchange->respond(200, "application/json", stats());
+    exchange->respond(404, "text/plain", "no such thing\n");
 }
 
 void Platform::putDocument(const std::shared_ptr<Exchange> &exchange)
 {
     const auto file = parseJson(exchange->request().body());
     auto documents = m_documents.value();
-    const auto error = file ? takeDocument(*file, documents) : "not JSON";
+    const auto error = file ? addDocument(*file, documents) : "not JSON";
     if (error)
-        return exchange->answer(400, "text/plain", *error + "\n");
+        return exchange->respond(400, "text/plain", *error + "\n");
     m_documents.set(std::move(documents));
-    exchange->answer(200, "application/json", "{}");
+    exchange->respond(200, "application/json", "{}");
 }
 
 void Platform::putVms(const std::shared_ptr<Exchange> &exchange)
 {
     const auto list = parseJson(exchange->request().body());
     if (!list || !list->isObject() || !(*list)["vms"].isArray())
-        return exchange->answer(400, "text/plain", "not a VM list\n");
-    runAfter(m_io, m_vmLag, [this, vms = (*list)["vms"]] { m_vms.set(vms); });
-    exchange->answer(200, "application/json", "{}");
+        return exchange->respond(400, "text/plain", "not a VM list\n");
+    runAfter(m_io, m_vmListDelay, [this, vms = (*list)["vms"]] { m_vms.set(vms); });
+    exchange->respond(200, "application/json", "{}");
 }
 
 /// {"mode": "normal" | "stale" | "down", "revision": R}: stale shows the documents of revision R,
 /// or the last ones where R is 0 or missing.
-void Platform::control(const std::shared_ptr<Exchange> &exchange)
+void Platform::handleControlRequest(const std::shared_ptr<Exchange> &exchange)
 {
-    const auto order = parseJson(exchange->request().body());
-    if (!order || !order->isObject())
-        return exchange->answer(400, "text/plain", "not a JSON object\n");
-    const std::string mode = (*order)["mode"].asString();
+    const auto command = parseJson(exchange->request().body());
+    if (!command || !command->isObject())
+        return exchange->respond(400, "text/plain", "not a JSON object\n");
+    const std::string mode = (*command)["mode"].asString();
     if (mode != "normal" && mode != "stale" && mode != "down")
-        return exchange->answer(400, "text/plain", "unknown mode\n");
+        return exchange->respond(400, "text/plain", "unknown mode\n");
     m_isDown = mode == "down";
     if (mode == "normal") {
-        m_documents.showFresh();
-        m_vms.showFresh();
+        m_documents.serveLatestRevision();
+        m_vms.serveLatestRevision();
     }
     if (mode == "stale") {
-        m_documents.showStale((*order)["revision"].asUInt64());
-        m_vms.showStale(0);
+        m_documents.serveStaleRevision((*command)["revision"].asUInt64());
+        m_vms.serveStaleRevision(0);
     }
-    exchange->answer(200, "application/json", "{}");
-    // Watches that wait are lost too; the order's own answer goes out first.
+    exchange->respond(200, "application/json", "{}");
+    // Watches that wait are lost too; the command's own respond goes out first.
     if (m_isDown)
         runAfter(m_io, std::chrono::milliseconds(20), [this] { m_server->resetAll(); });
 }
--- a/test/standins/Platform.h
+++ b/test/standins/Platform.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "HttpServer.h"
-#include "Watched.h"
+#include "WatchableValue.h"
 
 #include <cstdint>
 #include <map>
@@ -14,27 +14,27 @@
 class Platform
 {
 public:
-    Platform(boost::asio::io_context &io, Duration vmLag);
+    Platform(boost::asio::io_context &io, Duration vmListDelay);
 
     /// Loads documents (*.json) of a folder and a VM list from a file; an empty name means none.
     /// Returns what is wrong with them.
     std::optional<std::string> load(const std::string &directory, const std::string &vmFile);
-    void attach(HttpServer &server) { m_server = &server; }
+    void setServer(HttpServer &server) { m_server = &server; }
 
     void handle(const std::shared_ptr<Exchange> &exchange);
 
 private:
     void putDocument(const std::shared_ptr<Exchange> &exchange);
     void putVms(const std::shared_ptr<Exchange> &exchange);
-    void control(const std::shared_ptr<Exchange> &exchange);
-    std::optional<std::string> takeDocument(const Json::Value &file, Json::Value &documents) const;
+    void handleControlRequest(const std::shared_ptr<Exchange> &exchange);
+    std::optional<std::string> addDocument(const Json::Value &file, Json::Value &documents) const;
     std::string stats() const;
 
     boost::asio::io_context &m_io;
     HttpServer *m_server = nullptr;
-    Duration m_vmLag;
-    Watched m_documents;
-    Watched m_vms;
+    Duration m_vmListDelay;
+    WatchableValue m_documents;
+    WatchableValue m_vms;
     std::map<std::string, std::uint64_t> m_calls; ///< By kind.
     bool m_isDown = false;
 };
--- a/test/standins/Service.cpp
+++ b/test/standins/Service.cpp
@@ -28,64 +28,65 @@
 {
     const std::string path = exchange->path();
     if (path == "/stats")
-        return exchange->answer(200, "application/json", toText(stats()));
+        return exchange->respond(200, "application/json", toText(stats()));
     if (path == "/control")
-        return m_orders.take(exchange);
+        return m_faults.handleControlRequest(exchange);
     if (path == "/load")
-        return exchange->answer(200, "application/json", toText(m_meter.load()));
+        return exchange->respond(200, "application/json", toText(m_meter.load()));
     if (exchange->request().method() == boost::beast::http::verb::get)
-        return run(exchange, m_options.lookupTime,
-                   lookupAnswer(std::string(exchange->request().target())));
+        return execute(exchange, m_options.lookupTime,
+                       lookupAnswer(std::string(exchange->request().target())));
     if (path != "/purchases")
-        return exchange->answer(404, "text/plain", "no such thing\n");
-    run(exchange, m_options.purchaseTime, purchaseAnswer(exchange->request().body()));
+        return exchange->respond(404, "text/plain", "no such thing\n");
+    execute(exchange, m_options.purchaseTime, purchaseAnswer(exchange->request().body()));
 }
 
-void Service::run(const std::shared_ptr<Exchange> &exchange, Duration time, std::string body)
+void Service::execute(const std::shared_ptr<Exchange> &exchange, Duration duration,
+                      std::string body)
 {
-    const auto misbehaviour = m_orders.next(*exchange);
-    if (misbehaviour == Misbehaviour::CutBefore)
-        return exchange->cut();
+    const auto fault = m_faults.nextFault(*exchange);
+    if (fault == Fault::ResetBeforeExecution)
+        return exchange->resetConnection();
     if (exchange->request().method() == boost::beast::http::verb::post)
         countExecution(*exchange);
-    if (misbehaviour == Misbehaviour::Hang)
-        return exchange->onGone([exchange] {});
-    const auto work = m_meter.begin(exchange->header("X-Workspace"));
-    const auto delay = misbehaviour == Misbehaviour::Late ? m_orders.lateBy() : time;
+    if (fault == Fault::Hang)
+        return exchange->setDisconnectHandler([exchange] {});
+    const auto runningRequest = m_meter.begin(exchange->header("X-Workspace"));
+    const auto delay = fault == Fault::DelayedResponse ? m_faults.responseDelay() : duration;
     // Work goes on when its caller leaves: a purchase that began is executed.
-    runAfter(m_io, delay, [this, exchange, work, misbehaviour, body = std::move(body)] {
-        m_meter.end(work, true);
-        finish(exchange, misbehaviour, body);
+    runAfter(m_io, delay, [this, exchange, runningRequest, fault, body = std::move(body)] {
+        m_meter.end(runningRequest, true);
+        finish(exchange, fault, body);
     });
 }
 
-void Service::finish(const std::shared_ptr<Exchange> &exchange, Misbehaviour misbehaviour,
+void Service::finish(const std::shared_ptr<Exchange> &exchange, Fault fault,
                      const std::string &body)
 {
-    if (misbehaviour == Misbehaviour::CutAnswer)
-        return exchange->cut();
-    setTargetHeaders(*exchange, m_meter.bootId(), misbehaviour);
-    if (misbehaviour == Misbehaviour::OverLong)
-        return exchange->answerOverLong(200, "application/json", body);
-    if (misbehaviour == Misbehaviour::ServerError)
-        return exchange->answer(500, "text/plain", "ordered to fail\n");
-    exchange->answer(200, "application/json", body);
+    if (fault == Fault::ResetDuringResponse)
+        return exchange->resetConnection();
+    setTargetHeaders(*exchange, m_meter.bootId(), fault);
+    if (fault == Fault::ExcessBytes)
+        return exchange->respondWithExcessBytes(200, "application/json", body);
+    if (fault == Fault::ServerError)
+        return exchange->respond(500, "text/plain", "ordered to fail\n");
+    exchange->respond(200, "application/json", body);
 }
 
 void Service::countExecution(const Exchange &exchange)
 {
     const std::string key = exchange.header("Idempotency-Key");
     if (key.empty())
-        ++m_byRequestId[exchange.header("X-Request-Id")];
+        ++m_executionsByRequestId[exchange.header("X-Request-Id")];
     else
-        ++m_byKey[key];
+        ++m_executionsByKey[key];
 }
 
 Json::Value Service::stats() const
 {
     auto value = m_meter.toJson();
-    value["executionsByKey"] = countsToJson(m_byKey);
-    value["executionsByRequestId"] = countsToJson(m_byRequestId);
+    value["executionsByKey"] = countsToJson(m_executionsByKey);
+    value["executionsByRequestId"] = countsToJson(m_executionsByRequestId);
     return value;
 }
 
--- a/test/standins/Service.h
+++ b/test/standins/Service.h
@@ -2,9 +2,9 @@
 // execution counted under its idempotency key and its request id.
 #pragma once
 
+#include "FaultInjector.h"
 #include "HttpServer.h"
 #include "LoadMeter.h"
-#include "Orders.h"
 
 #include <cstdint>
 #include <map>
@@ -30,18 +30,17 @@
     void handle(const std::shared_ptr<Exchange> &exchange);
 
 private:
-    void run(const std::shared_ptr<Exchange> &exchange, Duration time, std::string body);
-    void finish(const std::shared_ptr<Exchange> &exchange, Misbehaviour misbehaviour,
-                const std::string &body);
+    void execute(const std::shared_ptr<Exchange> &exchange, Duration duration, std::string body);
+    void finish(const std::shared_ptr<Exchange> &exchange, Fault fault, const std::string &body);
     void countExecution(const Exchange &exchange);
     Json::Value stats() const;
 
     boost::asio::io_context &m_io;
     ServiceOptions m_options;
     LoadMeter m_meter;
-    Orders m_orders;
-    std::map<std::string, std::uint64_t> m_byKey;
-    std::map<std::string, std::uint64_t> m_byRequestId; ///< Of purchases without a key.
+    FaultInjector m_faults;
+    std::map<std::string, std::uint64_t> m_executionsByKey;
+    std::map<std::string, std::uint64_t> m_executionsByRequestId; ///< Of purchases without a key.
 };
 
 } // namespace berylridge::standin
--- a/test/standins/Watched.h
+++ b/test/standins/WatchableValue.h
@@ -11,27 +11,27 @@
 
 namespace berylridge::standin {
 
-class Watched
+class WatchableValue
 {
 public:
-    /// The answer's member that holds the value, as in "documents".
-    Watched(boost::asio::io_context &io, std::string member);
+    /// The respond's member that holds the value, as in "documents".
+    WatchableValue(boost::asio::io_context &io, std::string member);
 
     const Json::Value &value() const { return m_history.back(); }
     /// Puts a new value under the next revision and wakes who waits, unless stale.
     void set(Json::Value value);
 
     /// Answers at once where there is a revision above ?since, else waits up to ?wait seconds.
-    void answer(const std::shared_ptr<Exchange> &exchange);
+    void respond(const std::shared_ptr<Exchange> &exchange);
 
     /// Shows an old revision, whatever is set, until shown fresh again. 0 means the last one.
-    void showStale(std::uint64_t revision);
-    void showFresh();
+    void serveStaleRevision(std::uint64_t revision);
+    void serveLatestRevision();
 
 private:
-    std::uint64_t shownRevision() const;
+    std::uint64_t servedRevision() const;
     void send(const std::shared_ptr<Exchange> &exchange) const;
-    void wake();
+    void respondToWaiters();
 
     boost::asio::io_context &m_io;
     std::string m_member;
--- a/test/standins/engine_main.cpp
+++ b/test/standins/engine_main.cpp
@@ -12,8 +12,8 @@
     auto &coldSlots = arguments.number("cold-slots", "requests that it bears while cold", 1);
     auto &warmAfter = arguments.number("warm-after", "completed answers until it is warm", 8);
     auto &rate = arguments.number("tokens-per-second", "tokens a second of each stream", 50);
-    auto &prefill = arguments.number("prefill-ms", "milliseconds before the first token", 20);
-    auto &loadLag = arguments.number("load-lag-ms", "oldest age of a load report", 0);
+    auto &prefillTime = arguments.number("prefill-ms", "milliseconds before the first token", 20);
+    auto &maxReportAge = arguments.number("load-lag-ms", "oldest age of a load report", 0);
     auto &crashMode = arguments.text("crash-mode", "when overloaded: exit or reject", "exit");
     auto &marker = arguments.text("deadly-marker", "a body with this text crashes it", "");
     if (const auto status = arguments.parse(argc, argv))
@@ -24,10 +24,10 @@
     options.coldSlots = static_cast<std::uint32_t>(coldSlots.getValue());
     options.warmAfter = static_cast<std::uint64_t>(warmAfter.getValue());
     options.tokensPerSecond = rate.getValue();
-    options.prefill = fromSeconds(prefill.getValue() / 1000);
-    options.loadLag = fromSeconds(loadLag.getValue() / 1000);
-    options.isRejecting = crashMode.getValue() == "reject";
-    options.deadlyMarker = marker.getValue();
+    options.prefillTime = fromSeconds(prefillTime.getValue() / 1000);
+    options.maxReportAge = fromSeconds(maxReportAge.getValue() / 1000);
+    options.isRejectingOverload = crashMode.getValue() == "reject";
+    options.crashMarker = marker.getValue();
 
     boost::asio::io_context io;
     Engine engine(io, options);
--- a/test/standins/platform_main.cpp
+++ b/test/standins/platform_main.cpp
@@ -12,17 +12,17 @@
     Arguments arguments("a stand-in for the platform's configuration service and VM list");
     auto &directory = arguments.text("documents", "folder of documents to load (*.json)", "");
     auto &vms = arguments.text("vms", "file with the VM list to begin with", "");
-    auto &vmLag = arguments.number("vm-lag-ms", "how long the VM list lags behind", 0);
+    auto &vmListDelay = arguments.number("vm-lag-ms", "how long the VM list lags behind", 0);
     if (const auto status = arguments.parse(argc, argv))
         return *status;
 
     boost::asio::io_context io;
-    Platform platform(io, fromSeconds(vmLag.getValue() / 1000));
+    Platform platform(io, fromSeconds(vmListDelay.getValue() / 1000));
     if (const auto error = platform.load(directory.getValue(), vms.getValue())) {
         std::cerr << *error << '\n';
         return 2;
     }
     HttpServer server(io, [&](const auto &exchange) { platform.handle(exchange); });
-    platform.attach(server);
+    platform.setServer(server);
     return serve(io, server, arguments.endpoint());
 }
