--- a/test/process/ChildProcess.h
+++ b/test/process/ChildProcess.h
@@ -1,4 +1,4 @@
-// A program that a test starts: its output goes to a file, and it is gone when the test is over.
+// A program that a test starts. Its output goes to a file, and the destructor kills it.
 #pragma once
 
 #include "berylridge/Support/Time.h"
@@ -14,20 +14,21 @@
 class ChildProcess
 {
 public:
-    /// Starts a program of the build with these arguments; output goes to the log file.
+    /// Starts a program from the build directory; appends its output to the log file.
     ChildProcess(const std::string &program, std::vector<std::string> arguments,
                  const std::string &logFile);
-    /// Kills it if it still runs.
+    /// Kills the process if it still runs.
     ~ChildProcess();
     ChildProcess(const ChildProcess &) = delete;
     ChildProcess &operator=(const ChildProcess &) = delete;
 
     void sendSignal(int number) const;
-    /// The exit status, or 128 plus the sendSignal's number; empty while it runs.
+    /// Returns the exit status, or 128 plus the number of the signal that terminated the process;
+    /// empty while it runs.
     std::optional<int> status();
-    /// Waits for the end. Empty if it still runs after the timeout.
+    /// Waits for the process to exit. Returns empty if it still runs after the timeout.
     std::optional<int> wait(Duration timeout);
-    /// SIGKILL, and waits for the end.
+    /// Sends SIGKILL and waits for the process to exit.
     void kill();
 
     const std::string &logFile() const { return m_logFile; }
@@ -38,7 +39,7 @@
     std::optional<int> m_status;
 };
 
-/// Asks a condition again and again until it holds. False if it doesn't within the timeout.
+/// Polls a condition until it holds. Returns false if it does not hold within the timeout.
 bool waitUntil(const std::function<bool()> &condition, Duration timeout = std::chrono::seconds(30));
 
 } // namespace berylridge::test
--- a/test/process/FleetFixture.cpp
+++ b/test/process/FleetFixture.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// A berylload that found a broken promise ends with this.
+/// Exit status of berylload if it found a violation.
 constexpr int violationExitStatus = 1;
 
 } // namespace
@@ -14,7 +14,7 @@
 void FleetProcess::startFleet(const FleetOptions &options)
 {
     m_fleet = std::make_unique<TestFleet>(options);
-    ASSERT_TRUE(m_fleet->start()) << "the fleet did not get ready\n" << m_fleet->logs();
+    ASSERT_TRUE(m_fleet->start()) << "the fleet did not become ready\n" << m_fleet->logs();
 }
 
 void FleetProcess::startLoad(double seconds)
@@ -26,7 +26,7 @@
 {
     const auto status = m_load->wait(std::chrono::seconds(120));
     auto report = m_fleet->loadReport();
-    EXPECT_TRUE(status) << "the load did not end";
+    EXPECT_TRUE(status) << "the load generator did not exit";
     EXPECT_NE(status.value_or(0), violationExitStatus) << toText(report);
     EXPECT_EQ(status.value_or(0), 0) << m_fleet->logs();
     EXPECT_EQ(report["violations"].asUInt64(), 0U) << toText(report);
@@ -38,7 +38,7 @@
 void FleetProcess::expectNoOverload()
 {
     EXPECT_EQ(m_fleet->countOverloadCrashes(), 0U)
-        << "an engine got more than it bears while cold\n"
+        << "an engine received more requests than its cold slots\n"
         << m_fleet->logs();
 }
 
--- a/test/process/FleetProcessTest.cpp
+++ b/test/process/FleetProcessTest.cpp
@@ -1,4 +1,5 @@
-// Real daemons under faults, judged by what the stand-ins counted and the callers got.
+// Tests of real daemons under faults. They check the stand-ins' counts and the responses that
+// callers received.
 #include "AnswerText.h"
 #include "FleetFixture.h"
 #include "JsonText.h"
@@ -23,7 +24,7 @@
 constexpr const char *purchasePath = "/v1/services/catalogue/purchases";
 constexpr int markerCrashExitStatus = 71;
 
-/// Long enough for a lease and a suspicion to run out at the daemons' default settings.
+/// Waits until a lease and a suspicion have expired at the daemons' default settings.
 void waitForLeaseExpiry()
 {
     std::this_thread::sleep_for(seconds(4));
@@ -31,9 +32,9 @@
 
 } // namespace
 
-// The expectedBody path without any fault: callers of three workspaces stream, look up and
-// sendPurchase through three routers; every answer must be expectedBody and its own, and every
-// purchase executed once.
+// Without faults, callers of three workspaces send streams, lookups and purchases through the
+// routers. Every response must be complete and belong to its request, and every purchase must be
+// executed once.
 TEST_F(FleetProcess, WholePath)
 {
     FleetOptions options;
@@ -49,10 +50,9 @@
         << toText(report);
 }
 
-// A router dies with requests in its hands and comes back with no memory of them. Callers that got
-// no answer sendPurchase again through another router with the same key: no purchase may run twice,
-// and the leases that the dead router had given must not add up with its successor's on a cold
-// engine.
+// A router is killed with requests in progress and restarts without its state. Callers without a
+// response resend purchases with the same key through another router: no purchase may run twice.
+// The leases of the killed router and those of its successor must not add up on a cold engine.
 TEST_F(FleetProcess, RouterKilledAndRestarted)
 {
     FleetOptions options;
@@ -70,8 +70,8 @@
     EXPECT_TRUE(waitUntil([&] { return m_fleet->isReady(0) && m_fleet->isReady(3); }));
 }
 
-// A router is frozen for longer than a lease, others take its work over, and it wakes with its old
-// view. If it acted on that view, a purchase that was sent again elsewhere would run twice.
+// A router is paused for longer than a lease, other routers take over its work, and it resumes with
+// outdated state. If it acted on that state, a purchase that was resent elsewhere would run twice.
 TEST_F(FleetProcess, RouterFrozenLongerThanALease)
 {
     FleetOptions options;
@@ -87,8 +87,8 @@
     EXPECT_TRUE(waitUntil([&] { return m_fleet->isReady(1); }));
 }
 
-// Zone a is cut off from the other zones while callers resend purchases on both sides of the cut.
-// Both sides go on with lookups and streams; no purchase may run on both.
+// Zone a is partitioned from the other zones while callers resend purchases on both sides. Both
+// sides must continue to serve lookups and streams; no purchase may run on both.
 TEST_F(FleetProcess, ZoneCutOffFromOthers)
 {
     FleetOptions options;
@@ -107,8 +107,8 @@
     EXPECT_GT(m_fleet->relay().droppedDatagrams(), 0U);
 }
 
-// A caller behind a broken network asks both sides of a cut for the same purchase at the same time.
-// If each side took the key for new, the studio would be charged twice; one side may refuse.
+// A caller sends the same purchase to both sides of a network partition at the same time. If each
+// side treated the key as new, the customer would be charged twice; one side may reject it.
 TEST_F(FleetProcess, SameKeyOnBothSidesOfACut)
 {
     FleetOptions options;
@@ -131,25 +131,26 @@
                 outcomes[key].push_back(judge(result, purchaseAnswer("{}"), false));
             });
         }
-        // Some keys come before the nodes have noticed the cut, some after.
+        // Some keys arrive before the nodes have detected the partition, some after.
         io.run_for(milliseconds(100));
     }
     io.run();
     m_fleet->relay().healPartition();
     EXPECT_GT(m_fleet->relay().droppedDatagrams(), 0U);
     int served = 0;
-    for (const auto &[key, of] : outcomes) {
+    for (const auto &[key, keyOutcomes] : outcomes) {
         const auto executions = m_fleet->executionCount(key);
         EXPECT_LE(executions, 1U) << key;
-        const bool isServed = std::find(of.begin(), of.end(), Outcome::Served) != of.end();
+        const bool isServed = std::find(keyOutcomes.begin(), keyOutcomes.end(), Outcome::Served)
+            != keyOutcomes.end();
         EXPECT_TRUE(!isServed || executions == 1) << key;
         served += isServed ? 1 : 0;
     }
-    EXPECT_GT(served, 0) << "no side sold anything\n" << m_fleet->logs();
+    EXPECT_GT(served, 0) << "no purchase was served on either side\n" << m_fleet->logs();
 }
 
-// Three faults at a time: zone a is cut off, a router on the other side dies and restarts without
-// memory, and an engine restarts cold, all under load with purchases that are sent again.
+// Three faults at the same time, under load with purchases that are resent: zone a is partitioned,
+// a router on the other side is killed and restarts without its state, and an engine restarts cold.
 TEST_F(FleetProcess, CutKillAndColdStartTogether)
 {
     FleetOptions options;
@@ -172,8 +173,9 @@
         EXPECT_TRUE(waitUntil([&] { return m_fleet->isReady(i); })) << i;
 }
 
-// The platform stops answering, then shows an old state: callers see nothing of it, and a router
-// that restarts meanwhile must not bring the old state back, which would give work to zone c again.
+// The platform stops responding, then serves an old revision. Callers must not be affected, and a
+// router that restarts meanwhile must not reactivate the old configuration, which would send
+// requests to the evacuated zone c again.
 TEST_F(FleetProcess, PlatformDownThenStale)
 {
     FleetOptions options;
@@ -190,19 +192,20 @@
         started = requestsStartedInZone("c");
         std::this_thread::sleep_for(seconds(1));
         return requestsStartedInZone("c") == started;
-    })) << "zone c still gets work\n"
+    })) << "zone c still receives requests\n"
         << m_fleet->logs();
-    // Revision 4 is the last one before zone c was taken out.
+    // Revision 4 is the last one before the evacuation of zone c.
     m_fleet->controlPlatform(R"({"mode":"stale","revision":4})");
     m_fleet->routerProcess(0).kill();
     m_fleet->startRouter(0);
     EXPECT_TRUE(waitUntil([&] { return m_fleet->isReady(0); })) << m_fleet->logs();
     waitForLoadReport();
-    EXPECT_EQ(requestsStartedInZone("c"), started) << "the old configuration came back";
+    EXPECT_EQ(requestsStartedInZone("c"), started) << "the old configuration became active again";
 }
 
-// Operators take zone b out of service under load and bring it back: a few seconds after the
-// document nothing new starts there, what runs is left to end, and after its return it gets work.
+// Operators evacuate zone b under load and return it to service. A few seconds after the document
+// is published no new request may start there, running requests must complete, and after its return
+// the zone must receive requests again.
 TEST_F(FleetProcess, ZoneOutAndBack)
 {
     FleetOptions options;
@@ -213,7 +216,7 @@
     std::this_thread::sleep_for(seconds(3));
     const auto started = requestsStartedInZone("b");
     std::this_thread::sleep_for(seconds(3));
-    EXPECT_EQ(requestsStartedInZone("b"), started) << "work began in a zone that was taken out";
+    EXPECT_EQ(requestsStartedInZone("b"), started) << "requests started in an evacuated zone";
     m_fleet->publishEvacuatedZones({});
     EXPECT_TRUE(waitForNewRequestsInZone("b")) << m_fleet->logs();
     const auto report = waitForLoadReport();
@@ -222,8 +225,8 @@
     expectNoOverload();
 }
 
-// A router is told to stop while streams run through it. Their callers must get them expectedBody,
-// and the process must end by itself with status 0.
+// A router receives SIGTERM while streams run through it. Their callers must receive them
+// completely, and the process must exit by itself with status 0.
 TEST_F(FleetProcess, GracefulStopCutsNothing)
 {
     FleetOptions options;
@@ -243,7 +246,7 @@
                         outcomes.push_back(judge(result, expectedBody, false));
                     });
     }
-    // All of them must run before the stop; the engines are warm after one answer each.
+    // All streams must run before the stop; each engine is warm after one response.
     std::thread ioThread([&] { io.run(); });
     std::uint64_t started = 0;
     EXPECT_TRUE(waitUntil([&] {
@@ -257,8 +260,8 @@
     EXPECT_EQ(m_fleet->routerProcess(0).wait(seconds(30)), 0) << m_fleet->logs();
 }
 
-// An engine dies under load and comes back cold. Routers that took it for warm would send it all
-// that it bore before, and it would fall over at once, again and again.
+// An engine is killed under load and restarts cold. Routers that still considered it warm would
+// send it as many requests as before, and it would crash from overload after every restart.
 TEST_F(FleetProcess, EngineRestartsCold)
 {
     FleetOptions options;
@@ -276,9 +279,9 @@
     expectNoOverload();
 }
 
-// A plain service executes a purchase and dies to the caller before it answers. The router must
-// say that it may have run, and whoever resends the key, through whichever router, must not make
-// it run again.
+// A plain service executes a purchase and resets the connection before it responds. The router must
+// report that the purchase may have run, and resending the key through any router must not run it
+// again.
 TEST_F(FleetProcess, ExecutedPurchaseIsNotRepeated)
 {
     FleetOptions options;
@@ -296,14 +299,15 @@
     const auto first = sendPurchase(0);
     EXPECT_EQ(judge(first, purchaseAnswer("{}"), false), Outcome::MayHaveRun) << first.body;
     for (std::size_t i = 0; i < m_fleet->routerCount(); ++i) {
-        const auto again = sendPurchase(i);
-        EXPECT_NE(judge(again, purchaseAnswer("{}"), false), Outcome::NotRun) << again.body;
+        const auto repeated = sendPurchase(i);
+        EXPECT_NE(judge(repeated, purchaseAnswer("{}"), false), Outcome::NotRun) << repeated.body;
     }
     EXPECT_EQ(m_fleet->executionCount(key), 1U);
 }
 
-// One body crashes every engine that runs it, and its caller sends it again and again through all
-// routers. After two engines the fleet must refuse it instead of losing the rest.
+// One request body crashes every engine that runs it, and its caller resends it through all
+// routers. After two crashed engines the fleet must reject the body instead of losing the other
+// engines.
 TEST_F(FleetProcess, QueryOfDeathStopsAtTwoEngines)
 {
     FleetOptions options;
@@ -317,7 +321,7 @@
             spec.body = R"({"tokens":4,"prompt":"poison"})";
             spec.timeout = seconds(20);
             EXPECT_NE(fetch(spec).status, 200U);
-            // News of a crash need a moment to reach the other routers.
+            // The report of a crash takes some time to reach the other routers.
             std::this_thread::sleep_for(seconds(1));
         }
     }
@@ -328,8 +332,9 @@
     EXPECT_GE(crashed, 1);
 }
 
-// An engine answers with another attempt's id, with more than it announced, or cuts a stream: the
-// caller must get its own expectedBody answer from elsewhere, or see that it has none.
+// An engine responds with another attempt's id, sends more bytes than announced, truncates a stream
+// or responds late. The caller must receive its own complete response from another engine, or be
+// able to tell that it has none.
 TEST_F(FleetProcess, WrongAnswersNeverReachACallerAsWhole)
 {
     FleetOptions options;
--- a/test/process/LinkRelay.cpp
+++ b/test/process/LinkRelay.cpp
@@ -28,7 +28,8 @@
 
 using IsPartitioned = std::function<bool()>;
 
-/// Copies one direction of a connection until either side ends; while the link is cut, it swallows.
+/// Forwards one direction of a connection until either side closes it. Drops the data while the
+/// link is partitioned.
 class StreamForwarder : public std::enable_shared_from_this<StreamForwarder>
 {
 public:
--- a/test/process/StandInsTest.cpp
+++ b/test/process/StandInsTest.cpp
@@ -1,4 +1,5 @@
-// The stand-ins themselves: if they judged wrongly, every process test would prove nothing.
+// Tests of the stand-ins. The process tests rely on their counts and on the faults that they
+// inject.
 #include "AnswerText.h"
 #include "ChildProcess.h"
 #include "HttpCall.h"
@@ -16,7 +17,7 @@
 
 namespace {
 
-/// A stand-in on a free port.
+/// A stand-in process that listens on a free port.
 class StandIn
 {
 public:
@@ -143,8 +144,9 @@
     EXPECT_EQ(engine.json("/load")["running"].asUInt(), 0U);
 }
 
-// The service runs the purchase and its answer is lost on the way: the caller can't tell, but the
-// count must show the execution, or a doubled purchase would go unseen.
+// The service executes the purchase and its response is lost. The caller cannot tell whether it
+// ran, but the count must include the execution; otherwise a duplicate purchase would stay
+// undetected.
 TEST(StandIns, PurchaseIsCountedWhenItsResponseIsLost)
 {
     const StandIn service("standin-service", {});
@@ -168,7 +170,7 @@
     const auto revision = first["revision"].asUInt64();
     EXPECT_EQ(first["documents"][0]["version"].asUInt(), 1U);
 
-    // A caller waits for what comes next, and gets it as soon as it is putDocument.
+    // A caller watches for the next revision and receives it as soon as it is stored.
     boost::asio::io_context io;
     HttpCaller caller(io);
     CallResult watched;
--- a/test/process/TestFleet.cpp
+++ b/test/process/TestFleet.cpp
@@ -22,7 +22,7 @@
 constexpr std::uint16_t platformPort = 8500;
 constexpr unsigned reservationGroup = 250;
 constexpr unsigned platformGroup = 200;
-constexpr unsigned relayGroup = 150; ///< Plus the zone's number.
+constexpr unsigned relayGroup = 150; ///< The zone's number is added.
 constexpr unsigned serviceGroup = 100;
 constexpr unsigned engineGroup = 50;
 constexpr unsigned firstBlock = 20;
@@ -96,13 +96,13 @@
     m_serviceProcesses.clear();
     m_platformProcess.reset();
     if (testing::Test::HasFailure())
-        std::cerr << "logs are kept in " << m_directory << '\n';
+        std::cerr << "the logs are in " << m_directory << '\n';
     else
         std::filesystem::remove_all(m_directory);
 }
 
-/// Other runs of these tests may use the machine at the same time: a port that is listened at for
-/// the fleet's fullText life claims the block of addresses.
+/// Reserves a block of addresses, because other runs of these tests may use the machine at the same
+/// time: a socket that stays bound for the fleet's lifetime marks the block as in use.
 void TestFleet::reserveAddresses()
 {
     for (unsigned i = 0; i < blockCount && !m_reservationSocket; ++i) {
@@ -178,8 +178,8 @@
     });
 }
 
-/// Nodes that have just started can't vouch for keys made before their start, whoever made them, so
-/// a new fleet refuses purchases for a moment.
+/// Returns true if a router accepts purchases. Nodes that have just started cannot prove that a key
+/// created before their start is unused, so a new fleet rejects purchases for a short time.
 bool TestFleet::acceptsPurchases(std::size_t router) const
 {
     static RandomEngine random(1);
@@ -241,7 +241,7 @@
 
 bool TestFleet::hasOverloadCrash(std::size_t engine) const
 {
-    constexpr int overloadCrashExitStatus = 70; // standin-engine's exit status
+    constexpr int overloadCrashExitStatus = 70; // Exit status of standin-engine.
     return m_engineProcesses[engine]
         && m_engineProcesses[engine]->status() == overloadCrashExitStatus;
 }
@@ -312,7 +312,7 @@
     document["warmAfter"] = m_options.warmAfter;
     document["idleTimeoutMs"] = 5000;
     if (isEngine) {
-        // A prompt may be run again: nothing but its response comes of it.
+        // A prompt may be executed again, because it has no effect besides its response.
         Json::Value route;
         route["method"] = "POST";
         route["pathPrefix"] = "/generate";
@@ -342,7 +342,7 @@
     document["version"] = static_cast<Json::UInt64>(++m_documentVersion);
     document["text"] = toText(body);
     const auto response = send(m_platform, "PUT", "/v1/documents", toText(document));
-    EXPECT_EQ(response.status, 200U) << "the platform did not take " << name;
+    EXPECT_EQ(response.status, 200U) << "the platform did not accept " << name;
 }
 
 void TestFleet::publishEvacuatedZones(const std::vector<std::string> &zones)
@@ -438,18 +438,19 @@
 std::string TestFleet::logs() const
 {
     constexpr std::size_t maxBytesPerLog = 3000;
-    std::ostringstream all;
+    std::ostringstream output;
     for (const auto &entry : std::filesystem::directory_iterator(m_directory)) {
         if (entry.path().extension() != ".log")
             continue;
         std::ostringstream text;
         text << std::ifstream(entry.path()).rdbuf();
         const std::string fullText = text.str();
-        all << "--- " << entry.path().filename() << '\n'
-            << (fullText.size() > maxBytesPerLog ? fullText.substr(fullText.size() - maxBytesPerLog)
-                                                 : fullText);
+        output << "--- " << entry.path().filename() << '\n'
+               << (fullText.size() > maxBytesPerLog
+                       ? fullText.substr(fullText.size() - maxBytesPerLog)
+                       : fullText);
     }
-    return all.str();
+    return output.str();
 }
 
 } // namespace berylridge::test
--- a/test/process/TestFleet.h
+++ b/test/process/TestFleet.h
@@ -1,5 +1,5 @@
-// A small fleet of real daemons with its stand-ins, started by a test on loopback addresses of its
-// own and gone when the test is over.
+// A small fleet of real daemons and stand-ins that a test starts on its own block of loopback
+// addresses. The destructor terminates all of its processes.
 #pragma once
 
 #include "ChildProcess.h"
@@ -29,10 +29,10 @@
     std::uint32_t coldSlots = 1;
     std::uint32_t warmAfter = 4;
     double tokensPerSecond = 100;
-    bool hasRelay = false; ///< Links between nodes can be cut.
+    bool hasRelay = false; ///< Nodes communicate through a LinkRelay, which can partition zones.
 };
 
-/// One router and where it is.
+/// The node name, zone and endpoints of a router.
 struct RouterLocation
 {
     std::string node;
@@ -40,7 +40,7 @@
     Endpoint callers;
     Endpoint peers;
     Endpoint admin;
-    Endpoint advertised; ///< Where other nodes reach it: its peers endpoint, or the relay's.
+    Endpoint advertised; ///< Where other nodes reach it: its peers endpoint or the relay's.
 };
 
 struct TargetLocation
@@ -58,7 +58,8 @@
     TestFleet(const TestFleet &) = delete;
     TestFleet &operator=(const TestFleet &) = delete;
 
-    /// Starts everything. False where a router isn't ready, or refuses purchases, beyond the limit.
+    /// Starts all processes. Returns false if a router is not ready, or still rejects purchases,
+    /// when the timeout expires.
     bool start();
 
     std::size_t routerCount() const { return m_routers.size(); }
@@ -69,32 +70,34 @@
     ChildProcess &engineProcess(std::size_t index) { return *m_engineProcesses[index]; }
     LinkRelay &relay() { return *m_relay; }
 
-    /// Engines that crashed because they got more than they bear while cold, restarted ones too.
+    /// Counts the crashes of engines that received more requests than their cold slots, including
+    /// engines that were restarted.
     std::uint32_t countOverloadCrashes() const;
 
     void startRouter(std::size_t index);
     void startEngine(std::size_t index);
     bool isReady(std::size_t index) const;
 
-    /// Puts the next version of the fleet document into force at the platform.
+    /// Publishes the next version of the fleet document, with these zones evacuated.
     void publishEvacuatedZones(const std::vector<std::string> &zones);
     void controlPlatform(const std::string &command);
-    /// A stand-in's counts.
+    /// Returns the counters of a stand-in.
     Json::Value engineStats(std::size_t index) const;
     Json::Value serviceStats(std::size_t index) const;
     void controlTarget(const Endpoint &target, const std::string &command) const;
-    /// Over all plain services.
+    /// Returns how often the purchase with this key was executed, over all plain services.
     std::uint64_t executionCount(const std::string &key) const;
 
-    /// A call to a router in the name of a workspace.
+    /// Returns a call to a router with the credentials of a workspace.
     CallSpec callSpec(std::size_t router, std::uint32_t workspace, const std::string &method,
                       const std::string &target) const;
-    /// A profile for berylload over all routers, to be changed and passed to startLoad().
+    /// Returns a berylload profile that covers all routers; a test may change it and pass it to
+    /// startLoad().
     Json::Value profile(double seconds) const;
-    /// Starts berylload; its report is read by loadReport() when it has ended.
+    /// Starts berylload. After it has exited, loadReport() returns its report.
     std::unique_ptr<ChildProcess> startLoad(const Json::Value &profile);
     Json::Value loadReport() const;
-    /// What the logs of all processes hold, for a failed test.
+    /// Returns the ends of all processes' logs, for the message of a failed test.
     std::string logs() const;
 
 private:
@@ -117,7 +120,7 @@
 
     FleetOptions m_options;
     std::filesystem::path m_directory;
-    unsigned m_block = 0; ///< Second number of all addresses: 127.BLOCK.x.y.
+    unsigned m_block = 0; ///< Second octet of all addresses: 127.block.group.number.
     boost::asio::io_context m_io;
     std::unique_ptr<boost::asio::ip::tcp::acceptor> m_reservationSocket;
     Endpoint m_platform;
@@ -125,7 +128,7 @@
     std::vector<TargetLocation> m_engines;
     std::vector<TargetLocation> m_services;
     std::uint64_t m_documentVersion = 0;
-    std::uint32_t m_restartedOverloads = 0; ///< Of engines that were started again.
+    std::uint32_t m_restartedOverloads = 0; ///< Overload crashes of engines that were restarted.
     std::unique_ptr<LinkRelay> m_relay;
     std::unique_ptr<ChildProcess> m_platformProcess;
     std::vector<std::unique_ptr<ChildProcess>> m_engineProcesses;
--- a/test/standins/Arguments.h
+++ b/test/standins/Arguments.h
@@ -1,4 +1,5 @@
-// The command line of a stand-in: where it listens, and its own options, by TCLAP.
+// Parses a stand-in's command line with TCLAP: the endpoint to listen on and the program's own
+// options.
 #pragma once
 
 #include "berylridge/Support/Endpoint.h"
@@ -15,26 +16,27 @@
 public:
     explicit Arguments(const std::string &purpose)
         : m_commandLine(purpose, ' ', BERYLRIDGE_VERSION)
-        , m_address("", "address", "IP number to listen at", false, "127.0.0.1", "address",
+        , m_address("", "address", "IP address to listen on", false, "127.0.0.1", "address",
                     m_commandLine)
-        , m_port("", "port", "port to listen at; 0 takes a free one", false, 0, "port",
+        , m_port("", "port", "port to listen on; 0 selects a free port", false, 0, "port",
                  m_commandLine)
     {
         m_commandLine.setExceptionHandling(false);
     }
 
-    /// Declares an option; its value is there once parse() has returned.
-    TCLAP::ValueArg<double> &number(const std::string &name, const std::string &text, double value)
+    /// Declares an option. Its value is available after parse() has returned.
+    TCLAP::ValueArg<double> &addNumber(const std::string &name, const std::string &description,
+                                       double value)
     {
-        return m_numbers.emplace_back("", name, text, false, value, "number", m_commandLine);
+        return m_numbers.emplace_back("", name, description, false, value, "number", m_commandLine);
     }
-    TCLAP::ValueArg<std::string> &text(const std::string &name, const std::string &text,
-                                       const std::string &value)
+    TCLAP::ValueArg<std::string> &addText(const std::string &name, const std::string &description,
+                                          const std::string &value)
     {
-        return m_texts.emplace_back("", name, text, false, value, "text", m_commandLine);
+        return m_texts.emplace_back("", name, description, false, value, "text", m_commandLine);
     }
 
-    /// The exit status where the program should end at once.
+    /// Returns an exit status if the program must exit at once: after --help, or on an error.
     std::optional<int> parse(int argc, char **argv)
     {
         try {
--- a/test/standins/Connection.cpp
+++ b/test/standins/Connection.cpp
@@ -60,7 +60,7 @@
     error_code error;
     m_socket.receive(asio::buffer(&byte, 1), asio::socket_base::message_peek, error);
     if (!error || error == asio::error::would_block)
-        return; // The next request, sent early: it is read in its turn.
+        return; // The bytes belong to a pipelined request, which is read after this response.
     disconnect();
 }
 
--- a/test/standins/Connection.h
+++ b/test/standins/Connection.h
@@ -1,4 +1,5 @@
-// One connection of a caller to a stand-in: reads a request, has it finishResponse, reads the next.
+// Handles one connection of a caller to a stand-in: reads a request, passes it to the handler, and
+// reads the next request after the response has been written.
 #pragma once
 
 #include "HttpServer.h"
@@ -22,10 +23,11 @@
 
     void readRequest();
     void write(std::string bytes);
-    /// The answer is over: reads the next request once all of it is written.
+    /// Marks the response as finished; reads the next request once all queued bytes are written.
     void finishResponse(bool isKeepAlive);
     void reset();
-    /// Resets, and tells the handler of an unfinished answer that its caller is gone.
+    /// Resets the connection, and notifies the handler of an unfinished response that its caller
+    /// disconnected.
     void disconnect();
 
 private:
@@ -36,7 +38,7 @@
 
     HttpServer &m_server;
     std::shared_ptr<std::unordered_set<Connection *>>
-        m_openConnections; ///< May outlive the server.
+        m_openConnections; ///< Shared: a connection may outlive the server.
     boost::asio::ip::tcp::socket m_socket;
     boost::beast::flat_buffer m_buffer;
     std::optional<boost::beast::http::request_parser<boost::beast::http::string_body>> m_parser;
--- a/test/standins/Engine.cpp
+++ b/test/standins/Engine.cpp
@@ -38,7 +38,7 @@
 
 } // namespace
 
-/// One respond on its way.
+/// Streams one response.
 class Engine::Stream : public std::enable_shared_from_this<Stream>
 {
 public:
@@ -81,7 +81,7 @@
         setTargetHeaders(*m_exchange, m_engine.m_meter.bootId(), m_fault);
         if (m_fault == Fault::ServerError) {
             end(true);
-            return m_exchange->respond(500, "text/plain", "ordered to fail\n");
+            return m_exchange->respond(500, "text/plain", "injected server error\n");
         }
         if (m_fault == Fault::ExcessBytes) {
             const auto &body = m_exchange->request().body();
@@ -162,7 +162,7 @@
     if (path == "/control")
         return m_faults.handleControlRequest(exchange);
     if (exchange->request().method() != boost::beast::http::verb::post)
-        return exchange->respond(405, "text/plain", "only POST generates\n");
+        return exchange->respond(405, "text/plain", "only POST is allowed\n");
     generate(exchange);
 }
 
@@ -186,13 +186,13 @@
     const bool isConfigured = !m_options.crashMarker.empty();
     if (m_faults.hasCrashMarker(body)
         || (isConfigured && body.find(m_options.crashMarker) != std::string::npos))
-        crash(markerCrashExitStatus, "a body that no engine survives");
+        crash(markerCrashExitStatus, "the request body contains the crash marker");
     if (m_meter.isCold() && m_meter.isFull()) {
         m_meter.countOverload();
         if (!m_options.isRejectingOverload)
-            crash(overloadCrashExitStatus, "more work than a cold engine bears");
+            crash(overloadCrashExitStatus, "more concurrent requests than cold slots");
         setTargetHeaders(*exchange, m_meter.bootId(), Fault::None);
-        return exchange->respond(503, "text/plain", "cold and full\n");
+        return exchange->respond(503, "text/plain", "overloaded: all cold slots are in use\n");
     }
     const auto fault = m_faults.nextFault(*exchange);
     if (fault == Fault::ResetBeforeExecution)
--- a/test/standins/Engine.h
+++ b/test/standins/Engine.h
@@ -1,5 +1,5 @@
-// A model engine's stand-in: streams an answer that follows from the body, bears little while cold,
-// and goes wrong on order.
+// A stand-in for a model engine: streams a response that is a function of the request body, has few
+// slots while cold, and injects faults on request.
 #pragma once
 
 #include "FaultInjector.h"
@@ -18,14 +18,14 @@
     std::uint32_t slots = 8;
     std::uint32_t coldSlots = 1;
     std::uint64_t warmAfter = 8;
-    double tokensPerSecond = 50; ///< Of each stream.
+    double tokensPerSecond = 50; ///< Rate of each stream.
     Duration prefillTime = std::chrono::milliseconds(20);
-    Duration maxReportAge {0};        ///< How old a load report may be.
-    bool isRejectingOverload = false; ///< Answers 503 when overloaded, instead of crashing.
-    std::string crashMarker;          ///< A body that contains it crashes the engine.
+    Duration maxReportAge {0};        ///< A load report is reused until it has this age.
+    bool isRejectingOverload = false; ///< Returns 503 when overloaded, instead of crashing.
+    std::string crashMarker;          ///< A request body that contains it crashes the engine.
 };
 
-/// Exit statuses of a crash, so that tests can tell one from another.
+/// Exit statuses that let tests distinguish the causes of a crash.
 inline constexpr int overloadCrashExitStatus = 70;
 inline constexpr int markerCrashExitStatus = 71;
 
@@ -45,7 +45,7 @@
     EngineOptions m_options;
     LoadMeter m_meter;
     FaultInjector m_faults;
-    Json::Value m_loadReport; ///< The last load report, kept for the lag.
+    Json::Value m_loadReport; ///< Last load report, reused until maxReportAge.
     TimePoint m_reportedAt {};
 };
 
--- a/test/standins/FaultInjector.h
+++ b/test/standins/FaultInjector.h
@@ -1,4 +1,4 @@
-// What tests order a target stand-in to do wrongly with the nextFault requests (POST /control).
+// Injects faults into the responses of a target stand-in. Tests select the fault by POST /control.
 #pragma once
 
 #include "HttpServer.h"
@@ -10,28 +10,29 @@
 
 namespace berylridge::standin {
 
-/// How the nextFault answers go wrong.
+/// Fault to inject into a response.
 enum class Fault : std::uint8_t {
     None,
-    Hang,                 ///< Never answers, but keeps the connection.
-    ResetBeforeExecution, ///< Resets the connection before anything is done.
-    ResetDuringResponse,  ///< Does the work and resets before or in the middle of the answer.
-    DelayedResponse,      ///< Answers only after lateMs.
-    WrongAttemptId,       ///< Answers with another attempt's id.
-    ExcessBytes,          ///< Sends more bytes than announced.
-    ServerError           ///< Does the work and answers 500.
+    Hang,                 ///< Sends no response and keeps the connection open.
+    ResetBeforeExecution, ///< Resets the connection without executing the request.
+    ResetDuringResponse,  ///< Executes the request, then resets before or during the response.
+    DelayedResponse,      ///< Delays the response by lateMs.
+    WrongAttemptId,       ///< Responds with another attempt's id.
+    ExcessBytes,          ///< Sends more bytes than Content-Length announces.
+    ServerError           ///< Executes the request and responds with 500.
 };
 
-/// The orders in force: {"order": "hang", "count": 2, "lateMs": 500, "marker": "..."}.
+/// Holds the active faults, as set by
+/// {"order": "hang", "count": 2, "lateMs": 500, "marker": "..."}.
 class FaultInjector
 {
 public:
-    /// Takes an order in; answers the exchange. "order": "none" ends all orders.
+    /// Applies a control request and responds to it. "order": "none" disables fault injection.
     void handleControlRequest(const std::shared_ptr<Exchange> &exchange);
-    /// How the answer to this request is to go wrong; counts an order down. The request's own
-    /// X-Standin-Order goes before the orders in force.
+    /// Returns the fault to inject into the response to this request, and decrements the remaining
+    /// count. The request's own X-Standin-Order header takes precedence over the active fault.
     Fault nextFault(const Exchange &exchange);
-    /// Whether the body carries the marker that crashes the target.
+    /// Returns true if the body contains the marker that crashes the target.
     bool hasCrashMarker(std::string_view body) const;
 
     Duration responseDelay() const { return m_responseDelay; }
@@ -43,7 +44,7 @@
     std::string m_marker;
 };
 
-/// Puts the headers that every target's answer carries: the attempt's id and the boot id.
+/// Sets the headers of every target's response: the attempt id and the boot id.
 void setTargetHeaders(Exchange &exchange, const std::string &bootId, Fault fault);
 
 } // namespace berylridge::standin
--- a/test/standins/HttpServer.cpp
+++ b/test/standins/HttpServer.cpp
@@ -47,16 +47,16 @@
 {
     const std::string target(m_request.target());
     const std::string parameterPrefix = std::string(name) + "=";
-    std::size_t at = target.find('?');
-    while (at != std::string::npos) {
-        ++at;
-        if (target.compare(at, parameterPrefix.size(), parameterPrefix) == 0) {
+    std::size_t position = target.find('?');
+    while (position != std::string::npos) {
+        ++position;
+        if (target.compare(position, parameterPrefix.size(), parameterPrefix) == 0) {
             std::uint64_t number = defaultValue;
-            std::from_chars(target.data() + at + parameterPrefix.size(),
+            std::from_chars(target.data() + position + parameterPrefix.size(),
                             target.data() + target.size(), number);
             return number;
         }
-        at = target.find('&', at);
+        position = target.find('&', position);
     }
     return defaultValue;
 }
@@ -115,7 +115,7 @@
         return;
     m_connection->write(
         formatHead(status, contentType, "Content-Length: " + std::to_string(body.size())) + body
-        + "bytes that no head announced");
+        + "bytes beyond the content length");
     finish();
 }
 
@@ -160,7 +160,7 @@
     error_code error;
     const auto address = asio::ip::make_address(endpoint.address, error);
     if (error)
-        return Reason {endpoint.address + ": not an IP number"};
+        return Reason {endpoint.address + ": not an IP address"};
     const asio::ip::tcp::endpoint local(address, endpoint.port);
     m_acceptor.open(local.protocol(), error);
     m_acceptor.set_option(asio::socket_base::reuse_address(true), error);
--- a/test/standins/HttpServer.h
+++ b/test/standins/HttpServer.h
@@ -1,5 +1,5 @@
-// The HTTP plumbing that the stand-ins share: one thread, many connections, answers sent whole or
-// piece by piece, and ways to respond wrongly on order.
+// HTTP server that the stand-ins share: it serves many connections on one thread, sends responses
+// at once or in chunks, and can send faulty responses.
 #pragma once
 
 #include "berylridge/Support/Endpoint.h"
@@ -22,36 +22,36 @@
 
 class Connection;
 
-/// One request and its respond. Calls on an respond that is over, or whose caller is
-/// onCallerDisconnected, do nothing.
+/// One request and its response. Calls have no effect once the response is finished or the caller
+/// has disconnected.
 class Exchange
 {
 public:
     Exchange(std::shared_ptr<Connection> connection, Request request);
 
     const Request &request() const { return m_request; }
-    /// A header of the request, or an empty text.
+    /// Returns a request header, or an empty string if it is missing.
     std::string header(std::string_view name) const;
-    /// The path without its query.
+    /// Returns the path without its query.
     std::string path() const;
-    /// A number from the query, as in "?wait=20".
+    /// Returns a number from the query, as in "?wait=20".
     std::uint64_t queryNumber(std::string_view name, std::uint64_t defaultValue) const;
 
-    /// Goes into the formatHead of the respond that follows.
+    /// Adds a header to the response that is sent next.
     void setHeader(std::string_view name, std::string_view value);
-    /// Answers whole.
+    /// Sends a complete response.
     void respond(unsigned status, std::string_view contentType, const std::string &body);
-    /// Begins an respond in chunks.
+    /// Begins a response with chunked transfer encoding.
     void beginChunkedResponse(unsigned status, std::string_view contentType);
     void sendChunk(std::string_view data);
     void endChunkedResponse();
-    /// Answers with more bytes than the formatHead announces.
+    /// Sends more body bytes than Content-Length announces.
     void respondWithExcessBytes(unsigned status, std::string_view contentType,
                                 const std::string &body);
-    /// Resets the connection.
     void resetConnection();
 
-    /// Called once if the caller goes before the respond is over.
+    /// Sets a function that is called once if the caller disconnects before the response is
+    /// finished.
     void setDisconnectHandler(std::function<void()> callback)
     {
         m_disconnectHandler = std::move(callback);
@@ -74,15 +74,15 @@
 
 using RequestHandler = std::function<void(const std::shared_ptr<Exchange> &)>;
 
-/// Listens and hands each request to the handler.
+/// Accepts connections and passes each request to the handler.
 class HttpServer
 {
 public:
     HttpServer(boost::asio::io_context &io, RequestHandler handler);
 
-    /// Starts to listen.
+    /// Starts to listen. Returns the bound endpoint, which has the actual port.
     Expected<Endpoint> listen(const Endpoint &endpoint);
-    /// Resets every open connection.
+    /// Resets every open connection and notifies the handlers of unfinished responses.
     void resetAll();
 
 private:
@@ -95,7 +95,7 @@
         = std::make_shared<std::unordered_set<Connection *>>();
 };
 
-/// Calls a function after a while, unless the context ends before.
+/// Calls a function after a delay, unless the context stops first.
 void runAfter(boost::asio::io_context &io, Duration delay, std::function<void()> function);
 
 /// Runs the server until SIGTERM or SIGINT. Returns the process's exit status.
--- a/test/standins/LoadMeter.h
+++ b/test/standins/LoadMeter.h
@@ -1,4 +1,5 @@
-// Counts what a target stand-in runs: the judge of limits, utilisation and shares in tests.
+// Counts the requests that a target stand-in runs. Tests check limits, utilisation and shares
+// against these counts.
 #pragma once
 
 #include "berylridge/Support/Time.h"
@@ -10,29 +11,29 @@
 
 namespace berylridge::standin {
 
-/// One request that runs at the target.
+/// One request that the target executes.
 struct RunningRequest
 {
     std::string workspace;
     TimePoint startedAt;
 };
 
-/// Of one workspace at one target.
+/// Load of one workspace at one target.
 struct WorkspaceLoad
 {
     std::uint64_t started = 0;
     std::uint32_t running = 0;
-    double busySeconds = 0; ///< Of what ended; toJson() adds what runs.
+    double busySeconds = 0; ///< Of ended requests; toJson() adds the running ones.
 };
 
 class LoadMeter
 {
 public:
-    /// A target counts as cold until it has completed warmAfter answers.
+    /// The target counts as cold until it has completed warmAfter responses.
     LoadMeter(std::uint32_t slots, std::uint32_t coldSlots, std::uint64_t warmAfter);
 
     bool isCold() const { return m_completed < m_warmAfter; }
-    /// Whether one more request would be more than it can bear now.
+    /// Returns true if all slots that the target has in its present state are in use.
     bool isFull() const { return m_running >= (isCold() ? m_coldSlots : m_slots); }
 
     RunningRequest begin(const std::string &workspace);
@@ -41,9 +42,9 @@
     void countCancel() { ++m_cancels; }
 
     const std::string &bootId() const { return m_bootId; }
-    /// As in GET /load.
+    /// Returns the body of GET /load.
     Json::Value load() const;
-    /// As in GET /stats.
+    /// Returns the body of GET /stats.
     Json::Value toJson() const;
 
 private:
@@ -60,7 +61,7 @@
     std::uint64_t m_completed = 0;
     std::uint64_t m_overloads = 0;
     std::uint64_t m_cancels = 0;
-    std::uint64_t m_overSlots = 0; ///< Started while warm and full.
+    std::uint64_t m_overSlots = 0; ///< Requests that started while it was warm and full.
     double m_busySeconds = 0;
 };
 
--- a/test/standins/Platform.cpp
+++ b/test/standins/Platform.cpp
@@ -12,7 +12,8 @@
 
 using boost::beast::http::verb;
 
-/// FaultInjector that arrive while the service is down must still be heard.
+/// Returns true for requests by which tests control the stand-in; they are handled even while it
+/// simulates an outage.
 bool isTestControlRequest(const Exchange &exchange)
 {
     const auto path = exchange.path();
@@ -65,7 +66,7 @@
                                                  Json::Value &documents) const
 {
     if (!file.isObject() || !file["name"].isString() || !file["version"].isUInt64())
-        return "a document has a name, a version and a text or body";
+        return "a document needs a name, a version, and a text or a body";
     Json::Value document;
     document["name"] = file["name"];
     document["version"] = file["version"];
@@ -95,7 +96,7 @@
         return handleControlRequest(exchange);
     if (path == "/stats")
         return exchange->respond(200, "application/json", stats());
-    exchange->respond(404, "text/plain", "no such thing\n");
+    exchange->respond(404, "text/plain", "unknown path\n");
 }
 
 void Platform::putDocument(const std::shared_ptr<Exchange> &exchange)
@@ -118,8 +119,8 @@
     exchange->respond(200, "application/json", "{}");
 }
 
-/// {"mode": "normal" | "stale" | "down", "revision": R}: stale shows the documents of revision R,
-/// or the last ones where R is 0 or missing.
+/// Handles {"mode": "normal" | "stale" | "down", "revision": R}. In stale mode, it serves the
+/// documents of revision R, or the latest ones if R is 0 or missing.
 void Platform::handleControlRequest(const std::shared_ptr<Exchange> &exchange)
 {
     const auto command = parseJson(exchange->request().body());
@@ -138,7 +139,7 @@
         m_vms.serveStaleRevision(0);
     }
     exchange->respond(200, "application/json", "{}");
-    // Watches that wait are lost too; the command's own respond goes out first.
+    // Pending watches are reset too. The delay lets the response to this command be sent first.
     if (m_isDown)
         runAfter(m_io, std::chrono::milliseconds(20), [this] { m_server->resetAll(); });
 }
--- a/test/standins/Platform.h
+++ b/test/standins/Platform.h
@@ -1,4 +1,5 @@
-// The platform's stand-in: documents and the VM list, read and watched by nodes, put by tests.
+// A stand-in for the platform: serves documents and the VM list, which nodes read and watch and
+// tests update.
 #pragma once
 
 #include "HttpServer.h"
@@ -16,8 +17,8 @@
 public:
     Platform(boost::asio::io_context &io, Duration vmListDelay);
 
-    /// Loads documents (*.json) of a folder and a VM list from a file; an empty name means none.
-    /// Returns what is wrong with them.
+    /// Loads the documents (*.json) of a directory and a VM list from a file; an empty name means
+    /// none. Returns an error message if one of them is invalid.
     std::optional<std::string> load(const std::string &directory, const std::string &vmFile);
     void setServer(HttpServer &server) { m_server = &server; }
 
@@ -35,7 +36,7 @@
     Duration m_vmListDelay;
     WatchableValue m_documents;
     WatchableValue m_vms;
-    std::map<std::string, std::uint64_t> m_calls; ///< By kind.
+    std::map<std::string, std::uint64_t> m_calls; ///< By method and path.
     bool m_isDown = false;
 };
 
--- a/test/standins/Service.cpp
+++ b/test/standins/Service.cpp
@@ -37,7 +37,7 @@
         return execute(exchange, m_options.lookupTime,
                        lookupAnswer(std::string(exchange->request().target())));
     if (path != "/purchases")
-        return exchange->respond(404, "text/plain", "no such thing\n");
+        return exchange->respond(404, "text/plain", "unknown path\n");
     execute(exchange, m_options.purchaseTime, purchaseAnswer(exchange->request().body()));
 }
 
@@ -53,7 +53,7 @@
         return exchange->setDisconnectHandler([exchange] {});
     const auto runningRequest = m_meter.begin(exchange->header("X-Workspace"));
     const auto delay = fault == Fault::DelayedResponse ? m_faults.responseDelay() : duration;
-    // Work goes on when its caller leaves: a purchase that began is executed.
+    // Execution continues when the caller disconnects: a purchase that has begun is completed.
     runAfter(m_io, delay, [this, exchange, runningRequest, fault, body = std::move(body)] {
         m_meter.end(runningRequest, true);
         finish(exchange, fault, body);
@@ -69,7 +69,7 @@
     if (fault == Fault::ExcessBytes)
         return exchange->respondWithExcessBytes(200, "application/json", body);
     if (fault == Fault::ServerError)
-        return exchange->respond(500, "text/plain", "ordered to fail\n");
+        return exchange->respond(500, "text/plain", "injected server error\n");
     exchange->respond(200, "application/json", body);
 }
 
--- a/test/standins/Service.h
+++ b/test/standins/Service.h
@@ -1,5 +1,6 @@
-// A plain service's stand-in: lookups that may be repeated and purchases that may not, each
-// execution counted under its idempotency key and its request id.
+// A stand-in for a plain service: it serves idempotent lookups and purchases that must not be
+// repeated, and counts each purchase's executions by idempotency key, or by request id if it has no
+// key.
 #pragma once
 
 #include "FaultInjector.h"
@@ -40,7 +41,7 @@
     LoadMeter m_meter;
     FaultInjector m_faults;
     std::map<std::string, std::uint64_t> m_executionsByKey;
-    std::map<std::string, std::uint64_t> m_executionsByRequestId; ///< Of purchases without a key.
+    std::map<std::string, std::uint64_t> m_executionsByRequestId; ///< For purchases without a key.
 };
 
 } // namespace berylridge::standin
--- a/test/standins/WatchableValue.cpp
+++ b/test/standins/WatchableValue.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::uint64_t maxWaitSeconds = 300; // seconds
+constexpr std::uint64_t maxWaitSeconds = 300;
 
 } // namespace
 
@@ -60,10 +60,10 @@
 void WatchableValue::send(const std::shared_ptr<Exchange> &exchange) const
 {
     const auto revision = servedRevision();
-    Json::Value respond;
-    respond["revision"] = static_cast<Json::UInt64>(revision);
-    respond[m_member] = m_history[revision];
-    exchange->respond(200, "application/json", toText(respond));
+    Json::Value response;
+    response["revision"] = static_cast<Json::UInt64>(revision);
+    response[m_member] = m_history[revision];
+    exchange->respond(200, "application/json", toText(response));
 }
 
 void WatchableValue::respondToWaiters()
--- a/test/standins/WatchableValue.h
+++ b/test/standins/WatchableValue.h
@@ -1,4 +1,4 @@
-// A value with a revision that callers read or wait on, as the platform's service offers it.
+// A value with revisions that callers read, or watch by long polling, as in the platform's service.
 #pragma once
 
 #include "HttpServer.h"
@@ -14,17 +14,20 @@
 class WatchableValue
 {
 public:
-    /// The respond's member that holds the value, as in "documents".
+    /// The member is the response's JSON key of the value, as in "documents".
     WatchableValue(boost::asio::io_context &io, std::string member);
 
     const Json::Value &value() const { return m_history.back(); }
-    /// Puts a new value under the next revision and wakes who waits, unless stale.
+    /// Stores the value under the next revision and responds to waiting callers, unless a stale
+    /// revision is served.
     void set(Json::Value value);
 
-    /// Answers at once where there is a revision above ?since, else waits up to ?wait seconds.
+    /// Responds at once if the served revision is above ?since, else waits for one for up to ?wait
+    /// seconds.
     void respond(const std::shared_ptr<Exchange> &exchange);
 
-    /// Shows an old revision, whatever is set, until shown fresh again. 0 means the last one.
+    /// Serves an old revision, regardless of newer values, until serveLatestRevision() is called.
+    /// 0 means the latest revision at the time of the call.
     void serveStaleRevision(std::uint64_t revision);
     void serveLatestRevision();
 
@@ -35,8 +38,8 @@
 
     boost::asio::io_context &m_io;
     std::string m_member;
-    std::deque<Json::Value> m_history; ///< The value of revision r is at r.
-    std::uint64_t m_staleRevision = 0; ///< 0 while fresh.
+    std::deque<Json::Value> m_history; ///< The value of revision r is at index r.
+    std::uint64_t m_staleRevision = 0; ///< 0 while the latest revision is served.
     struct Waiter
     {
         std::shared_ptr<Exchange> exchange;
--- a/test/standins/engine_main.cpp
+++ b/test/standins/engine_main.cpp
@@ -1,4 +1,4 @@
-// standin-engine: plays a model engine for tests and demonstrations.
+// standin-engine: simulates a model engine for tests and demonstrations.
 #include "Arguments.h"
 #include "Engine.h"
 
@@ -7,15 +7,20 @@
 
 int main(int argc, char **argv)
 {
-    Arguments arguments("a model engine's stand-in, for tests");
-    auto &slots = arguments.number("slots", "requests that it bears when warm", 8);
-    auto &coldSlots = arguments.number("cold-slots", "requests that it bears while cold", 1);
-    auto &warmAfter = arguments.number("warm-after", "completed answers until it is warm", 8);
-    auto &rate = arguments.number("tokens-per-second", "tokens a second of each stream", 50);
-    auto &prefillTime = arguments.number("prefill-ms", "milliseconds before the first token", 20);
-    auto &maxReportAge = arguments.number("load-lag-ms", "oldest age of a load report", 0);
-    auto &crashMode = arguments.text("crash-mode", "when overloaded: exit or reject", "exit");
-    auto &marker = arguments.text("deadly-marker", "a body with this text crashes it", "");
+    Arguments arguments("a stand-in for a model engine, for tests");
+    auto &slots = arguments.addNumber("slots", "concurrent requests that it can run when warm", 8);
+    auto &coldSlots
+        = arguments.addNumber("cold-slots", "concurrent requests that it can run while cold", 1);
+    auto &warmAfter = arguments.addNumber("warm-after", "completed responses until it is warm", 8);
+    auto &rate = arguments.addNumber("tokens-per-second", "tokens per second of each stream", 50);
+    auto &prefillTime
+        = arguments.addNumber("prefill-ms", "milliseconds before the first token", 20);
+    auto &maxReportAge
+        = arguments.addNumber("load-lag-ms", "maximum age of a load report, in milliseconds", 0);
+    auto &crashMode
+        = arguments.addText("crash-mode", "what an overloaded engine does: exit or reject", "exit");
+    auto &marker
+        = arguments.addText("deadly-marker", "text in a request body that crashes the engine", "");
     if (const auto status = arguments.parse(argc, argv))
         return *status;
 
--- a/test/standins/platform_main.cpp
+++ b/test/standins/platform_main.cpp
@@ -1,4 +1,5 @@
-// standin-platform: plays the configuration service and the VM list for tests and demonstrations.
+// standin-platform: simulates the configuration service and the VM list for tests and
+// demonstrations.
 #include "Arguments.h"
 #include "Platform.h"
 
@@ -10,9 +11,10 @@
 int main(int argc, char **argv)
 {
     Arguments arguments("a stand-in for the platform's configuration service and VM list");
-    auto &directory = arguments.text("documents", "folder of documents to load (*.json)", "");
-    auto &vms = arguments.text("vms", "file with the VM list to begin with", "");
-    auto &vmListDelay = arguments.number("vm-lag-ms", "how long the VM list lags behind", 0);
+    auto &directory = arguments.addText("documents", "directory of documents to load (*.json)", "");
+    auto &vms = arguments.addText("vms", "file with the initial VM list", "");
+    auto &vmListDelay
+        = arguments.addNumber("vm-lag-ms", "delay of VM list updates, in milliseconds", 0);
     if (const auto status = arguments.parse(argc, argv))
         return *status;
 
--- a/test/standins/service_main.cpp
+++ b/test/standins/service_main.cpp
@@ -1,4 +1,4 @@
-// standin-service: plays a plain service for tests and demonstrations, and counts executions.
+// standin-service: simulates a plain service for tests and demonstrations, and counts executions.
 #include "Arguments.h"
 #include "Service.h"
 
@@ -7,12 +7,14 @@
 
 int main(int argc, char **argv)
 {
-    Arguments arguments("a plain service's stand-in, for tests");
-    auto &slots = arguments.number("slots", "requests that it bears at once", 64);
-    auto &coldSlots = arguments.number("cold-slots", "requests that it bears while cold", 64);
-    auto &warmAfter = arguments.number("warm-after", "completed answers until it is warm", 0);
-    auto &lookupTime = arguments.number("lookup-ms", "milliseconds of a lookup", 5);
-    auto &purchaseTime = arguments.number("purchase-ms", "milliseconds of a purchase", 20);
+    Arguments arguments("a stand-in for a plain service, for tests");
+    auto &slots = arguments.addNumber("slots", "concurrent requests that it can run when warm", 64);
+    auto &coldSlots
+        = arguments.addNumber("cold-slots", "concurrent requests that it can run while cold", 64);
+    auto &warmAfter = arguments.addNumber("warm-after", "completed responses until it is warm", 0);
+    auto &lookupTime = arguments.addNumber("lookup-ms", "duration of a lookup, in milliseconds", 5);
+    auto &purchaseTime
+        = arguments.addNumber("purchase-ms", "duration of a purchase, in milliseconds", 20);
     if (const auto status = arguments.parse(argc, argv))
         return *status;
 
