--- a/lib/Balancer/RequestLog.cpp
+++ b/lib/Balancer/RequestLog.cpp
@@ -10,7 +10,7 @@
 constexpr std::uint64_t requestsPerSample = 100;
 /// Twice the request rate of a node in a fleet of the planned size.
 constexpr double maxLinesPerSecond = 200;
-/// Part of the lines that include steps.
+/// Limit for the lines that include steps, which count towards maxLinesPerSecond too.
 constexpr double maxDetailedLinesPerSecond = 50;
 constexpr Duration logPeriod = std::chrono::seconds(1);
 
--- a/lib/Router/RequestManager.cpp
+++ b/lib/Router/RequestManager.cpp
@@ -340,7 +340,7 @@
     for (const auto &[target, check] : m_crashChecks)
         next = std::min(next, check.until);
     for (const CrashBroadcast &broadcast : m_crashBroadcasts)
-        next = std::min(next, broadcast.left > 0 ? broadcast.at : next);
+        next = std::min(next, broadcast.remainingCopies > 0 ? broadcast.at : next);
     return next;
 }
 
--- a/unittests/Policy/CrashRecordTest.cpp
+++ b/unittests/Policy/CrashRecordTest.cpp
@@ -48,7 +48,7 @@
 
 // Guards against a common request being rejected for ten minutes because two targets lost their
 // power while it ran on both. The next complete response shows that it did not cause the crashes.
-TEST(CrashRecord, CompleteAnswerClearsTheRecord)
+TEST(CrashRecord, CompleteResponseClearsTheRecord)
 {
     ManualClock clock;
     CrashRecord record;
--- a/unittests/Policy/TargetCapacityTest.cpp
+++ b/unittests/Policy/TargetCapacityTest.cpp
@@ -43,7 +43,7 @@
 
 } // namespace
 
-TEST_F(TargetCapacityTest, RampsOnCompletedAnswersOnly)
+TEST_F(TargetCapacityTest, RampsOnCompletedResponsesOnly)
 {
     EXPECT_EQ(limit(), 2U);
     m_capacity.onLoadReport("boot1", 0, 0, 0ms, m_clock.now());
@@ -60,7 +60,7 @@
 // Guards against responses being counted twice, once by the target's load report and once by the
 // holders' returns. A cold engine with three responses would count as warm with six, and crash
 // under full load.
-TEST_F(TargetCapacityTest, AnswersInTheLoadReportAreNotCountedTwice)
+TEST_F(TargetCapacityTest, ResponsesInTheLoadReportAreNotCountedTwice)
 {
     m_capacity.onLoadReport("boot1", 1, 3, 0ms, m_clock.now());
     m_capacity.onCompleted(1, "boot1", m_clock.now());
