--- a/benchmarks/Documents.cpp
+++ b/benchmarks/Documents.cpp
@@ -53,7 +53,7 @@
     constexpr std::size_t repeats = 21;
     const auto text = writeServiceDocument(makeDocument(workspaces, targets));
     std::vector<double> times;
-    std::size_t held = 0;
+    std::size_t heapBytes = 0;
     for (std::size_t i = 0; i < repeats; ++i) {
         const auto before = heapInUse();
         DocumentStore store;
@@ -65,11 +65,12 @@
             std::printf("refused: %s\n", result.diagnostics.front().str().c_str());
             return;
         }
-        held = heapInUse() - before;
+        heapBytes = heapInUse() - before;
     }
     std::nth_element(times.begin(), times.begin() + repeats / 2, times.end());
     std::printf("%10zu %8zu %10zu %12.0f %12zu\n", workspaces, targets,
-                writeEnvelope({"service/assistant", 1, text}).size(), times[repeats / 2], held);
+                writeEnvelope({"service/assistant", 1, text}).size(), times[repeats / 2],
+                heapBytes);
 }
 
 } // namespace
--- a/benchmarks/Shell.cpp
+++ b/benchmarks/Shell.cpp
@@ -1,5 +1,6 @@
 // What the I/O shell costs without any decisions: processor time a request on the traffic and the
-// control thread, added latency, cost of a streamed event, memory of idle and waiting callers.
+// control thread, added latency, cost of a streamed event, memory of idleConnections and waiting
+// callers.
 #include "berylridge/Net/RouterNode.h"
 
 #include <algorithm>
@@ -28,20 +29,21 @@
 
 constexpr int callers = 8;
 constexpr int requestsPerCaller = 4000;
-constexpr int events = 5000; ///< A fifth of a millisecond apart, so that each goes alone.
+constexpr int streamedEvents
+    = 5000; ///< A fifth of a millisecond apart, so that each goes baselineCallers.
 constexpr int idleCallers = 2000;
 constexpr int waitingCallers = 1000;
-constexpr const char *getText = "GET /v1/services/shop/x HTTP/1.1\r\nHost: r\r\n\r\n";
-constexpr const char *postText
+constexpr const char *getRequest = "GET /v1/services/shop/x HTTP/1.1\r\nHost: r\r\n\r\n";
+constexpr const char *postRequest
     = "POST /v1/services/shop/x HTTP/1.1\r\nHost: r\r\nContent-Length: 4\r\n\r\nclay";
-constexpr const char *streamText = "GET /v1/services/shop/stream HTTP/1.1\r\nHost: r\r\n\r\n";
-constexpr const char *answerText = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+constexpr const char *streamRequest = "GET /v1/services/shop/stream HTTP/1.1\r\nHost: r\r\n\r\n";
+constexpr const char *targetResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
 /// Sends everything to one target, or lets it wait.
-class PassCore
+class ForwardingCore
 {
 public:
-    explicit PassCore(Endpoint target)
+    explicit ForwardingCore(Endpoint target)
         : m_target(std::move(target))
     {
     }
@@ -49,7 +51,7 @@
     void handle(const Event &event, TimePoint, WallTime, Actions &actions)
     {
         const auto *arrived = std::get_if<RequestArrived>(&event);
-        if (arrived == nullptr || isHolding)
+        if (arrived == nullptr || isHoldingRequests)
             return;
         Dispatch dispatch;
         dispatch.handle = arrived->handle;
@@ -63,7 +65,7 @@
     }
     TimePoint nextTimer() const { return TimePoint::max(); }
 
-    std::atomic<bool> isHolding {false}; // NOLINT: a switch of the measurement
+    std::atomic<bool> isHoldingRequests {false}; // NOLINT: a switch of the measurement
 
 private:
     Endpoint m_target;
@@ -104,7 +106,8 @@
             if (text.starts_with("GET /stream"))
                 stream(socket);
             else
-                asio::write(socket, asio::buffer(answerText, std::strlen(answerText)), error);
+                asio::write(socket, asio::buffer(targetResponse, std::strlen(targetResponse)),
+                            error);
         }
     }
 
@@ -115,7 +118,7 @@
             = [&](const std::string &text) { asio::write(socket, asio::buffer(text), error); };
         send("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
              "Transfer-Encoding: chunked\r\n\r\n");
-        for (int i = 1; i <= events; ++i) {
+        for (int i = 1; i <= streamedEvents; ++i) {
             std::ostringstream chunk;
             const std::string event = "id: " + std::to_string(i) + "\ndata: token\n\n";
             chunk << std::hex << event.size() << "\r\n" << event << "\r\n";
@@ -188,7 +191,7 @@
 }
 
 /// Microseconds each request took, sorted.
-std::vector<double> latencies(const Endpoint &endpoint, const char *request, int count)
+std::vector<double> measureLatencies(const Endpoint &endpoint, const char *request, int count)
 {
     Caller caller(endpoint);
     std::vector<double> all;
@@ -212,16 +215,16 @@
 }
 
 /// Runs the work and prints what each thread of the router spent for one piece of it.
-void measure(const char *name, int pieces, const std::function<void()> &work)
+void measure(const char *name, int operationCount, const std::function<void()> &work)
 {
     const double traffic = threadSeconds("traffic");
     const double control = threadSeconds("control");
     const auto start = std::chrono::steady_clock::now();
     work();
     const std::chrono::duration<double> wall = std::chrono::steady_clock::now() - start;
-    std::cout << name << ": traffic " << (threadSeconds("traffic") - traffic) / pieces * 1e6
-              << " us, control " << (threadSeconds("control") - control) / pieces * 1e6
-              << " us each, " << pieces / wall.count() << " a second\n";
+    std::cout << name << ": traffic " << (threadSeconds("traffic") - traffic) / operationCount * 1e6
+              << " us, control " << (threadSeconds("control") - control) / operationCount * 1e6
+              << " us each, " << operationCount / wall.count() << " a second\n";
 }
 
 void runCallers(const Endpoint &endpoint, const char *request)
@@ -229,7 +232,7 @@
     std::vector<std::thread> threads;
     threads.reserve(callers);
     for (int i = 0; i < callers; ++i)
-        threads.emplace_back([&] { latencies(endpoint, request, requestsPerCaller); });
+        threads.emplace_back([&] { measureLatencies(endpoint, request, requestsPerCaller); });
     for (std::thread &thread : threads)
         thread.join();
 }
@@ -243,26 +246,26 @@
     return all;
 }
 
-void measureMemory(RouterNode &node, PassCore &core)
+void measureMemory(RouterNode &node, ForwardingCore &core)
 {
-    // The callers' own objects are in this process too: they are counted first, alone.
-    static FastTarget sink; // Its threads never end.
+    // The callers' own objects are in this process too: they are counted first, baselineCallers.
+    static FastTarget baselineTarget; // Its threads never end.
     const long before = residentKb();
-    const auto alone = connect(sink.endpoint(), 200);
+    const auto baselineCallers = connect(baselineTarget.endpoint(), 200);
     const double callerKb = static_cast<double>(residentKb() - before) / 200;
     const long start = residentKb();
-    const auto idle = connect(node.callers(), idleCallers);
+    const auto idleConnections = connect(node.callers(), idleCallers);
     while (node.metrics().connectionsOpen < idleCallers)
         std::this_thread::yield();
     const double idleKb = static_cast<double>(residentKb() - start) / idleCallers;
     std::cout << "idle connection: " << idleKb
               << " kB with its caller; a caller (and its thread at "
               << "a target) alone " << callerKb << " kB\n";
-    core.isHolding = true;
+    core.isHoldingRequests = true;
     const long waitStart = residentKb();
     const auto received = node.metrics().requestsReceived.load();
     for (int i = 0; i < waitingCallers; ++i)
-        idle[static_cast<std::size_t>(i)]->send(postText);
+        idleConnections[static_cast<std::size_t>(i)]->send(postRequest);
     while (node.metrics().requestsReceived < received + waitingCallers)
         std::this_thread::yield();
     std::cout << "1000 waiting requests: " << residentKb() - waitStart << " kB\n";
@@ -273,7 +276,7 @@
 int main()
 {
     FastTarget target;
-    PassCore core(target.endpoint());
+    ForwardingCore core(target.endpoint());
     LogSink log(LogLevel::Error, [](LogLevel, const std::string &) {});
     Settings settings;
     settings.node = NodeId("bench");
@@ -290,15 +293,16 @@
     std::cout << std::fixed << std::setprecision(2);
 
     constexpr int total = callers * requestsPerCaller;
-    measure("GET on kept connections", total, [&] { runCallers(node.callers(), getText); });
-    measure("POST on fresh connections", total, [&] { runCallers(node.callers(), postText); });
-    measure("streamed event", events, [&] {
+    measure("GET on kept connections", total, [&] { runCallers(node.callers(), getRequest); });
+    measure("POST on fresh connections", total, [&] { runCallers(node.callers(), postRequest); });
+    measure("streamed event", streamedEvents, [&] {
         Caller caller(node.callers());
-        caller.send(streamText);
+        caller.send(streamRequest);
         caller.readUntil("0\r\n\r\n");
     });
-    printLatency("straight", latencies(target.endpoint(), getText, requestsPerCaller));
-    printLatency("through the router", latencies(node.callers(), getText, requestsPerCaller));
+    printLatency("straight", measureLatencies(target.endpoint(), getRequest, requestsPerCaller));
+    printLatency("through the router",
+                 measureLatencies(node.callers(), getRequest, requestsPerCaller));
     measureMemory(node, core);
     std::cout.flush();
     node.stop();
--- a/benchmarks/LoneNode.cpp
+++ b/benchmarks/SingleNodeHarness.cpp
@@ -1,4 +1,4 @@
-#include "LoneNode.h"
+#include "SingleNodeHarness.h"
 
 #include "berylridge/Chart/MemberStateMachine.h"
 #include "berylridge/Config/DocumentStore.h"
@@ -17,23 +17,23 @@
 
 namespace {
 
-constexpr Duration stepTime = std::chrono::milliseconds(10);
+constexpr Duration simulationStep = std::chrono::milliseconds(10);
 constexpr Duration warmUpTime = std::chrono::seconds(12);
 constexpr Duration heartbeatPeriod = std::chrono::milliseconds(250);
 constexpr Duration crossZoneHeartbeatPeriod = std::chrono::milliseconds(500);
 constexpr Duration demandPeriod = std::chrono::milliseconds(400);
 /// IP, UDP, the datagram's own head and its authenticator. Each message is taken to travel alone.
-constexpr std::size_t datagramHead = 28 + 20 + authenticatorSize;
-constexpr Incarnation peerRun = 7;
+constexpr std::size_t datagramOverheadBytes = 28 + 20 + authenticatorSize;
+constexpr Incarnation peerIncarnation = 7;
 
-double cpuNow()
+double threadCpuSeconds()
 {
     timespec time {};
     clock_gettime(CLOCK_THREAD_CPUTIME_ID, &time);
     return static_cast<double>(time.tv_sec) + static_cast<double>(time.tv_nsec) * 1e-9;
 }
 
-double memoryNow()
+double heapBytesInUse()
 {
     const auto info = mallinfo2();
     return static_cast<double>(info.uordblks) + static_cast<double>(info.hblkhd);
@@ -51,13 +51,13 @@
 
 } // namespace
 
-LoneNode::LoneNode(const FleetShape &shape)
-    : m_shape(shape)
+SingleNodeHarness::SingleNodeHarness(const FleetParameters &parameters)
+    : m_parameters(parameters)
 {
     VmList list;
     list.revision = 1;
-    for (unsigned zone = 0; zone < shape.zones; ++zone) {
-        for (unsigned index = 0; index < shape.nodesPerZone; ++index) {
+    for (unsigned zone = 0; zone < parameters.zones; ++zone) {
+        for (unsigned index = 0; index < parameters.nodesPerZone; ++index) {
             const std::string name = zoneName(zone) + "-n" + std::to_string(index);
             list.vms.push_back({NodeId(name), ZoneId(zoneName(zone)), "127.0.0.1",
                                 static_cast<std::uint16_t>(7400 + index), false});
@@ -69,12 +69,12 @@
             m_peers.emplace(peer.node, std::move(peer));
         }
     }
-    for (unsigned service = 0; service < shape.services; ++service) {
-        m_documents.push_back(documentOf(service));
+    for (unsigned service = 0; service < parameters.services; ++service) {
+        m_documents.push_back(makeServiceDocument(service));
         for (Pool &pool : splitIntoPools(m_documents.back()))
             m_pools.emplace(pool.id, std::move(pool));
     }
-    m_memoryBefore = memoryNow();
+    m_initialHeapBytes = heapBytesInUse();
     CoreOptions options;
     options.node = NodeId("z0-n0");
     options.zone = ZoneId("z0");
@@ -87,18 +87,18 @@
         std::exit(1);
     }
     m_core = *std::move(core);
-    give(VmListArrived {list});
-    publish();
+    handleEvent(VmListArrived {list});
+    publishDocuments();
 }
 
-LoneNode::~LoneNode() = default;
+SingleNodeHarness::~SingleNodeHarness() = default;
 
-ServiceDocument LoneNode::documentOf(unsigned service) const
+ServiceDocument SingleNodeHarness::makeServiceDocument(unsigned service) const
 {
     ServiceDocument document;
     document.service = ServiceId("service" + std::to_string(service));
-    for (unsigned zone = 0; zone < m_shape.zones; ++zone) {
-        for (unsigned index = 0; index < m_shape.targetsPerZone; ++index) {
+    for (unsigned zone = 0; zone < m_parameters.zones; ++zone) {
+        for (unsigned index = 0; index < m_parameters.targetsPerZone; ++index) {
             TargetSpec target;
             target.target = TargetId(document.service.str() + '-' + zoneName(zone) + "-t"
                                      + std::to_string(index));
@@ -108,7 +108,7 @@
             document.targets.push_back(std::move(target));
         }
     }
-    for (unsigned index = 0; index < m_shape.workspaces; ++index) {
+    for (unsigned index = 0; index < m_parameters.workspaces; ++index) {
         WorkspaceShare share;
         share.workspace = WorkspaceId("workspace" + std::to_string(index));
         share.credentialDigest = credentialDigest(credential(index));
@@ -117,7 +117,7 @@
     return document;
 }
 
-std::string LoneNode::textOf(unsigned service, unsigned revision) const
+std::string SingleNodeHarness::writeDocumentText(unsigned service, unsigned revision) const
 {
     const ServiceDocument &document = m_documents[service];
     std::string text = "{\"service\":\"" + document.service.str()
@@ -143,66 +143,66 @@
     return text + "]}";
 }
 
-void LoneNode::publish()
+void SingleNodeHarness::publishDocuments()
 {
-    DocumentStore same;
-    for (unsigned service = 0; service < m_shape.services; ++service) {
+    DocumentStore referenceStore;
+    for (unsigned service = 0; service < m_parameters.services; ++service) {
         const DocumentText text {"service/" + m_documents[service].service.str(), m_revision,
-                                 textOf(service, m_revision)};
-        const AcceptResult result = same.accept(text);
+                                 writeDocumentText(service, m_revision)};
+        const AcceptResult result = referenceStore.accept(text);
         for (const Diagnostic &diagnostic : result.diagnostics)
             std::fprintf(stderr, "%s\n", diagnostic.str().c_str());
         if (result.status != AcceptStatus::Accepted)
             std::exit(1);
-        give(DocumentArrived {text});
+        handleEvent(DocumentArrived {text});
     }
-    m_documentsDigest = same.digest();
+    m_documentsDigest = referenceStore.digest();
 }
 
-void LoneNode::give(const Event &event)
+void SingleNodeHarness::handleEvent(const Event &event)
 {
     Actions actions;
-    const double before = cpuNow();
+    const double before = threadCpuSeconds();
     m_core->handle(event, m_clock.now(), m_clock.wallNow(), actions);
-    const double used = cpuNow() - before;
-    if (m_isCounting)
+    const double used = threadCpuSeconds() - before;
+    if (m_isMeasuring)
         m_cpuSeconds += used;
-    carryOut(actions);
+    performActions(actions);
 }
 
-void LoneNode::carryOut(const Actions &actions)
+void SingleNodeHarness::performActions(const Actions &actions)
 {
     for (const Action &action : actions) {
         if (const auto *send = std::get_if<SendToNode>(&action)) {
-            onSent(*send);
+            onMessageSent(*send);
         } else if (const auto *dispatch = std::get_if<Dispatch>(&action)) {
             AttemptDone done;
             done.handle = dispatch->handle;
             done.attempt = dispatch->attempt;
             done.status = 200;
             done.bootId = "boot";
-            m_due.push({m_clock.now() + m_shape.requestTime, done});
+            m_scheduledEvents.push({m_clock.now() + m_parameters.requestTime, done});
         } else if (const auto *poll = std::get_if<PollTarget>(&action)) {
             TargetLoadReport report;
             report.target = poll->target;
             report.bootId = "boot";
             report.completed = 1000;
-            m_due.push({m_clock.now() + stepTime, report});
+            m_scheduledEvents.push({m_clock.now() + simulationStep, report});
         }
     }
 }
 
-void LoneNode::count(const PeerMessage &message, bool isSent)
+void SingleNodeHarness::count(const PeerMessage &message, bool isSent)
 {
-    if (!m_isCounting)
+    if (!m_isMeasuring)
         return;
-    const std::size_t bytes = packPeerMessage(message).size() + datagramHead;
+    const std::size_t bytes = packPeerMessage(message).size() + datagramOverheadBytes;
     (isSent ? m_sentBytes : m_receivedBytes) += bytes;
     m_bytesByKind[std::string(peerMessageKindName(peerMessageKind(message)))]
         += static_cast<double>(bytes);
 }
 
-void LoneNode::onSent(const SendToNode &send)
+void SingleNodeHarness::onMessageSent(const SendToNode &send)
 {
     count(send.message, true);
     const auto found = m_peers.find(send.to);
@@ -211,8 +211,8 @@
     if (const auto *key = std::get_if<KeyMessage>(&send.message)) {
         if (const auto *proposal = std::get_if<RosterProposal>(key)) {
             KeyMessage consent = RosterProposalReply {makeRoster(proposal->roster).id, true, {}};
-            m_due.push({m_clock.now() + std::chrono::milliseconds(1),
-                        NodeMessage {send.to, peerRun, std::move(consent)}});
+            m_scheduledEvents.push({m_clock.now() + std::chrono::milliseconds(1),
+                                    NodeMessage {send.to, peerIncarnation, std::move(consent)}});
         }
         return;
     }
@@ -226,7 +226,7 @@
 }
 
 /// A peer as owner gives out what is wanted.
-void LoneNode::onDemand(Peer &peer, const PoolDemand &demand)
+void SingleNodeHarness::onDemand(Peer &peer, const PoolDemand &demand)
 {
     const auto pool = m_pools.find(demand.pool);
     if (pool == m_pools.end() || demand.demand.empty())
@@ -238,18 +238,18 @@
     grant.demandSentAt = demand.sentAt;
     grant.termMs = 2000;
     grant.quantumMs = 250;
-    for (const FlowDemand &want : demand.demand) {
+    for (const FlowDemand &flowDemand : demand.demand) {
         const std::vector<TargetSpec> &targets = pool->second.targets;
         const TargetSpec &target = targets[peer.nextLease % targets.size()];
-        grant.leases.push_back(
-            {hash64(peer.node.str(), peer.nextLease++), targetHash(target.target), want.flow});
+        grant.leases.push_back({hash64(peer.node.str(), peer.nextLease++),
+                                targetHash(target.target), flowDemand.flow});
     }
-    NodeMessage message {peer.node, peerRun, FleetMessage(std::move(grant))};
-    m_due.push({m_clock.now() + std::chrono::milliseconds(1), std::move(message)});
+    NodeMessage message {peer.node, peerIncarnation, FleetMessage(std::move(grant))};
+    m_scheduledEvents.push({m_clock.now() + std::chrono::milliseconds(1), std::move(message)});
 }
 
 /// A peer as holder runs a request on each lease and gives it back.
-void LoneNode::onGrant(Peer &peer, const PoolGrant &grant)
+void SingleNodeHarness::onGrant(Peer &peer, const PoolGrant &grant)
 {
     peer.lastGrant[grant.pool] = grant.number;
     for (const GrantedLease &lease : grant.leases) {
@@ -259,18 +259,19 @@
         back.leases.push_back({lease.lease, 2000, 1, false});
         back.bootId = "boot";
         back.sequence = 0;
-        m_due.push({m_clock.now() + m_shape.requestTime,
-                    NodeMessage {peer.node, peerRun, FleetMessage(std::move(back))}});
+        m_scheduledEvents.push(
+            {m_clock.now() + m_parameters.requestTime,
+             NodeMessage {peer.node, peerIncarnation, FleetMessage(std::move(back))}});
     }
 }
 
-void LoneNode::say(Peer &peer, FleetMessage message)
+void SingleNodeHarness::deliverToCore(Peer &peer, FleetMessage message)
 {
     count(message, false);
-    give(NodeMessage {peer.node, peerRun, std::move(message)});
+    handleEvent(NodeMessage {peer.node, peerIncarnation, std::move(message)});
 }
 
-void LoneNode::heartbeat(Peer &peer)
+void SingleNodeHarness::heartbeat(Peer &peer)
 {
     Heartbeat heartbeat;
     heartbeat.sequence = ++peer.sequence;
@@ -282,14 +283,14 @@
     heartbeat.port = 7400;
     heartbeat.zoneDigest = m_zoneDigest;
     heartbeat.counterpartZoneDigest = hash64("view", m_zoneDigest);
-    say(peer, FleetMessage(std::move(heartbeat)));
+    deliverToCore(peer, FleetMessage(std::move(heartbeat)));
 }
 
-void LoneNode::demand(Peer &peer)
+void SingleNodeHarness::demand(Peer &peer)
 {
     if (peer.zone != ZoneId("z0"))
         return;
-    for (const PoolId id : m_ownPools) {
+    for (const PoolId id : m_ownedPools) {
         const Pool &pool = m_pools.at(id);
         PoolDemand message;
         message.pool = id;
@@ -298,82 +299,82 @@
         message.owner = 1;
         message.lastGrant = peer.lastGrant[id];
         const std::uint64_t start = hash64(peer.node.str());
-        for (unsigned flow = 0; flow < m_shape.flowsPerDemand; ++flow) {
+        for (unsigned flow = 0; flow < m_parameters.flowsPerDemand; ++flow) {
             const WorkspaceShare &share
-                = m_documents[0].workspaces[(start + flow) % m_shape.workspaces];
+                = m_documents[0].workspaces[(start + flow) % m_parameters.workspaces];
             message.demand.push_back({flowId(pool.service, share.workspace), 1, 100, 2000});
         }
         for (const auto &[lease, held] : peer.held[id])
             message.held.push_back(held);
-        say(peer, FleetMessage(std::move(message)));
+        deliverToCore(peer, FleetMessage(std::move(message)));
     }
 }
 
-void LoneNode::findOwnPools()
+void SingleNodeHarness::findOwnedPools()
 {
-    m_ownPools.clear();
+    m_ownedPools.clear();
     const NodeStatus status = m_core->status();
     for (const auto &[id, pool] : m_pools) {
         for (const TargetStatus &target : status.targets) {
             const bool isOfPool = target.target == pool.targets.front().target;
             if (isOfPool && target.owner == status.node)
-                m_ownPools.push_back(id);
+                m_ownedPools.push_back(id);
         }
     }
 }
 
-void LoneNode::peersSpeak()
+void SingleNodeHarness::sendPeerMessages()
 {
-    std::set<ZoneId> spoken;
+    std::set<ZoneId> contactedZones;
     for (auto &[node, peer] : m_peers) {
-        const bool isNear = peer.zone == ZoneId("z0");
+        const bool isSameZone = peer.zone == ZoneId("z0");
         // One counterpart of each other zone.
-        if (!isNear && !spoken.insert(peer.zone).second)
+        if (!isSameZone && !contactedZones.insert(peer.zone).second)
             continue;
         if (m_clock.now() >= peer.nextHeartbeat) {
             peer.nextHeartbeat
-                = m_clock.now() + (isNear ? heartbeatPeriod : crossZoneHeartbeatPeriod);
+                = m_clock.now() + (isSameZone ? heartbeatPeriod : crossZoneHeartbeatPeriod);
             heartbeat(peer);
         }
-        if (isNear && m_clock.now() >= peer.nextDemand) {
+        if (isSameZone && m_clock.now() >= peer.nextDemand) {
             peer.nextDemand = m_clock.now() + demandPeriod;
             demand(peer);
         }
     }
 }
 
-void LoneNode::requestsArrive()
+void SingleNodeHarness::generateRequests()
 {
-    m_owedRequests += m_shape.requestsPerSecond * toSeconds(stepTime);
-    for (; m_owedRequests >= 1; m_owedRequests -= 1) {
+    m_dueRequestCount += m_parameters.requestsPerSecond * toSeconds(simulationStep);
+    for (; m_dueRequestCount >= 1; m_dueRequestCount -= 1) {
         const std::uint64_t handle = m_nextHandle++;
         RequestArrived request;
         request.handle = handle;
         request.requestId = "request-" + std::to_string(handle);
         request.service = m_documents[handle % m_documents.size()].service;
         request.credential
-            = credential(static_cast<unsigned>(hash64("w", handle) % m_shape.workspaces));
+            = credential(static_cast<unsigned>(hash64("w", handle) % m_parameters.workspaces));
         request.method = "GET";
         request.path = "/lookup";
-        give(request);
+        handleEvent(request);
     }
 }
 
-void LoneNode::changesArrive()
+void SingleNodeHarness::generateDocumentChanges()
 {
-    m_owedChanges += m_shape.changesPerHour / 3600 * toSeconds(stepTime);
-    for (; m_owedChanges >= 1; m_owedChanges -= 1) {
+    m_dueChangeCount += m_parameters.changesPerHour / 3600 * toSeconds(simulationStep);
+    for (; m_dueChangeCount >= 1; m_dueChangeCount -= 1) {
         ++m_revision;
-        publish();
+        publishDocuments();
     }
 }
 
-void LoneNode::step()
+void SingleNodeHarness::step()
 {
-    m_clock.advance(stepTime);
-    while (!m_due.empty() && m_due.top().at <= m_clock.now()) {
-        const Event event = m_due.top().event;
-        m_due.pop();
+    m_clock.advance(simulationStep);
+    while (!m_scheduledEvents.empty() && m_scheduledEvents.top().at <= m_clock.now()) {
+        const Event event = m_scheduledEvents.top().event;
+        m_scheduledEvents.pop();
         if (const auto *message = std::get_if<NodeMessage>(&event)) {
             count(message->message, false);
             const auto *fleet = std::get_if<FleetMessage>(&message->message);
@@ -381,53 +382,53 @@
             if (back)
                 m_peers.at(message->from).held[back->pool].erase(back->leases.front().lease);
         }
-        m_answered += std::holds_alternative<AttemptDone>(event) && m_isCounting ? 1 : 0;
-        give(event);
+        m_completedRequests += std::holds_alternative<AttemptDone>(event) && m_isMeasuring ? 1 : 0;
+        handleEvent(event);
     }
-    peersSpeak();
-    requestsArrive();
-    changesArrive();
+    sendPeerMessages();
+    generateRequests();
+    generateDocumentChanges();
     if (m_core->nextTimer() <= m_clock.now())
-        give(TimerDue {});
+        handleEvent(TimerDue {});
 }
 
-CoreCost LoneNode::run(Duration time)
+CoreCost SingleNodeHarness::run(Duration time)
 {
     // Zones are known by their views, which their nodes would send.
-    for (unsigned zone = 1; zone < m_shape.zones; ++zone) {
+    for (unsigned zone = 1; zone < m_parameters.zones; ++zone) {
         ZoneView view;
         view.zone = zoneName(zone);
-        Peer *speaker = nullptr;
+        Peer *sender = nullptr;
         for (auto &[node, peer] : m_peers) {
             if (peer.zone != ZoneId(view.zone))
                 continue;
-            speaker = speaker ? speaker : &peer;
-            view.members.push_back({node.str(), peerRun,
+            sender = sender ? sender : &peer;
+            view.members.push_back({node.str(), peerIncarnation,
                                     static_cast<std::uint8_t>(MemberState::Live), "127.0.0.1",
                                     7400});
         }
-        if (speaker)
-            say(*speaker, FleetMessage(std::move(view)));
+        if (sender)
+            deliverToCore(*sender, FleetMessage(std::move(view)));
     }
-    const TimePoint begun = m_clock.now();
-    while (m_clock.now() < begun + warmUpTime) {
+    const TimePoint warmUpStart = m_clock.now();
+    while (m_clock.now() < warmUpStart + warmUpTime) {
         step();
-        if (m_ownPools.empty())
-            findOwnPools();
+        if (m_ownedPools.empty())
+            findOwnedPools();
     }
-    m_isCounting = true;
-    const TimePoint counted = m_clock.now();
-    while (m_clock.now() < counted + time)
+    m_isMeasuring = true;
+    const TimePoint measurementStart = m_clock.now();
+    while (m_clock.now() < measurementStart + time)
         step();
-    m_isCounting = false;
+    m_isMeasuring = false;
 
     const double seconds = toSeconds(time);
     CoreCost cost;
     cost.cpuPerSecond = m_cpuSeconds / seconds;
-    cost.memoryBytes = memoryNow() - m_memoryBefore;
+    cost.memoryBytes = heapBytesInUse() - m_initialHeapBytes;
     cost.sentBytesPerSecond = static_cast<double>(m_sentBytes) / seconds;
     cost.receivedBytesPerSecond = static_cast<double>(m_receivedBytes) / seconds;
-    cost.requestsPerSecond = static_cast<double>(m_answered) / seconds;
+    cost.requestsPerSecond = static_cast<double>(m_completedRequests) / seconds;
     for (const auto &[kind, bytes] : m_bytesByKind)
         cost.bytesByKind[kind] = bytes / seconds;
     return cost;
--- a/benchmarks/LoneNode.h
+++ b/benchmarks/SingleNodeHarness.h
@@ -18,7 +18,7 @@
 namespace berylridge {
 
 /// The size of a fleet and of what one node of it has to do.
-struct FleetShape
+struct FleetParameters
 {
     unsigned zones = 3;
     unsigned nodesPerZone = 3;
@@ -42,11 +42,11 @@
     std::map<std::string, double> bytesByKind; ///< Sent and received, a second.
 };
 
-class LoneNode
+class SingleNodeHarness
 {
 public:
-    explicit LoneNode(const FleetShape &shape);
-    ~LoneNode();
+    explicit SingleNodeHarness(const FleetParameters &parameters);
+    ~SingleNodeHarness();
 
     /// Runs the given time on the paused clock, after a warm-up that is not counted.
     CoreCost run(Duration time);
@@ -63,49 +63,50 @@
         std::map<PoolId, std::uint64_t> lastGrant;
         std::uint64_t nextLease = 1;
     };
-    struct Due
+    struct ScheduledEvent
     {
         TimePoint at;
         Event event;
-        bool operator>(const Due &other) const { return at > other.at; }
+        bool operator>(const ScheduledEvent &other) const { return at > other.at; }
     };
 
-    void publish();
-    ServiceDocument documentOf(unsigned service) const;
-    std::string textOf(unsigned service, unsigned revision) const;
-    void give(const Event &event);
-    void carryOut(const Actions &actions);
-    void onSent(const SendToNode &send);
+    void publishDocuments();
+    ServiceDocument makeServiceDocument(unsigned service) const;
+    std::string writeDocumentText(unsigned service, unsigned revision) const;
+    void handleEvent(const Event &event);
+    void performActions(const Actions &actions);
+    void onMessageSent(const SendToNode &send);
     void onDemand(Peer &peer, const PoolDemand &demand);
     void onGrant(Peer &peer, const PoolGrant &grant);
-    void findOwnPools();
+    void findOwnedPools();
     void step();
-    void peersSpeak();
+    void sendPeerMessages();
     void heartbeat(Peer &peer);
     void demand(Peer &peer);
-    void say(Peer &peer, FleetMessage message);
-    void requestsArrive();
-    void changesArrive();
+    void deliverToCore(Peer &peer, FleetMessage message);
+    void generateRequests();
+    void generateDocumentChanges();
     void count(const PeerMessage &message, bool isSent);
 
-    FleetShape m_shape;
+    FleetParameters m_parameters;
     ManualClock m_clock;
     std::unique_ptr<RouterCore> m_core;
     std::map<NodeId, Peer> m_peers;
     std::vector<ServiceDocument> m_documents;
     std::map<PoolId, Pool> m_pools;
-    std::vector<PoolId> m_ownPools; ///< That the core owns.
-    std::priority_queue<Due, std::vector<Due>, std::greater<>> m_due;
+    std::vector<PoolId> m_ownedPools; ///< That the core owns.
+    std::priority_queue<ScheduledEvent, std::vector<ScheduledEvent>, std::greater<>>
+        m_scheduledEvents;
     std::uint64_t m_zoneDigest = 0;
     std::uint64_t m_documentsDigest = 0;
     std::uint64_t m_nextHandle = 1;
-    double m_owedRequests = 0;
-    double m_owedChanges = 0;
+    double m_dueRequestCount = 0;
+    double m_dueChangeCount = 0;
     unsigned m_revision = 1;
-    bool m_isCounting = false;
+    bool m_isMeasuring = false;
     double m_cpuSeconds = 0;
-    double m_memoryBefore = 0;
-    std::uint64_t m_answered = 0;
+    double m_initialHeapBytes = 0;
+    std::uint64_t m_completedRequests = 0;
     std::uint64_t m_sentBytes = 0;
     std::uint64_t m_receivedBytes = 0;
     std::map<std::string, double> m_bytesByKind;
--- a/benchmarks/Slopes.cpp
+++ b/benchmarks/Slopes.cpp
@@ -1,6 +1,6 @@
 // What a node's control costs, swept over the size of the fleet: processor time, memory and bytes,
 // each with a straight line fitted through it. docs/CAPACITY.md is worked out from its output.
-#include "LoneNode.h"
+#include "SingleNodeHarness.h"
 
 #include <cmath>
 #include <cstdio>
@@ -48,15 +48,15 @@
 }
 
 void sweep(const char *label, std::vector<double> values,
-           const std::function<void(FleetShape &, double)> &set)
+           const std::function<void(FleetParameters &, double)> &set)
 {
     std::vector<double> cpu;
     std::vector<double> memory;
     std::vector<double> bytes;
     for (const double value : values) {
-        FleetShape shape;
-        set(shape, value);
-        LoneNode node(shape);
+        FleetParameters parameters;
+        set(parameters, value);
+        SingleNodeHarness node(parameters);
         const CoreCost cost = node.run(measuredTime);
         printRow(label, value, cost);
         cpu.push_back(cost.cpuPerSecond * 1e6);
@@ -74,22 +74,22 @@
 
 /// One node of the fleet in letter 1, whole: 840 nodes in 27 zones, 12,000 replicas of 6 models,
 /// 3,100 workspaces, 87 requests a second, 43,000 changes a day.
-FleetShape fullShape()
+FleetParameters fullSizeParameters()
 {
-    FleetShape shape;
-    shape.zones = 27;
-    shape.nodesPerZone = 31;
-    shape.services = 6;
-    shape.targetsPerZone = 74;
-    shape.workspaces = 3100;
-    shape.requestsPerSecond = 87;
-    shape.requestTime = std::chrono::seconds(9);
-    return shape;
+    FleetParameters parameters;
+    parameters.zones = 27;
+    parameters.nodesPerZone = 31;
+    parameters.services = 6;
+    parameters.targetsPerZone = 74;
+    parameters.workspaces = 3100;
+    parameters.requestsPerSecond = 87;
+    parameters.requestTime = std::chrono::seconds(9);
+    return parameters;
 }
 
 void runFull()
 {
-    LoneNode node(fullShape());
+    SingleNodeHarness node(fullSizeParameters());
     const CoreCost cost = node.run(measuredTime);
     printRow("whole size, one node", 840, cost);
     for (const auto &[kind, bytes] : cost.bytesByKind)
@@ -106,26 +106,28 @@
         runFull();
         return 0;
     }
-    sweep("nodes in the zone", {3, 10, 31}, [](FleetShape &shape, double value) {
-        shape.nodesPerZone = static_cast<unsigned>(value);
+    sweep("nodes in the zone", {3, 10, 31}, [](FleetParameters &parameters, double value) {
+        parameters.nodesPerZone = static_cast<unsigned>(value);
     });
-    sweep("zones", {3, 9, 27},
-          [](FleetShape &shape, double value) { shape.zones = static_cast<unsigned>(value); });
-    sweep("targets in the zone", {4, 16, 64}, [](FleetShape &shape, double value) {
-        shape.targetsPerZone = static_cast<unsigned>(value);
+    sweep("zones", {3, 9, 27}, [](FleetParameters &parameters, double value) {
+        parameters.zones = static_cast<unsigned>(value);
     });
-    sweep("workspaces", {16, 310, 3100},
-          [](FleetShape &shape, double value) { shape.workspaces = static_cast<unsigned>(value); });
-    sweep("flows per demand", {1, 8, 32}, [](FleetShape &shape, double value) {
-        shape.flowsPerDemand = static_cast<unsigned>(value);
-        shape.workspaces = 310;
+    sweep("targets in the zone", {4, 16, 64}, [](FleetParameters &parameters, double value) {
+        parameters.targetsPerZone = static_cast<unsigned>(value);
     });
-    sweep("requests/s", {5, 20, 87, 200}, [](FleetShape &shape, double value) {
-        shape.requestsPerSecond = value;
-        shape.targetsPerZone = 64;
+    sweep("workspaces", {16, 310, 3100}, [](FleetParameters &parameters, double value) {
+        parameters.workspaces = static_cast<unsigned>(value);
+    });
+    sweep("flows per demand", {1, 8, 32}, [](FleetParameters &parameters, double value) {
+        parameters.flowsPerDemand = static_cast<unsigned>(value);
+        parameters.workspaces = 310;
+    });
+    sweep("requests/s", {5, 20, 87, 200}, [](FleetParameters &parameters, double value) {
+        parameters.requestsPerSecond = value;
+        parameters.targetsPerZone = 64;
     });
     sweep("changes/h", {36, 360, 3600},
-          [](FleetShape &shape, double value) { shape.changesPerHour = value; });
+          [](FleetParameters &parameters, double value) { parameters.changesPerHour = value; });
     runFull();
     return 0;
 }
--- a/benchmarks/fairness/FairnessBench.cpp
+++ b/benchmarks/fairness/FairnessBench.cpp
@@ -1,4 +1,4 @@
-// Compares the sharing rules on the test rig, with both deployments' sizes and fixed seeds: service
+// Compares the variant rules on the test rig, with both deployments' sizes and fixed seeds: service
 // gap, utilisation, control traffic, and service while an availability zone leaves and returns.
 #include "rig/Rig.h"
 
@@ -16,19 +16,19 @@
 namespace {
 
 constexpr Duration warmUp = 12s;
-constexpr Duration beforeOut = 10s;
-constexpr Duration outTime = 15s;
-constexpr Duration afterOut = 20s;
+constexpr Duration timeBeforeEvacuation = 10s;
+constexpr Duration evacuationTime = 15s;
+constexpr Duration timeAfterReturn = 20s;
 
-struct Sharing
+struct PolicyVariant
 {
     const char *name;
     SharingPolicy policy;
 };
-constexpr Sharing sharings[] = {{"fleet", SharingPolicy::Fleet},
-                                {"per-node", SharingPolicy::PerNode},
-                                {"round-robin", SharingPolicy::RoundRobin},
-                                {"fifo", SharingPolicy::Fifo}};
+constexpr PolicyVariant policyVariants[] = {{"fleet", SharingPolicy::Fleet},
+                                            {"per-node", SharingPolicy::PerNode},
+                                            {"round-robin", SharingPolicy::RoundRobin},
+                                            {"fifo", SharingPolicy::Fifo}};
 
 struct Deployment
 {
@@ -74,20 +74,20 @@
     return values[values.size() / 2];
 }
 
-void printSharing(const Deployment &deployment, const Sharing &sharing, std::uint64_t seeds,
-                  Duration time)
+void printPolicyRow(const Deployment &deployment, const PolicyVariant &variant, std::uint64_t seeds,
+                    Duration time)
 {
     std::vector<std::vector<double>> columns(5);
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         DeploymentOptions options = alwaysBacklogged(deployment.options);
-        options.policy = sharing.policy;
+        options.policy = variant.policy;
         const Figures figures = measure(seed, options, time);
         const double values[] = {figures.gap, figures.inFlight, figures.utilisation,
                                  figures.starvation, figures.controlBytes};
         for (std::size_t i = 0; i < columns.size(); ++i)
             columns[i].push_back(values[i]);
     }
-    std::cout << std::left << std::setw(16) << deployment.name << std::setw(13) << sharing.name
+    std::cout << std::left << std::setw(16) << deployment.name << std::setw(13) << variant.name
               << std::right << std::fixed << std::setprecision(1) << std::setw(10)
               << median(columns[0]) << std::setw(13) << median(columns[1]) << std::setprecision(3)
               << std::setw(13) << median(columns[2]) << std::setprecision(1) << std::setw(13)
@@ -96,7 +96,8 @@
 }
 
 /// A zone is taken out and brought back under a load that two zones can just carry.
-void printZone(const Deployment &deployment, std::uint64_t seed, const std::string &dataDirectory)
+void printZoneEvacuation(const Deployment &deployment, std::uint64_t seed,
+                         const std::string &dataDirectory)
 {
     DeploymentOptions options = deployment.options;
     options.callers.engineLoad = 0.6;
@@ -105,11 +106,11 @@
     rig.callers->start();
     rig.run(warmUp);
     rig.meter->start();
-    rig.run(beforeOut);
+    rig.run(timeBeforeEvacuation);
     rig.takeOut({ZoneId("b")});
-    rig.run(outTime);
+    rig.run(evacuationTime);
     rig.takeOut({});
-    rig.run(afterOut);
+    rig.run(timeAfterReturn);
 
     std::ostringstream data;
     std::uint64_t answered = 0;
@@ -126,14 +127,15 @@
         refused += sample.refused;
         lost += sample.lost;
     }
-    std::uint64_t late = 0;
+    std::uint64_t lateStarts = 0;
     for (const auto &request : rig.world.journal.requests()) {
         for (const auto &callerTry : request->tries)
-            late += callerTry->startedAt && *callerTry->startedAt - callerTry->at > 2s ? 1 : 0;
+            lateStarts
+                += callerTry->startedAt && *callerTry->startedAt - callerTry->at > 2s ? 1 : 0;
     }
     std::cout << std::left << std::setw(16) << deployment.name << std::right << std::setw(10)
               << answered << std::setw(10) << refused << std::setw(10) << lost << std::setw(10)
-              << late << std::setw(12) << rig.world.journal.findings().size() << std::endl;
+              << lateStarts << std::setw(12) << rig.world.journal.findings().size() << std::endl;
     for (const auto &finding : rig.world.journal.findings())
         std::cout << "  " << finding << '\n';
     if (!dataDirectory.empty())
@@ -147,13 +149,13 @@
               << "deployment      sharing       gap[s/w] in flight[s/w] utilisation"
                  " starved[s] control[B/s/node]\n";
     for (const Deployment &deployment : deployments) {
-        for (const Sharing &sharing : sharings)
-            printSharing(deployment, sharing, seeds, time);
+        for (const PolicyVariant &variant : policyVariants)
+            printPolicyRow(deployment, variant, seeds, time);
     }
     std::cout << "\na zone leaves for 15 s and returns, load 0.6 of all slots, 45 s\n"
               << "deployment        answered   refused      lost  late(>2s) broken promises\n";
     for (const Deployment &deployment : deployments)
-        printZone(deployment, 1, dataDirectory);
+        printZoneEvacuation(deployment, 1, dataDirectory);
 }
 
 } // namespace
--- a/test/berylload/FairnessTest.cpp
+++ b/test/berylload/FairnessTest.cpp
@@ -7,27 +7,27 @@
 
 namespace {
 
-Sample sampleOf(std::vector<double> busy, std::vector<bool> backlogged, double running)
+Sample makeSample(std::vector<double> busy, std::vector<bool> backlogged, double running)
 {
     return {std::move(busy), std::move(backlogged), running, 10};
 }
 
 } // namespace
 
-TEST(Fairness, WhatOneLeavesOverGoesToTheOthersByWeight)
+TEST(Fairness, UnusedShareIsRedistributedByWeight)
 {
-    EXPECT_EQ(fairParts({2, 100, 100}, {1, 1, 2}, 20), (std::vector<double> {2, 6, 12}));
-    EXPECT_EQ(fairParts({1, 2, 3}, {1, 1, 1}, 20), (std::vector<double> {1, 2, 3}));
+    EXPECT_EQ(maxMinFairShares({2, 100, 100}, {1, 1, 2}, 20), (std::vector<double> {2, 6, 12}));
+    EXPECT_EQ(maxMinFairShares({1, 2, 3}, {1, 1, 1}, 20), (std::vector<double> {1, 2, 3}));
 }
 
 // Service that one of two gets while the other has nothing waiting is nobody's disadvantage: the
 // gap counts only what changes while both wait without a break.
-TEST(Fairness, GapCountsOnlyWhileBothWait)
+TEST(Fairness, GapCountsOnlyWhileBothAreBacklogged)
 {
     const std::vector<Sample> samples {
-        sampleOf({0, 0}, {true, true}, 10),  sampleOf({4, 1}, {true, true}, 10),
-        sampleOf({90, 1}, {true, false}, 5), sampleOf({91, 2}, {true, true}, 9),
-        sampleOf({93, 3}, {true, true}, 9),
+        makeSample({0, 0}, {true, true}, 10),  makeSample({4, 1}, {true, true}, 10),
+        makeSample({90, 1}, {true, false}, 5), makeSample({91, 2}, {true, true}, 9),
+        makeSample({93, 3}, {true, true}, 9),
     };
     const auto fairness = measureFairness(samples, {1, 1});
     EXPECT_DOUBLE_EQ(fairness.gap, 3);
@@ -36,9 +36,9 @@
     EXPECT_EQ(fairness.backloggedSamples, 5U);
 }
 
-TEST(Fairness, GapIsInSecondsAtTheMeanWeight)
+TEST(Fairness, GapIsNormalizedToTheMeanWeight)
 {
-    const std::vector<Sample> samples {sampleOf({0, 0}, {true, true}, 1),
-                                       sampleOf({9, 1}, {true, true}, 1)};
+    const std::vector<Sample> samples {makeSample({0, 0}, {true, true}, 1),
+                                       makeSample({9, 1}, {true, true}, 1)};
     EXPECT_DOUBLE_EQ(measureFairness(samples, {3, 1}).gap, 4);
 }
--- a/test/berylload/JudgementTest.cpp
+++ b/test/berylload/JudgementTest.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-CallResult answer(unsigned status, const std::string &body, const std::string &verdict = "")
+CallResult makeResponse(unsigned status, const std::string &body, const std::string &verdict = "")
 {
     CallResult result;
-    result.end = CallEnd::Whole;
+    result.end = CallEnd::Complete;
     result.status = status;
     result.body = body;
     if (!verdict.empty())
@@ -20,27 +20,28 @@
 
 } // namespace
 
-TEST(Judgement, AnotherRequestsAnswerIsWrong)
+TEST(ResponseClassification, BodyOfAnotherRequestIsWrong)
 {
-    EXPECT_EQ(judge(answer(200, "mine"), "mine", false), Outcome::Served);
-    EXPECT_EQ(judge(answer(200, "another's"), "mine", false), Outcome::Wrong);
-    EXPECT_EQ(judge(answer(200, ""), "mine", false), Outcome::Wrong);
+    EXPECT_EQ(classifyResponse(makeResponse(200, "mine"), "mine", false), Outcome::Served);
+    EXPECT_EQ(classifyResponse(makeResponse(200, "another's"), "mine", false), Outcome::WrongBody);
+    EXPECT_EQ(classifyResponse(makeResponse(200, ""), "mine", false), Outcome::WrongBody);
 }
 
-TEST(Judgement, CutAnswerIsIncompleteEvenIfAllOfItCame)
+TEST(ResponseClassification, TruncatedResponseIsIncompleteEvenWithTheFullBody)
 {
-    auto cut = answer(200, "mine");
-    cut.end = CallEnd::Cut;
-    EXPECT_EQ(judge(cut, "mine", false), Outcome::Incomplete);
-    cut.status = 0;
-    EXPECT_EQ(judge(cut, "mine", false), Outcome::NoAnswer);
+    auto truncated = makeResponse(200, "mine");
+    truncated.end = CallEnd::Truncated;
+    EXPECT_EQ(classifyResponse(truncated, "mine", false), Outcome::Incomplete);
+    truncated.status = 0;
+    EXPECT_EQ(classifyResponse(truncated, "mine", false), Outcome::NoResponse);
 }
 
-TEST(Judgement, RefusalWithoutAVerdictIsAFaultOfTheRouter)
+TEST(ResponseClassification, ErrorWithoutAVerdictIsARouterFault)
 {
-    EXPECT_EQ(judge(answer(503, "", "not-run"), "mine", false), Outcome::NotRun);
-    EXPECT_EQ(judge(answer(502, "", "may-have-run"), "mine", false), Outcome::MayHaveRun);
-    EXPECT_EQ(judge(answer(500, "", "ran"), "mine", false), Outcome::TargetError);
-    EXPECT_EQ(judge(answer(503, ""), "mine", false), Outcome::BadRefusal);
-    EXPECT_EQ(judge(answer(503, ""), "mine", true), Outcome::TargetError);
+    EXPECT_EQ(classifyResponse(makeResponse(503, "", "not-run"), "mine", false), Outcome::NotRun);
+    EXPECT_EQ(classifyResponse(makeResponse(502, "", "may-have-run"), "mine", false),
+              Outcome::MayHaveRun);
+    EXPECT_EQ(classifyResponse(makeResponse(500, "", "ran"), "mine", false), Outcome::TargetError);
+    EXPECT_EQ(classifyResponse(makeResponse(503, ""), "mine", false), Outcome::MissingVerdict);
+    EXPECT_EQ(classifyResponse(makeResponse(503, ""), "mine", true), Outcome::TargetError);
 }
--- a/test/process/FleetProcessTest.cpp
+++ b/test/process/FleetProcessTest.cpp
@@ -118,7 +118,7 @@
     m_fleet->relay().partitionZone("a");
     RandomEngine random(7);
     boost::asio::io_context io;
-    HttpCaller caller(io);
+    PooledHttpClient caller(io);
     std::map<std::string, std::vector<Outcome>> outcomes;
     constexpr int keys = 40;
     for (int i = 0; i < keys; ++i) {
@@ -128,7 +128,7 @@
             spec.headers.emplace_back("Idempotency-Key", key);
             spec.body = "{}";
             caller.call(spec, [&outcomes, key](const CallResult &result) {
-                outcomes[key].push_back(judge(result, purchaseAnswer("{}"), false));
+                outcomes[key].push_back(classifyResponse(result, purchaseResponse("{}"), false));
             });
         }
         // Some keys arrive before the nodes have detected the partition, some after.
@@ -236,15 +236,16 @@
     constexpr unsigned tokens = 60;
     constexpr int streams = 3;
     boost::asio::io_context io;
-    HttpCaller caller(io);
+    PooledHttpClient caller(io);
     std::vector<Outcome> outcomes;
     for (int i = 0; i < streams; ++i) {
         auto spec = m_fleet->callSpec(0, 0, "POST", generatePath);
         spec.body = R"({"tokens":60,"prompt":")" + std::to_string(i) + "\"}";
-        caller.call(spec,
-                    [&outcomes, expectedBody = wholeStream(spec.body, tokens)](const auto &result) {
-                        outcomes.push_back(judge(result, expectedBody, false));
-                    });
+        caller.call(
+            spec,
+            [&outcomes, expectedBody = completeStream(spec.body, tokens)](const auto &result) {
+                outcomes.push_back(classifyResponse(result, expectedBody, false));
+            });
     }
     // All streams must run before the stop; each engine is warm after one response.
     std::thread ioThread([&] { io.run(); });
@@ -297,10 +298,12 @@
         return fetch(spec);
     };
     const auto first = sendPurchase(0);
-    EXPECT_EQ(judge(first, purchaseAnswer("{}"), false), Outcome::MayHaveRun) << first.body;
+    EXPECT_EQ(classifyResponse(first, purchaseResponse("{}"), false), Outcome::MayHaveRun)
+        << first.body;
     for (std::size_t i = 0; i < m_fleet->routerCount(); ++i) {
         const auto repeated = sendPurchase(i);
-        EXPECT_NE(judge(repeated, purchaseAnswer("{}"), false), Outcome::NotRun) << repeated.body;
+        EXPECT_NE(classifyResponse(repeated, purchaseResponse("{}"), false), Outcome::NotRun)
+            << repeated.body;
     }
     EXPECT_EQ(m_fleet->executionCount(key), 1U);
 }
@@ -347,14 +350,14 @@
         for (int i = 0; i < 4; ++i) {
             auto spec = m_fleet->callSpec(0, 0, "POST", generatePath);
             spec.body = body;
-            const auto outcome = judge(fetch(spec), wholeStream(body, 12), false);
-            EXPECT_NE(outcome, Outcome::Wrong) << fault;
-            EXPECT_NE(outcome, Outcome::BadRefusal) << fault;
+            const auto outcome = classifyResponse(fetch(spec), completeStream(body, 12), false);
+            EXPECT_NE(outcome, Outcome::WrongBody) << fault;
+            EXPECT_NE(outcome, Outcome::MissingVerdict) << fault;
         }
     }
     auto spec = m_fleet->callSpec(0, 0, "POST", generatePath);
     spec.body = body;
     EXPECT_TRUE(waitUntil([&] {
-        return judge(fetch(spec), wholeStream(body, 12), false) == Outcome::Served;
+        return classifyResponse(fetch(spec), completeStream(body, 12), false) == Outcome::Served;
     })) << m_fleet->logs();
 }
--- a/test/process/StandInsTest.cpp
+++ b/test/process/StandInsTest.cpp
@@ -83,9 +83,9 @@
 TEST(StandIns, StreamIsDeterministicAndResumes)
 {
     const StandIn engine("standin-engine", {"--tokens-per-second", "1000"});
-    const auto expectedBody = wholeStream(prompt, 10);
+    const auto expectedBody = completeStream(prompt, 10);
     const auto first = fetch(engine.spec("POST", "/generate", prompt));
-    EXPECT_EQ(judge(first, expectedBody, true), Outcome::Served);
+    EXPECT_EQ(classifyResponse(first, expectedBody, true), Outcome::Served);
     EXPECT_FALSE(first.header("X-Boot-Id").empty());
 
     auto spec = engine.spec("POST", "/generate", prompt);
@@ -106,8 +106,8 @@
               spec.timeout = limit;
               return fetch(spec);
           };
-    EXPECT_EQ(callWithFault(R"({"order":"cut-answer"})").end, CallEnd::Cut);
-    EXPECT_EQ(callWithFault(R"({"order":"cut-before"})").end, CallEnd::NoAnswer);
+    EXPECT_EQ(callWithFault(R"({"order":"cut-answer"})").end, CallEnd::Truncated);
+    EXPECT_EQ(callWithFault(R"({"order":"cut-before"})").end, CallEnd::NoResponse);
     EXPECT_EQ(callWithFault(R"({"order":"hang"})", std::chrono::seconds(1)).end, CallEnd::TimedOut);
     EXPECT_EQ(callWithFault(R"({"order":"crossed"})").header("X-Attempt-Id"), "another-attempt-1");
     EXPECT_EQ(callWithFault(R"({"order":"none"})").header("X-Attempt-Id"), "attempt-1");
@@ -118,7 +118,7 @@
     StandIn engine("standin-engine", {"--cold-slots", "1", "--tokens-per-second", "5"});
     auto spec = engine.spec("POST", "/generate", prompt);
     boost::asio::io_context io;
-    HttpCaller caller(io);
+    PooledHttpClient caller(io);
     std::vector<CallEnd> ends;
     for (int i = 0; i < 2; ++i)
         caller.call(spec, [&](const CallResult &result) { ends.push_back(result.end); });
@@ -153,8 +153,8 @@
     fetch(service.spec("POST", "/control", R"({"order":"cut-answer"})"));
     auto spec = service.spec("POST", "/purchases", "{}");
     spec.headers.emplace_back("Idempotency-Key", "k1");
-    EXPECT_NE(fetch(spec).end, CallEnd::Whole);
-    EXPECT_EQ(judge(fetch(spec), purchaseAnswer("{}"), true), Outcome::Served);
+    EXPECT_NE(fetch(spec).end, CallEnd::Complete);
+    EXPECT_EQ(classifyResponse(fetch(spec), purchaseResponse("{}"), true), Outcome::Served);
     EXPECT_EQ(service.json("/stats")["executionsByKey"]["k1"].asUInt64(), 2U);
 }
 
@@ -172,7 +172,7 @@
 
     // A caller watches for the next revision and receives it as soon as it is stored.
     boost::asio::io_context io;
-    HttpCaller caller(io);
+    PooledHttpClient caller(io);
     CallResult watched;
     caller.call(
         platform.spec("GET", "/v1/documents?since=" + std::to_string(revision) + "&wait=60"),
@@ -186,7 +186,7 @@
                         R"({"mode":"stale","revision":)" + std::to_string(revision) + "}"));
     EXPECT_EQ(platform.json("/v1/documents")["documents"][0]["version"].asUInt(), 1U);
     fetch(platform.spec("POST", "/control", R"({"mode":"down"})"));
-    EXPECT_EQ(fetch(platform.spec("GET", "/v1/documents")).end, CallEnd::NoAnswer);
+    EXPECT_EQ(fetch(platform.spec("GET", "/v1/documents")).end, CallEnd::NoResponse);
     fetch(platform.spec("POST", "/control", R"({"mode":"normal"})"));
     EXPECT_EQ(platform.json("/v1/documents")["documents"][0]["version"].asUInt(), 2U);
 }
--- a/test/process/TestFleet.cpp
+++ b/test/process/TestFleet.cpp
@@ -75,7 +75,7 @@
 
 bool isListening(const Endpoint &endpoint)
 {
-    return send(endpoint, "GET", "/stats", "").end == CallEnd::Whole;
+    return send(endpoint, "GET", "/stats", "").end == CallEnd::Complete;
 }
 
 } // namespace
--- a/test/sessions/RecordTrace.cpp
+++ b/test/sessions/RecordTrace.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-std::string lineOf(const Json::Value &json)
+std::string toJsonLine(const Json::Value &json)
 {
     Json::StreamWriterBuilder builder;
     builder["indentation"] = "";
@@ -26,12 +26,12 @@
     explicit Recorder(FakeNode &node)
     {
         node.watchEvents = [this, &node](const Event &event, TimePoint now, WallTime wall) {
-            if (!m_hasHead)
-                std::cout << lineOf(headToJson(node.options(), now, wall)) << '\n';
-            m_hasHead = true;
+            if (!m_hasHeader)
+                std::cout << toJsonLine(headerToJson(node.options(), now, wall)) << '\n';
+            m_hasHeader = true;
             if (std::holds_alternative<AttemptDone>(event))
                 ++m_outcome["answered"];
-            std::cout << lineOf(eventToJson(event, now, wall)) << '\n';
+            std::cout << toJsonLine(eventToJson(event, now, wall)) << '\n';
         };
         node.watchActions = [this](const Action &action) {
             if (std::holds_alternative<Dispatch>(action))
@@ -48,16 +48,16 @@
         Json::Value json;
         for (const auto &[name, count] : m_outcome)
             json["expected"][name] = Json::UInt64(count);
-        std::cout << lineOf(json) << '\n';
+        std::cout << toJsonLine(json) << '\n';
     }
 
 private:
-    bool m_hasHead = false;
-    Outcome m_outcome;
+    bool m_hasHeader = false;
+    OutcomeCounts m_outcome;
 };
 
 /// A short story: work on cold targets, a target crashes, a zone goes out, the node stops by plan.
-void record(DeploymentOptions options, std::uint64_t seed)
+void recordTrace(DeploymentOptions options, std::uint64_t seed)
 {
     options.callers.engineLoad = 0.2;
     options.callers.meanCost = 1.0;
@@ -91,7 +91,8 @@
         TCLAP::ValueArg<std::uint64_t> seed("s", "seed", "the run's seed", false, 1, "seed",
                                             command);
         command.parse(argc, argv);
-        record(deployment.getValue() == "men-gom" ? menGom() : riviereBells(), seed.getValue());
+        recordTrace(deployment.getValue() == "men-gom" ? menGom() : riviereBells(),
+                    seed.getValue());
         return 0;
     } catch (const std::exception &error) {
         std::cerr << "recordtrace: " << error.what() << '\n';
--- a/test/standins/Engine.cpp
+++ b/test/standins/Engine.cpp
@@ -87,7 +87,7 @@
             const auto &body = m_exchange->request().body();
             end(true);
             return m_exchange->respondWithExcessBytes(200, "text/event-stream",
-                                                      wholeStream(body, m_tokens));
+                                                      completeStream(body, m_tokens));
         }
         m_exchange->beginChunkedResponse(200, "text/event-stream");
         sendNext();
@@ -108,7 +108,7 @@
         if (m_nextToken > m_tokens)
             return sendEnd();
         m_exchange->sendChunk(
-            streamEvent(m_nextToken, streamToken(m_exchange->request().body(), m_nextToken)));
+            formatStreamEvent(m_nextToken, streamToken(m_exchange->request().body(), m_nextToken)));
         ++m_nextToken;
         const double period = 1.0 / m_engine.m_options.tokensPerSecond;
         m_timer.expires_at(m_timer.expiry() + fromSeconds(period));
@@ -118,7 +118,7 @@
     void sendEnd()
     {
         end(true);
-        m_exchange->sendChunk(streamEvent(m_nextToken, streamEnd));
+        m_exchange->sendChunk(formatStreamEvent(m_nextToken, streamEndMarker));
         m_exchange->endChunkedResponse();
     }
 
--- a/test/standins/Service.cpp
+++ b/test/standins/Service.cpp
@@ -35,10 +35,10 @@
         return exchange->respond(200, "application/json", toText(m_meter.load()));
     if (exchange->request().method() == boost::beast::http::verb::get)
         return execute(exchange, m_options.lookupTime,
-                       lookupAnswer(std::string(exchange->request().target())));
+                       lookupResponse(std::string(exchange->request().target())));
     if (path != "/purchases")
         return exchange->respond(404, "text/plain", "unknown path\n");
-    execute(exchange, m_options.purchaseTime, purchaseAnswer(exchange->request().body()));
+    execute(exchange, m_options.purchaseTime, purchaseResponse(exchange->request().body()));
 }
 
 void Service::execute(const std::shared_ptr<Exchange> &exchange, Duration duration,
--- a/tools/berylload/AnswerText.cpp
+++ b/tools/berylload/AnswerText.cpp
@@ -23,7 +23,7 @@
     return hex(hash64(std::to_string(index), hash64(requestBody)));
 }
 
-std::string streamEvent(std::uint64_t index, std::string_view text)
+std::string formatStreamEvent(std::uint64_t index, std::string_view text)
 {
     std::string event = "id: " + std::to_string(index) + "\ndata: ";
     event.append(text);
@@ -31,20 +31,20 @@
     return event;
 }
 
-std::string wholeStream(std::string_view requestBody, std::uint64_t tokens)
+std::string completeStream(std::string_view requestBody, std::uint64_t tokens)
 {
     std::string stream;
     for (std::uint64_t i = 1; i <= tokens; ++i)
-        stream += streamEvent(i, streamToken(requestBody, i));
-    return stream + streamEvent(tokens + 1, streamEnd);
+        stream += formatStreamEvent(i, streamToken(requestBody, i));
+    return stream + formatStreamEvent(tokens + 1, streamEndMarker);
 }
 
-std::string lookupAnswer(std::string_view path)
+std::string lookupResponse(std::string_view path)
 {
     return R"({"lookup":")" + hex(hash64(path)) + "\"}";
 }
 
-std::string purchaseAnswer(std::string_view requestBody)
+std::string purchaseResponse(std::string_view requestBody)
 {
     return R"({"receipt":")" + hex(hash64(requestBody)) + "\"}";
 }
--- a/tools/berylload/Sampler.h
+++ b/tools/berylload/EngineSampler.h
@@ -32,30 +32,30 @@
 
 /// Weighted max-min fair parts of a capacity: nobody gets more than it asks for, and what one
 /// leaves over goes to the others by weight.
-std::vector<double> fairParts(const std::vector<double> &demands,
-                              const std::vector<double> &weights, double capacity);
+std::vector<double> maxMinFairShares(const std::vector<double> &demands,
+                                     const std::vector<double> &weights, double capacity);
 
 /// The largest change of the difference in service per weight between two workspaces while both
 /// are backlogged without a break.
 Fairness measureFairness(const std::vector<Sample> &samples, const std::vector<double> &weights);
 
-class Sampler
+class EngineSampler
 {
 public:
-    Sampler(boost::asio::io_context &io, const Profile &profile, const Tally &tally);
+    EngineSampler(boost::asio::io_context &io, const Profile &profile, const Tally &tally);
 
     /// Takes samples until the function says so; then the samples are complete.
     void start(std::function<bool()> isDone);
     const std::vector<Sample> &samples() const { return m_samples; }
 
 private:
-    struct Round;
-    void take();
-    void finish(const Round &round);
+    struct PendingSample;
+    void startSample();
+    void finishSample(const PendingSample &pending);
 
     const Profile &m_profile;
     const Tally &m_tally;
-    HttpCaller m_caller;
+    PooledHttpClient m_client;
     boost::asio::steady_timer m_timer;
     std::function<bool()> m_isDone;
     std::vector<Sample> m_samples;
--- a/tools/berylload/Generator.cpp
+++ b/tools/berylload/Generator.cpp
@@ -12,18 +12,19 @@
 
 namespace {
 
-constexpr std::size_t mostWrongsKept = 20;
-constexpr auto shortestPause = std::chrono::milliseconds(50);
-constexpr auto longestPause = std::chrono::milliseconds(1000);
+constexpr std::size_t maxFaultyResponses = 20;
+constexpr auto minRetryDelay = std::chrono::milliseconds(50);
+constexpr auto maxRetryDelay = std::chrono::milliseconds(1000);
 
 /// How long to wait before a purchase is sent again, as its refusal asks within limits.
-Duration pauseAfter(const CallResult &result)
+Duration retryDelay(const CallResult &result)
 {
-    const Duration asked = std::chrono::seconds(std::atoi(result.header("Retry-After").c_str()));
-    return std::clamp<Duration>(asked, shortestPause, longestPause);
+    const Duration requested
+        = std::chrono::seconds(std::atoi(result.header("Retry-After").c_str()));
+    return std::clamp<Duration>(requested, minRetryDelay, maxRetryDelay);
 }
 
-std::size_t pick(RandomEngine &random, std::size_t count)
+std::size_t randomIndex(RandomEngine &random, std::size_t count)
 {
     return static_cast<std::size_t>(uniform(random) * static_cast<double>(count));
 }
@@ -33,7 +34,7 @@
 Generator::Generator(boost::asio::io_context &io, const Profile &profile)
     : m_io(io)
     , m_profile(profile)
-    , m_caller(io)
+    , m_client(io)
     , m_random(profile.seed)
 {
     m_tally.workspaces.resize(profile.workspaces.size());
@@ -41,21 +42,21 @@
 
 void Generator::start()
 {
-    m_end = std::chrono::steady_clock::now() + fromSeconds(m_profile.seconds);
+    m_endTime = std::chrono::steady_clock::now() + fromSeconds(m_profile.seconds);
     for (std::size_t i = 0; i < m_profile.workspaces.size(); ++i) {
         const auto &spec = m_profile.workspaces[i];
-        arrivals(i, RequestKind::Stream, spec.streams);
-        arrivals(i, RequestKind::Lookup, spec.lookups);
-        arrivals(i, RequestKind::Purchase, spec.purchases);
+        startArrivals(i, RequestKind::Stream, spec.streams);
+        startArrivals(i, RequestKind::Lookup, spec.lookups);
+        startArrivals(i, RequestKind::Purchase, spec.purchases);
         for (std::uint32_t caller = 0; caller < spec.lookupCallers; ++caller) {
-            Job job = newJob(i, RequestKind::Lookup);
-            job.isRepeated = true;
-            send(std::move(job));
+            LoadRequest request = makeRequest(i, RequestKind::Lookup);
+            request.isClosedLoop = true;
+            send(std::move(request));
         }
     }
 }
 
-void Generator::arrivals(std::size_t workspace, RequestKind kind, double rate)
+void Generator::startArrivals(std::size_t workspace, RequestKind kind, double rate)
 {
     if (rate <= 0)
         return;
@@ -68,9 +69,9 @@
 void Generator::scheduleNext(const std::shared_ptr<boost::asio::steady_timer> &timer,
                              std::size_t workspace, RequestKind kind, double rate)
 {
-    const double gap = std::exponential_distribution<double>(rate)(m_random);
-    const auto next = timer->expiry() + fromSeconds(gap);
-    if (next >= m_end) {
+    const double interval = std::exponential_distribution<double>(rate)(m_random);
+    const auto next = timer->expiry() + fromSeconds(interval);
+    if (next >= m_endTime) {
         --m_openArrivals;
         return;
     }
@@ -78,149 +79,154 @@
     timer->async_wait([this, timer, workspace, kind, rate](boost::system::error_code error) {
         if (error)
             return;
-        send(newJob(workspace, kind));
+        send(makeRequest(workspace, kind));
         scheduleNext(timer, workspace, kind, rate);
     });
 }
 
-Generator::Job Generator::newJob(std::size_t workspace, RequestKind kind)
+Generator::LoadRequest Generator::makeRequest(std::size_t workspace, RequestKind kind)
 {
     const auto &spec = m_profile.workspaces[workspace];
-    const std::string serial = spec.name + "-" + std::to_string(++m_serial);
-    Job job;
-    job.workspace = workspace;
-    job.kind = kind;
-    job.start = SystemClock().now();
-    job.spec.timeout = m_profile.timeout;
-    job.spec.headers
-        = {{"Authorization", "Bearer " + spec.key}, {"X-Request-Id", "load-" + serial}};
+    const std::string uniqueName = spec.name + "-" + std::to_string(++m_requestCount);
+    LoadRequest request;
+    request.workspace = workspace;
+    request.kind = kind;
+    request.start = SystemClock().now();
+    request.spec.timeout = m_profile.timeout;
+    request.spec.headers
+        = {{"Authorization", "Bearer " + spec.key}, {"X-Request-Id", "load-" + uniqueName}};
     if (m_profile.isDirect)
-        job.spec.headers.emplace_back("X-Workspace", spec.name);
-    job.spec.method = kind == RequestKind::Lookup ? "GET" : "POST";
+        request.spec.headers.emplace_back("X-Workspace", spec.name);
+    request.spec.method = kind == RequestKind::Lookup ? "GET" : "POST";
     if (kind == RequestKind::Stream) {
         const auto range = spec.mostTokens - spec.fewestTokens + 1;
-        const auto tokens = spec.fewestTokens + pick(m_random, range);
-        job.spec.target = "/generate";
-        job.spec.body = R"({"prompt":")" + serial + R"(","tokens":)" + std::to_string(tokens) + "}";
-        job.wanted = wholeStream(job.spec.body, tokens);
-        job.tokens = tokens;
+        const auto tokens = spec.fewestTokens + randomIndex(m_random, range);
+        request.spec.target = "/generate";
+        request.spec.body
+            = R"({"prompt":")" + uniqueName + R"(","tokens":)" + std::to_string(tokens) + "}";
+        request.expectedBody = completeStream(request.spec.body, tokens);
+        request.tokens = tokens;
     } else if (kind == RequestKind::Lookup) {
-        job.spec.target = "/recipes/" + serial;
-        job.wanted = lookupAnswer(job.spec.target);
+        request.spec.target = "/recipes/" + uniqueName;
+        request.expectedBody = lookupResponse(request.spec.target);
     } else {
-        job.spec.target = "/purchases";
-        job.spec.body = R"({"item":")" + serial + R"("})";
-        job.wanted = purchaseAnswer(job.spec.body);
-        job.key = uuidV7(SystemClock().wallNow(), m_random);
-        job.spec.headers.emplace_back("Idempotency-Key", job.key);
-        job.spec.timeout = m_profile.purchaseTimeout;
+        request.spec.target = "/purchases";
+        request.spec.body = R"({"item":")" + uniqueName + R"("})";
+        request.expectedBody = purchaseResponse(request.spec.body);
+        request.key = uuidV7(SystemClock().wallNow(), m_random);
+        request.spec.headers.emplace_back("Idempotency-Key", request.key);
+        request.spec.timeout = m_profile.purchaseTimeout;
     }
     if (kind != RequestKind::Lookup)
-        job.spec.headers.emplace_back("Content-Type", "application/json");
-    address(job);
-    return job;
+        request.spec.headers.emplace_back("Content-Type", "application/json");
+    chooseEndpoint(request);
+    return request;
 }
 
-void Generator::address(Job &job)
+void Generator::chooseEndpoint(LoadRequest &request)
 {
     if (m_profile.isDirect) {
         const auto &targets
-            = job.kind == RequestKind::Stream ? m_profile.engines : m_profile.services;
-        job.spec.endpoint = targets[pick(m_random, targets.size())];
+            = request.kind == RequestKind::Stream ? m_profile.engines : m_profile.services;
+        request.spec.endpoint = targets[randomIndex(m_random, targets.size())];
         return;
     }
-    const auto &own = m_profile.workspaces[job.workspace].routers;
-    const auto drawn
-        = own.empty() ? pick(m_random, m_profile.routers.size()) : own[pick(m_random, own.size())];
-    job.router = drawn;
-    job.spec.endpoint = m_profile.routers[drawn];
+    const auto &assignedRouters = m_profile.workspaces[request.workspace].routers;
+    const auto routerIndex = assignedRouters.empty()
+        ? randomIndex(m_random, m_profile.routers.size())
+        : assignedRouters[randomIndex(m_random, assignedRouters.size())];
+    request.router = routerIndex;
+    request.spec.endpoint = m_profile.routers[routerIndex];
     const auto &service
-        = job.kind == RequestKind::Stream ? m_profile.streamService : m_profile.plainService;
-    job.spec.target = "/v1/services/" + service + job.spec.target;
+        = request.kind == RequestKind::Stream ? m_profile.streamService : m_profile.plainService;
+    request.spec.target = "/v1/services/" + service + request.spec.target;
 }
 
-void Generator::send(Job job)
+void Generator::send(LoadRequest request)
 {
-    auto &tally = m_tally.workspaces[job.workspace];
-    if (job.attempt == 1) {
+    auto &tally = m_tally.workspaces[request.workspace];
+    if (request.attempt == 1) {
         ++tally.sent;
-        tally.tokensAsked += job.tokens;
+        tally.tokensRequested += request.tokens;
     }
-    if (job.kind == RequestKind::Stream)
+    if (request.kind == RequestKind::Stream)
         ++tally.openStreams;
     ++m_openRequests;
-    const auto spec = job.spec;
-    m_caller.call(spec, [this, job = std::move(job)](const CallResult &result) mutable {
-        ended(std::move(job), result);
+    const auto spec = request.spec;
+    m_client.call(spec, [this, request = std::move(request)](const CallResult &result) mutable {
+        onCallEnded(std::move(request), result);
     });
 }
 
-void Generator::ended(Job job, const CallResult &result)
+void Generator::onCallEnded(LoadRequest request, const CallResult &result)
 {
     --m_openRequests;
-    auto &tally = m_tally.workspaces[job.workspace];
-    if (job.kind == RequestKind::Stream)
+    auto &tally = m_tally.workspaces[request.workspace];
+    if (request.kind == RequestKind::Stream)
         --tally.openStreams;
-    const Outcome outcome = judge(result, job.wanted, m_profile.isDirect);
-    note(job, outcome, result);
-    if (job.kind != RequestKind::Purchase)
-        return settle(job, outcome);
-    auto &fate = m_tally.purchases[job.key];
-    const bool isHarmless = outcome == Outcome::NotRun || outcome == Outcome::ConnectFailed;
-    fate.isServed = fate.isServed || outcome == Outcome::Served;
-    fate.isDoubtful = fate.isDoubtful || (!isHarmless && outcome != Outcome::Served);
-    fate.isLastNotRun = outcome == Outcome::NotRun;
-    const bool isOver = outcome == Outcome::Served || outcome == Outcome::TargetError;
-    if (isOver || job.attempt >= m_profile.purchaseAttempts)
-        return settle(job, outcome);
-    retryPurchase(std::move(job), result);
+    const Outcome outcome = classifyResponse(result, request.expectedBody, m_profile.isDirect);
+    recordResponse(request, outcome, result);
+    if (request.kind != RequestKind::Purchase)
+        return finishRequest(request, outcome);
+    auto &keyOutcome = m_tally.purchases[request.key];
+    const bool isKnownNotRun = outcome == Outcome::NotRun || outcome == Outcome::ConnectFailed;
+    keyOutcome.isServed = keyOutcome.isServed || outcome == Outcome::Served;
+    keyOutcome.hasUnknownOutcome
+        = keyOutcome.hasUnknownOutcome || (!isKnownNotRun && outcome != Outcome::Served);
+    keyOutcome.isLastAttemptNotRun = outcome == Outcome::NotRun;
+    const bool isFinal = outcome == Outcome::Served || outcome == Outcome::TargetError;
+    if (isFinal || request.attempt >= m_profile.purchaseAttempts)
+        return finishRequest(request, outcome);
+    retryPurchase(std::move(request), result);
 }
 
-void Generator::settle(const Job &job, Outcome outcome)
+void Generator::finishRequest(const LoadRequest &request, Outcome outcome)
 {
-    auto &tally = m_tally.workspaces[job.workspace];
+    auto &tally = m_tally.workspaces[request.workspace];
     tally.add(outcome);
-    if (job.isRepeated && std::chrono::steady_clock::now() < m_end) {
-        Job next = newJob(job.workspace, job.kind);
-        next.isRepeated = true;
+    if (request.isClosedLoop && std::chrono::steady_clock::now() < m_endTime) {
+        LoadRequest next = makeRequest(request.workspace, request.kind);
+        next.isClosedLoop = true;
         send(std::move(next));
     }
     if (outcome != Outcome::Served)
         return;
-    tally.tokensServed += job.tokens;
-    if (job.kind == RequestKind::Lookup)
-        tally.lookup.add(SystemClock().now() - job.start);
-    if (job.kind == RequestKind::Purchase)
-        tally.purchase.add(SystemClock().now() - job.start);
+    tally.tokensServed += request.tokens;
+    if (request.kind == RequestKind::Lookup)
+        tally.lookup.add(SystemClock().now() - request.start);
+    if (request.kind == RequestKind::Purchase)
+        tally.purchase.add(SystemClock().now() - request.start);
 }
 
-void Generator::note(const Job &job, Outcome outcome, const CallResult &result)
+void Generator::recordResponse(const LoadRequest &request, Outcome outcome,
+                               const CallResult &result)
 {
-    if (outcome == Outcome::Served && job.kind == RequestKind::Stream)
-        m_tally.workspaces[job.workspace].firstByte.add(result.firstByte);
-    if (outcome != Outcome::Wrong && outcome != Outcome::BadRefusal)
+    if (outcome == Outcome::Served && request.kind == RequestKind::Stream)
+        m_tally.workspaces[request.workspace].firstByte.add(result.firstByte);
+    if (outcome != Outcome::WrongBody && outcome != Outcome::MissingVerdict)
         return;
-    if (m_tally.wrongs.size() < mostWrongsKept) {
-        m_tally.wrongs.push_back(std::string(outcomeName(outcome)) + ": " + job.spec.target + " "
-                                 + std::to_string(result.status) + " "
-                                 + result.body.substr(0, 200));
+    if (m_tally.faultyResponses.size() < maxFaultyResponses) {
+        m_tally.faultyResponses.push_back(
+            std::string(outcomeName(outcome)) + ": " + request.spec.target + " "
+            + std::to_string(result.status) + " " + result.body.substr(0, 200));
     }
 }
 
-void Generator::retryPurchase(Job job, const CallResult &result)
+void Generator::retryPurchase(LoadRequest request, const CallResult &result)
 {
-    ++job.attempt;
+    ++request.attempt;
     if (!m_profile.isDirect) {
-        job.router = (job.router + 1) % m_profile.routers.size();
-        job.spec.endpoint = m_profile.routers[job.router];
+        request.router = (request.router + 1) % m_profile.routers.size();
+        request.spec.endpoint = m_profile.routers[request.router];
     }
     ++m_openRequests;
-    auto timer = std::make_shared<boost::asio::steady_timer>(m_io, pauseAfter(result));
-    timer->async_wait([this, timer, job = std::move(job)](boost::system::error_code error) mutable {
-        --m_openRequests;
-        if (!error)
-            send(std::move(job));
-    });
+    auto timer = std::make_shared<boost::asio::steady_timer>(m_io, retryDelay(result));
+    timer->async_wait(
+        [this, timer, request = std::move(request)](boost::system::error_code error) mutable {
+            --m_openRequests;
+            if (!error)
+                send(std::move(request));
+        });
 }
 
 } // namespace berylridge
--- a/tools/berylload/Generator.h
+++ b/tools/berylload/Generator.h
@@ -1,4 +1,4 @@
-// Sends the load of a profile, open loop: arrivals follow the clock, not the answers. For the
+// Sends the load of a profile, open loop: startArrivals follow the clock, not the answers. For the
 // measure of throughput, some callers wait for their answers instead.
 #pragma once
 
@@ -26,40 +26,40 @@
 
 private:
     /// One purchase over its attempts, or one other request.
-    struct Job
+    struct LoadRequest
     {
         std::size_t workspace = 0;
         RequestKind kind = RequestKind::Lookup;
         CallSpec spec;
-        std::string wanted;
+        std::string expectedBody;
         std::uint64_t tokens = 0;
         std::string key;
         std::uint32_t attempt = 1;
         TimePoint start {};
         std::size_t router = 0;
-        bool isRepeated = false; ///< Of a caller that sends the next one after its answer.
+        bool isClosedLoop = false; ///< Of a caller that sends the next one after its answer.
     };
 
-    void arrivals(std::size_t workspace, RequestKind kind, double rate);
+    void startArrivals(std::size_t workspace, RequestKind kind, double rate);
     void scheduleNext(const std::shared_ptr<boost::asio::steady_timer> &timer,
                       std::size_t workspace, RequestKind kind, double rate);
-    Job newJob(std::size_t workspace, RequestKind kind);
-    void address(Job &job);
-    void send(Job job);
-    void ended(Job job, const CallResult &result);
-    void settle(const Job &job, Outcome outcome);
-    void note(const Job &job, Outcome outcome, const CallResult &result);
-    void retryPurchase(Job job, const CallResult &result);
+    LoadRequest makeRequest(std::size_t workspace, RequestKind kind);
+    void chooseEndpoint(LoadRequest &request);
+    void send(LoadRequest request);
+    void onCallEnded(LoadRequest request, const CallResult &result);
+    void finishRequest(const LoadRequest &request, Outcome outcome);
+    void recordResponse(const LoadRequest &request, Outcome outcome, const CallResult &result);
+    void retryPurchase(LoadRequest request, const CallResult &result);
 
     boost::asio::io_context &m_io;
     const Profile &m_profile;
-    HttpCaller m_caller;
+    PooledHttpClient m_client;
     RandomEngine m_random;
     Tally m_tally;
-    std::uint64_t m_serial = 0;
+    std::uint64_t m_requestCount = 0;
     std::uint32_t m_openArrivals = 0;
     std::uint32_t m_openRequests = 0;
-    std::chrono::steady_clock::time_point m_end;
+    std::chrono::steady_clock::time_point m_endTime;
 };
 
 } // namespace berylridge
--- a/tools/berylload/HttpCall.cpp
+++ b/tools/berylload/HttpCall.cpp
@@ -49,10 +49,10 @@
 }
 
 /// Connections that wait for their next call.
-class HttpCaller::Pool
+class PooledHttpClient::Pool
 {
 public:
-    std::unique_ptr<beast::tcp_stream> take(const Endpoint &endpoint)
+    std::unique_ptr<beast::tcp_stream> acquire(const Endpoint &endpoint)
     {
         auto &idle = m_idle[{endpoint.address, endpoint.port}];
         while (!idle.empty()) {
@@ -63,7 +63,7 @@
         }
         return nullptr;
     }
-    void put(const Endpoint &endpoint, std::unique_ptr<beast::tcp_stream> stream)
+    void release(const Endpoint &endpoint, std::unique_ptr<beast::tcp_stream> stream)
     {
         m_idle[{endpoint.address, endpoint.port}].push_back(std::move(stream));
     }
@@ -73,7 +73,7 @@
     std::map<Key, std::vector<std::unique_ptr<beast::tcp_stream>>> m_idle;
 };
 
-class HttpCaller::Call : public std::enable_shared_from_this<Call>
+class PooledHttpClient::Call : public std::enable_shared_from_this<Call>
 {
 public:
     Call(asio::io_context &io, std::shared_ptr<Pool> pool, CallSpec spec,
@@ -88,8 +88,8 @@
 
     void start()
     {
-        prepare();
-        m_stream = m_pool->take(m_spec.endpoint);
+        prepareRequest();
+        m_stream = m_pool->acquire(m_spec.endpoint);
         if (m_stream) {
             m_stream->expires_after(m_spec.timeout);
             return write();
@@ -112,7 +112,7 @@
     }
 
 private:
-    void prepare()
+    void prepareRequest()
     {
         m_request.method_string(m_spec.method);
         m_request.target(m_spec.target);
@@ -130,7 +130,7 @@
         http::async_write(*m_stream, m_request,
                           [self = shared_from_this()](error_code error, std::size_t) {
                               if (error)
-                                  return self->end(CallEnd::NoAnswer, error);
+                                  return self->end(CallEnd::NoResponse, error);
                               self->readHead();
                           });
     }
@@ -140,7 +140,7 @@
         http::async_read_header(*m_stream, m_buffer, m_parser,
                                 [self = shared_from_this()](error_code error, std::size_t) {
                                     if (error)
-                                        return self->end(CallEnd::NoAnswer, error);
+                                        return self->end(CallEnd::NoResponse, error);
                                     self->readBody();
                                 });
     }
@@ -148,38 +148,39 @@
     void readBody()
     {
         if (!m_parser.get().body().empty())
-            noteFirstByte();
+            recordFirstByte();
         if (m_parser.is_done())
-            return end(CallEnd::Whole, {});
+            return end(CallEnd::Complete, {});
         http::async_read_some(*m_stream, m_buffer, m_parser,
                               [self = shared_from_this()](error_code error, std::size_t) {
                                   if (error)
-                                      return self->end(CallEnd::Cut, error);
+                                      return self->end(CallEnd::Truncated, error);
                                   self->readBody();
                               });
     }
 
-    void noteFirstByte()
+    void recordFirstByte()
     {
         if (m_result.firstByte.count() == 0)
             m_result.firstByte = SystemClock().now() - m_start;
     }
 
-    void end(CallEnd how, error_code error)
+    void end(CallEnd callEnd, error_code error)
     {
-        m_result.end = error == beast::error::timeout ? CallEnd::TimedOut : how;
-        m_result.problem = error ? error.message() : "";
+        m_result.end = error == beast::error::timeout ? CallEnd::TimedOut : callEnd;
+        m_result.errorMessage = error ? error.message() : "";
         m_result.total = SystemClock().now() - m_start;
-        const auto &answer = m_parser.get();
-        m_result.status = m_parser.is_header_done() ? answer.result_int() : 0;
-        for (const auto &field : answer)
+        const auto &response = m_parser.get();
+        m_result.status = m_parser.is_header_done() ? response.result_int() : 0;
+        for (const auto &field : response)
             m_result.headers[lowerCase(std::string(field.name_string()))]
                 = std::string(field.value());
         m_result.body = m_parser.get().body();
-        // Bytes beyond the answer would be taken for the next one.
-        if (how == CallEnd::Whole && !error && m_parser.keep_alive() && m_buffer.size() == 0) {
+        // Bytes beyond the response would be taken for the next one.
+        if (callEnd == CallEnd::Complete && !error && m_parser.keep_alive()
+            && m_buffer.size() == 0) {
             m_stream->expires_never();
-            m_pool->put(m_spec.endpoint, std::move(m_stream));
+            m_pool->release(m_spec.endpoint, std::move(m_stream));
         }
         m_stream.reset();
         m_done(std::move(m_result));
@@ -197,15 +198,15 @@
     CallResult m_result;
 };
 
-HttpCaller::HttpCaller(asio::io_context &io)
+PooledHttpClient::PooledHttpClient(asio::io_context &io)
     : m_io(io)
     , m_pool(std::make_shared<Pool>())
 {
 }
 
-HttpCaller::~HttpCaller() = default;
+PooledHttpClient::~PooledHttpClient() = default;
 
-void HttpCaller::call(CallSpec spec, std::function<void(CallResult)> done)
+void PooledHttpClient::call(CallSpec spec, std::function<void(CallResult)> done)
 {
     std::make_shared<Call>(m_io, m_pool, std::move(spec), std::move(done))->start();
 }
@@ -213,10 +214,10 @@
 CallResult fetch(CallSpec spec)
 {
     asio::io_context io;
-    HttpCaller caller(io);
+    PooledHttpClient client(io);
     CallResult result;
     spec.headers.emplace_back("Connection", "close");
-    caller.call(std::move(spec), [&](CallResult ended) { result = std::move(ended); });
+    client.call(std::move(spec), [&](CallResult ended) { result = std::move(ended); });
     io.run();
     return result;
 }
--- a/tools/berylload/HttpCall.h
+++ b/tools/berylload/HttpCall.h
@@ -27,9 +27,9 @@
 };
 
 enum class CallEnd : std::uint8_t {
-    Whole,         ///< The answer came to its end, by its own framing.
-    Cut,           ///< The answer began and the connection broke.
-    NoAnswer,      ///< The request went out and the connection broke before an answer.
+    Complete,      ///< The answer came to its end, by its own framing.
+    Truncated,     ///< The answer began and the connection broke.
+    NoResponse,    ///< The request went out and the connection broke before an answer.
     ConnectFailed, ///< Nothing went out.
     TimedOut,
 };
@@ -42,20 +42,20 @@
     std::string body;
     Duration firstByte {0}; ///< From the start to the first byte of the body.
     Duration total {0};
-    std::string problem; ///< Of the library, for people.
+    std::string errorMessage; ///< Of the library, for people.
 
     /// A header, or an empty text.
     std::string header(const std::string &name) const;
 };
 
 /// Keeps connections between calls. Used by one thread.
-class HttpCaller
+class PooledHttpClient
 {
 public:
-    explicit HttpCaller(boost::asio::io_context &io);
-    ~HttpCaller();
-    HttpCaller(const HttpCaller &) = delete;
-    HttpCaller &operator=(const HttpCaller &) = delete;
+    explicit PooledHttpClient(boost::asio::io_context &io);
+    ~PooledHttpClient();
+    PooledHttpClient(const PooledHttpClient &) = delete;
+    PooledHttpClient &operator=(const PooledHttpClient &) = delete;
 
     void call(CallSpec spec, std::function<void(CallResult)> done);
 
--- a/tools/berylload/Outcome.cpp
+++ b/tools/berylload/Outcome.cpp
@@ -6,14 +6,14 @@
 
 namespace {
 
-Outcome judgeRefusal(const CallResult &result, bool isDirect)
+Outcome classifyErrorResponse(const CallResult &result, bool isDirect)
 {
     const auto verdict = result.header("Berylridge-Verdict");
     if (verdict == "not-run")
         return Outcome::NotRun;
     if (verdict == "may-have-run")
         return Outcome::MayHaveRun;
-    return isDirect || verdict == "ran" ? Outcome::TargetError : Outcome::BadRefusal;
+    return isDirect || verdict == "ran" ? Outcome::TargetError : Outcome::MissingVerdict;
 }
 
 } // namespace
@@ -23,7 +23,7 @@
     switch (outcome) {
     case Outcome::Served:
         return "served";
-    case Outcome::Wrong:
+    case Outcome::WrongBody:
         return "wrong";
     case Outcome::Incomplete:
         return "incomplete";
@@ -33,9 +33,9 @@
         return "may-have-run";
     case Outcome::TargetError:
         return "target-error";
-    case Outcome::BadRefusal:
+    case Outcome::MissingVerdict:
         return "bad-refusal";
-    case Outcome::NoAnswer:
+    case Outcome::NoResponse:
         return "no-answer";
     case Outcome::ConnectFailed:
         return "connect-failed";
@@ -43,17 +43,17 @@
     return "unknown";
 }
 
-Outcome judge(const CallResult &result, const std::string &wanted, bool isDirect)
+Outcome classifyResponse(const CallResult &result, const std::string &expectedBody, bool isDirect)
 {
     if (result.end == CallEnd::ConnectFailed)
         return Outcome::ConnectFailed;
     if (result.status == 0)
-        return Outcome::NoAnswer;
-    if (result.end != CallEnd::Whole)
+        return Outcome::NoResponse;
+    if (result.end != CallEnd::Complete)
         return Outcome::Incomplete;
     if (result.status >= 400)
-        return judgeRefusal(result, isDirect);
-    return result.body == wanted ? Outcome::Served : Outcome::Wrong;
+        return classifyErrorResponse(result, isDirect);
+    return result.body == expectedBody ? Outcome::Served : Outcome::WrongBody;
 }
 
 } // namespace berylridge
--- a/tools/berylload/Outcome.h
+++ b/tools/berylload/Outcome.h
@@ -11,21 +11,21 @@
 enum class RequestKind : std::uint8_t { Stream, Lookup, Purchase };
 
 enum class Outcome : std::uint8_t {
-    Served,        ///< Whole, and the request's own.
-    Wrong,         ///< Looked whole but is not the request's answer: never allowed.
-    Incomplete,    ///< Visibly cut short.
-    NotRun,        ///< Refused with the verdict not-run.
-    MayHaveRun,    ///< Refused with the verdict may-have-run.
-    TargetError,   ///< The target itself answered with an error.
-    BadRefusal,    ///< An error that carries no verdict: never allowed from a router.
-    NoAnswer,      ///< The connection broke or timed out before an answer.
-    ConnectFailed, ///< Nothing was sent.
+    Served,         ///< Complete, and the request's own.
+    WrongBody,      ///< Looked whole but is not the request's answer: never allowed.
+    Incomplete,     ///< Visibly cut short.
+    NotRun,         ///< Refused with the verdict not-run.
+    MayHaveRun,     ///< Refused with the verdict may-have-run.
+    TargetError,    ///< The target itself answered with an error.
+    MissingVerdict, ///< An error that carries no verdict: never allowed from a router.
+    NoResponse,     ///< The connection broke or timed out before an answer.
+    ConnectFailed,  ///< Nothing was sent.
 };
 inline constexpr std::size_t outcomeCount = 9;
 
 const char *outcomeName(Outcome outcome);
 
 /// Judges an answer against the one that the request must get.
-Outcome judge(const CallResult &result, const std::string &wanted, bool isDirect);
+Outcome classifyResponse(const CallResult &result, const std::string &expectedBody, bool isDirect);
 
 } // namespace berylridge
--- a/tools/berylload/Profile.cpp
+++ b/tools/berylload/Profile.cpp
@@ -12,13 +12,13 @@
 class ObjectReader
 {
 public:
-    ObjectReader(const Json::Value &value, std::string place, std::string &errors)
+    ObjectReader(const Json::Value &value, std::string location, std::string &errors)
         : m_value(value)
-        , m_place(std::move(place))
+        , m_location(std::move(location))
         , m_errors(errors)
     {
         if (!m_value.isObject())
-            complain("must be an object");
+            addError("must be an object");
     }
     ObjectReader(const ObjectReader &) = delete;
     ObjectReader &operator=(const ObjectReader &) = delete;
@@ -27,14 +27,14 @@
         if (!m_value.isObject())
             return;
         for (const auto &name : m_value.getMemberNames()) {
-            if (!m_known.contains(name))
-                complain("unknown name \"" + name + "\"");
+            if (!m_knownMembers.contains(name))
+                addError("unknown name \"" + name + "\"");
         }
     }
 
     const Json::Value &member(const char *name)
     {
-        m_known.insert(name);
+        m_knownMembers.insert(name);
         static const Json::Value none;
         return m_value.isObject() && m_value.isMember(name) ? m_value[name] : none;
     }
@@ -46,7 +46,7 @@
         if (value.isArray())
             return value;
         if (!value.isNull())
-            complain(std::string(name) + " must be a list");
+            addError(std::string(name) + " must be a list");
         return empty;
     }
     void read(const char *name, std::string &out)
@@ -54,21 +54,21 @@
         if (const auto &value = member(name); value.isString())
             out = value.asString();
         else if (!value.isNull())
-            complain(std::string(name) + " must be a text");
+            addError(std::string(name) + " must be a text");
     }
     void read(const char *name, bool &out)
     {
         if (const auto &value = member(name); value.isBool())
             out = value.asBool();
         else if (!value.isNull())
-            complain(std::string(name) + " must be true or false");
+            addError(std::string(name) + " must be true or false");
     }
     void read(const char *name, double &out)
     {
         if (const auto &value = member(name); value.isNumeric() && value.asDouble() >= 0)
             out = value.asDouble();
         else if (!value.isNull())
-            complain(std::string(name) + " must be a number of at least 0");
+            addError(std::string(name) + " must be a number of at least 0");
     }
     template <std::unsigned_integral Number>
     void read(const char *name, Number &out)
@@ -76,7 +76,7 @@
         if (const auto &value = member(name); value.isUInt())
             out = static_cast<Number>(value.asUInt());
         else if (!value.isNull())
-            complain(std::string(name) + " must be a whole number of at least 0");
+            addError(std::string(name) + " must be a whole number of at least 0");
     }
     void readMs(const char *name, Duration &out)
     {
@@ -84,21 +84,21 @@
         read(name, ms);
         out = fromSeconds(ms / 1000);
     }
-    void complain(const std::string &message) { m_errors += m_place + ": " + message + "\n"; }
+    void addError(const std::string &message) { m_errors += m_location + ": " + message + "\n"; }
 
 private:
     const Json::Value &m_value;
-    std::string m_place;
+    std::string m_location;
     std::string &m_errors;
-    std::set<std::string> m_known;
+    std::set<std::string> m_knownMembers;
 };
 
-std::vector<Endpoint> readEndpoints(const Json::Value &list, const std::string &place,
+std::vector<Endpoint> readEndpoints(const Json::Value &list, const std::string &location,
                                     std::string &errors)
 {
     std::vector<Endpoint> endpoints;
     for (Json::ArrayIndex i = 0; i < list.size(); ++i) {
-        ObjectReader reader(list[i], place + "[" + std::to_string(i) + "]", errors);
+        ObjectReader reader(list[i], location + "[" + std::to_string(i) + "]", errors);
         Endpoint endpoint;
         reader.read("address", endpoint.address);
         reader.read("port", endpoint.port);
@@ -107,10 +107,10 @@
     return endpoints;
 }
 
-WorkspaceLoadSpec readWorkspace(const Json::Value &value, const std::string &place,
+WorkspaceLoadSpec readWorkspace(const Json::Value &value, const std::string &location,
                                 std::size_t routers, std::string &errors)
 {
-    ObjectReader reader(value, place, errors);
+    ObjectReader reader(value, location, errors);
     WorkspaceLoadSpec spec;
     reader.read("name", spec.name);
     reader.read("key", spec.key);
@@ -122,12 +122,12 @@
     reader.read("fewestTokens", spec.fewestTokens);
     reader.read("mostTokens", spec.mostTokens);
     if (spec.mostTokens < spec.fewestTokens)
-        reader.complain("mostTokens must be at least fewestTokens");
+        reader.addError("mostTokens must be at least fewestTokens");
     for (const auto &index : reader.list("routers")) {
         if (index.isUInt() && index.asUInt() < routers)
             spec.routers.push_back(index.asUInt());
         else
-            reader.complain("routers must be indices of the list of routers");
+            reader.addError("routers must be indices of the list of routers");
     }
     return spec;
 }
@@ -159,7 +159,7 @@
             profile.workspaces.push_back(readWorkspace(
                 list[i], "workspaces[" + std::to_string(i) + "]", profile.routers.size(), errors));
         if (profile.workspaces.empty())
-            reader.complain("workspaces must name at least one");
+            reader.addError("workspaces must name at least one");
     }
     if (!errors.empty()) {
         errors.pop_back();
--- a/tools/berylload/Report.cpp
+++ b/tools/berylload/Report.cpp
@@ -10,31 +10,31 @@
 
 namespace {
 
-constexpr std::size_t mostExamples = 10;
+constexpr std::size_t maxExamples = 10;
 
-Json::Value number(std::uint64_t value)
+Json::Value toJsonNumber(std::uint64_t value)
 {
     return {static_cast<Json::UInt64>(value)};
 }
 
-void judgeKey(const std::string &key, const PurchaseFate &fate, std::uint64_t executions,
-              PurchaseJudgement &judgement)
+void checkPurchaseKey(const std::string &key, const PurchaseOutcome &keyOutcome,
+                      std::uint64_t executions, PurchaseCheck &check)
 {
-    const char *fault = nullptr;
+    const char *violation = nullptr;
     if (executions > 1) {
-        ++judgement.doubled;
-        fault = "executed more than once";
-    } else if (fate.isServed && executions == 0) {
-        ++judgement.servedNotRun;
-        fault = "a receipt without an execution";
-    } else if (fate.isLastNotRun && executions > 0) {
-        ++judgement.falseNotRun;
-        fault = "said not to have run, and executed";
+        ++check.doubled;
+        violation = "executed more than once";
+    } else if (keyOutcome.isServed && executions == 0) {
+        ++check.servedNotRun;
+        violation = "a receipt without an execution";
+    } else if (keyOutcome.isLastAttemptNotRun && executions > 0) {
+        ++check.falseNotRun;
+        violation = "said not to have run, and executed";
     }
-    if (fault && judgement.examples.size() < mostExamples)
-        judgement.examples.push_back(key + ": " + fault);
-    judgement.served += fate.isServed ? 1 : 0;
-    judgement.doubtful += !fate.isServed && fate.isDoubtful ? 1 : 0;
+    if (violation && check.examples.size() < maxExamples)
+        check.examples.push_back(key + ": " + violation);
+    check.served += keyOutcome.isServed ? 1 : 0;
+    check.doubtful += !keyOutcome.isServed && keyOutcome.hasUnknownOutcome ? 1 : 0;
 }
 
 Json::Value workspaceRow(const WorkspaceLoadSpec &spec, const WorkspaceTally &tally, double share,
@@ -43,9 +43,9 @@
     Json::Value row;
     row["name"] = spec.name;
     row["weight"] = spec.weight;
-    row["sent"] = number(tally.sent);
+    row["sent"] = toJsonNumber(tally.sent);
     for (std::size_t i = 0; i < outcomeCount; ++i)
-        row["outcomes"][outcomeName(static_cast<Outcome>(i))] = number(tally.outcomes[i]);
+        row["outcomes"][outcomeName(static_cast<Outcome>(i))] = toJsonNumber(tally.outcomes[i]);
     row["serviceShare"] = share;
     row["fairShare"] = fairShare;
     row["firstByteP50Ms"] = tally.firstByte.quantileMs(0.5);
@@ -57,7 +57,7 @@
     return row;
 }
 
-/// Each workspace's part of the tokens served, had they been shared fairly.
+/// Each workspace's tokenShare of the tokens served, had they been shared fairly.
 std::vector<double> fairShares(const Profile &profile, const Tally &tally)
 {
     std::vector<double> demands;
@@ -66,25 +66,25 @@
     weights.reserve(profile.workspaces.size());
     double served = 0;
     for (std::size_t i = 0; i < profile.workspaces.size(); ++i) {
-        demands.push_back(static_cast<double>(tally.workspaces[i].tokensAsked));
+        demands.push_back(static_cast<double>(tally.workspaces[i].tokensRequested));
         weights.push_back(profile.workspaces[i].weight);
         served += static_cast<double>(tally.workspaces[i].tokensServed);
     }
-    auto parts = fairParts(demands, weights, served);
-    for (double &part : parts)
-        part /= std::max(served, 1.0);
-    return parts;
+    auto shares = maxMinFairShares(demands, weights, served);
+    for (double &tokenShare : shares)
+        tokenShare /= std::max(served, 1.0);
+    return shares;
 }
 
-Json::Value purchasesToJson(const PurchaseJudgement &purchases)
+Json::Value purchasesToJson(const PurchaseCheck &purchases)
 {
     Json::Value value;
-    value["keys"] = number(purchases.keys);
-    value["served"] = number(purchases.served);
-    value["doubtful"] = number(purchases.doubtful);
-    value["doubled"] = number(purchases.doubled);
-    value["servedNotRun"] = number(purchases.servedNotRun);
-    value["falseNotRun"] = number(purchases.falseNotRun);
+    value["keys"] = toJsonNumber(purchases.keys);
+    value["served"] = toJsonNumber(purchases.served);
+    value["doubtful"] = toJsonNumber(purchases.doubtful);
+    value["doubled"] = toJsonNumber(purchases.doubled);
+    value["servedNotRun"] = toJsonNumber(purchases.servedNotRun);
+    value["falseNotRun"] = toJsonNumber(purchases.falseNotRun);
     for (const auto &example : purchases.examples)
         value["examples"].append(example);
     return value;
@@ -94,7 +94,7 @@
 constexpr int countWidth = 9;
 constexpr int latencyWidth = 15;
 
-void printHead(std::ostream &out)
+void printHeader(std::ostream &out)
 {
     out << std::left << std::setw(nameWidth) << "workspace" << std::right;
     for (const char *column : {"sent", "served", "not-run", "may-have", "other", "share", "fair"})
@@ -110,12 +110,12 @@
     const auto served = outcomes["served"].asUInt64();
     const auto notRun = outcomes["not-run"].asUInt64();
     const auto mayHaveRun = outcomes["may-have-run"].asUInt64();
-    std::uint64_t all = 0;
+    std::uint64_t total = 0;
     for (const auto &count : outcomes)
-        all += count.asUInt64();
+        total += count.asUInt64();
     out << std::left << std::setw(nameWidth) << row["name"].asString() << std::right;
     for (const auto count :
-         {row["sent"].asUInt64(), served, notRun, mayHaveRun, all - served - notRun - mayHaveRun})
+         {row["sent"].asUInt64(), served, notRun, mayHaveRun, total - served - notRun - mayHaveRun})
         out << std::setw(countWidth) << count;
     out << std::fixed << std::setprecision(3);
     for (const char *column : {"serviceShare", "fairShare"})
@@ -128,7 +128,7 @@
 
 } // namespace
 
-Expected<PurchaseJudgement> judgePurchases(const Profile &profile, const Tally &tally)
+Expected<PurchaseCheck> checkPurchases(const Profile &profile, const Tally &tally)
 {
     std::map<std::string, std::uint64_t> executions;
     for (const auto &service : profile.services) {
@@ -137,54 +137,56 @@
         spec.target = "/stats";
         const auto result = fetch(std::move(spec));
         const auto stats = parseJson(result.body);
-        if (result.end != CallEnd::Whole || !stats)
+        if (result.end != CallEnd::Complete || !stats)
             return Reason {"no counts from the service at " + service.address + ":"
                            + std::to_string(service.port)};
         const auto &byKey = (*stats)["executionsByKey"];
         for (const auto &key : byKey.getMemberNames())
             executions[key] += byKey[key].asUInt64();
     }
-    PurchaseJudgement judgement;
-    judgement.keys = tally.purchases.size();
+    PurchaseCheck check;
+    check.keys = tally.purchases.size();
     if (profile.services.empty())
-        return judgement;
-    for (const auto &[key, fate] : tally.purchases)
-        judgeKey(key, fate, executions[key], judgement);
-    return judgement;
+        return check;
+    for (const auto &[key, keyOutcome] : tally.purchases)
+        checkPurchaseKey(key, keyOutcome, executions[key], check);
+    return check;
 }
 
 Json::Value makeReport(const Profile &profile, const Tally &tally, const Fairness &fairness,
-                       const PurchaseJudgement &purchases)
+                       const PurchaseCheck &purchases)
 {
     Json::Value report;
-    const double busy
+    const double totalBusySeconds
         = std::accumulate(fairness.busySeconds.begin(), fairness.busySeconds.end(), 0.0);
-    const auto fair = fairShares(profile, tally);
+    const auto fairShareByWorkspace = fairShares(profile, tally);
     std::uint64_t violations = purchases.violations();
     std::uint64_t served = 0;
     for (std::size_t i = 0; i < profile.workspaces.size(); ++i) {
         const auto &spec = profile.workspaces[i];
-        const auto &own = tally.workspaces[i];
-        const double share = busy > 0 ? fairness.busySeconds[i] / busy : 0;
-        report["workspaces"].append(workspaceRow(spec, own, share, fair[i]));
-        violations += own.count(Outcome::Wrong) + own.count(Outcome::BadRefusal);
-        served += own.count(Outcome::Served);
+        const auto &workspaceTally = tally.workspaces[i];
+        const double share = totalBusySeconds > 0 ? fairness.busySeconds[i] / totalBusySeconds : 0;
+        report["workspaces"].append(
+            workspaceRow(spec, workspaceTally, share, fairShareByWorkspace[i]));
+        violations += workspaceTally.count(Outcome::WrongBody)
+            + workspaceTally.count(Outcome::MissingVerdict);
+        served += workspaceTally.count(Outcome::Served);
     }
     report["purchases"] = purchasesToJson(purchases);
-    report["served"] = number(served);
+    report["served"] = toJsonNumber(served);
     report["servedPerSecond"] = static_cast<double>(served) / profile.seconds;
     report["fairnessGapSlotSeconds"] = fairness.gap;
     report["utilisationWhileWorkWaits"] = fairness.utilisation;
-    report["samplesWithWorkWaiting"] = number(fairness.backloggedSamples);
-    for (const auto &wrong : tally.wrongs)
-        report["wrongAnswers"].append(wrong);
-    report["violations"] = number(violations);
+    report["samplesWithWorkWaiting"] = toJsonNumber(fairness.backloggedSamples);
+    for (const auto &faultyResponse : tally.faultyResponses)
+        report["wrongAnswers"].append(faultyResponse);
+    report["violations"] = toJsonNumber(violations);
     return report;
 }
 
 void printReport(std::ostream &out, const Json::Value &report)
 {
-    printHead(out);
+    printHeader(out);
     for (const auto &row : report["workspaces"])
         printRow(out, row);
     const auto &purchases = report["purchases"];
@@ -197,8 +199,8 @@
         << " slot seconds; utilisation while work waits: "
         << report["utilisationWhileWorkWaits"].asDouble() << " over "
         << report["samplesWithWorkWaiting"].asUInt64() << " samples\n";
-    for (const auto &wrong : report["wrongAnswers"])
-        out << "  " << wrong.asString() << '\n';
+    for (const auto &faultyResponse : report["wrongAnswers"])
+        out << "  " << faultyResponse.asString() << '\n';
     for (const auto &example : purchases["examples"])
         out << "  " << example.asString() << '\n';
     out << "violations: " << report["violations"].asUInt64() << '\n';
--- a/tools/berylload/Report.h
+++ b/tools/berylload/Report.h
@@ -1,8 +1,8 @@
 // What a load run found, with its violations, as a table and as JSON.
 #pragma once
 
+#include "EngineSampler.h"
 #include "Profile.h"
-#include "Sampler.h"
 #include "Tally.h"
 
 #include <json/json.h>
@@ -13,7 +13,7 @@
 namespace berylridge {
 
 /// Compares what callers were told of purchases with what the plain services executed.
-struct PurchaseJudgement
+struct PurchaseCheck
 {
     std::uint64_t keys = 0;
     std::uint64_t served = 0;
@@ -27,11 +27,11 @@
 };
 
 /// Reads the plain services' counts. Fails where one of them doesn't answer.
-Expected<PurchaseJudgement> judgePurchases(const Profile &profile, const Tally &tally);
+Expected<PurchaseCheck> checkPurchases(const Profile &profile, const Tally &tally);
 
 /// The whole report; "violations" counts what must never happen.
 Json::Value makeReport(const Profile &profile, const Tally &tally, const Fairness &fairness,
-                       const PurchaseJudgement &purchases);
+                       const PurchaseCheck &purchases);
 
 void printReport(std::ostream &out, const Json::Value &report);
 
--- a/tools/berylload/Tally.cpp
+++ b/tools/berylload/Tally.cpp
@@ -6,25 +6,25 @@
 
 namespace {
 
-constexpr unsigned bins = 9000;
-constexpr double lowestMs = 0.01;
-constexpr double highestMs = 200000;
+constexpr unsigned binCount = 9000;
+constexpr double minLatencyMs = 0.01;
+constexpr double maxLatencyMs = 200000;
 
 } // namespace
 
-LatencySamples::LatencySamples()
-    : m_bins(boost::histogram::make_histogram(Axis(bins, lowestMs, highestMs)))
+LatencyHistogram::LatencyHistogram()
+    : m_bins(boost::histogram::make_histogram(Axis(binCount, minLatencyMs, maxLatencyMs)))
 {
 }
 
-void LatencySamples::add(Duration latency)
+void LatencyHistogram::add(Duration latency)
 {
     const double ms = std::chrono::duration<double, std::milli>(latency).count();
-    m_bins(std::clamp(ms, lowestMs, highestMs * 0.999));
+    m_bins(std::clamp(ms, minLatencyMs, maxLatencyMs * 0.999));
     ++m_count;
 }
 
-double LatencySamples::quantileMs(double part) const
+double LatencyHistogram::quantileMs(double quantile) const
 {
     if (m_count == 0)
         return 0;
@@ -32,10 +32,10 @@
     const auto &axis = m_bins.axis(0);
     for (int i = 0; i < axis.size(); ++i) {
         sum += m_bins.at(i);
-        if (sum >= part * static_cast<double>(m_count))
+        if (sum >= quantile * static_cast<double>(m_count))
             return axis.bin(i).upper();
     }
-    return highestMs;
+    return maxLatencyMs;
 }
 
 } // namespace berylridge
--- a/tools/berylload/Tally.h
+++ b/tools/berylload/Tally.h
@@ -1,4 +1,4 @@
-// What a load run saw: counts and latencies per workspace, and the fate of each purchase.
+// What a load run saw: counts and latencies per workspace, and the keyOutcome of each purchase.
 #pragma once
 
 #include "Outcome.h"
@@ -15,13 +15,13 @@
 namespace berylridge {
 
 /// Latencies in milliseconds, in bins that grow by a five-hundredth.
-class LatencySamples
+class LatencyHistogram
 {
 public:
-    LatencySamples();
+    LatencyHistogram();
     void add(Duration latency);
-    /// The upper edge of the bin that holds this part of all samples; 0 where there are none.
-    double quantileMs(double part) const;
+    /// The upper edge of the bin that holds this quantile of all samples; 0 where there are none.
+    double quantileMs(double quantile) const;
     std::uint64_t count() const { return m_count; }
 
 private:
@@ -33,12 +33,12 @@
 struct WorkspaceTally
 {
     std::uint64_t sent = 0;
-    std::uint64_t tokensAsked = 0;
+    std::uint64_t tokensRequested = 0;
     std::uint64_t tokensServed = 0;
     std::array<std::uint64_t, outcomeCount> outcomes {};
-    LatencySamples firstByte;      ///< Of streams.
-    LatencySamples lookup;         ///< To the end.
-    LatencySamples purchase;       ///< To the receipt, over all attempts.
+    LatencyHistogram firstByte;    ///< Of streams.
+    LatencyHistogram lookup;       ///< To the end.
+    LatencyHistogram purchase;     ///< To the receipt, over all attempts.
     std::uint32_t openStreams = 0; ///< Sent and not yet ended.
 
     std::uint64_t count(Outcome outcome) const
@@ -48,19 +48,20 @@
     void add(Outcome outcome) { ++outcomes[static_cast<std::size_t>(outcome)]; }
 };
 
-/// The fate of one key over all its attempts.
-struct PurchaseFate
+/// The keyOutcome of one key over all its attempts.
+struct PurchaseOutcome
 {
-    bool isServed = false;     ///< Some attempt got its receipt.
-    bool isDoubtful = false;   ///< Some attempt may have run it.
-    bool isLastNotRun = false; ///< The last attempt's answer said that the key has not run.
+    bool isServed = false;            ///< Some attempt got its receipt.
+    bool hasUnknownOutcome = false;   ///< Some attempt may have run it.
+    bool isLastAttemptNotRun = false; ///< The last attempt's answer said that the key has not run.
 };
 
 struct Tally
 {
     std::vector<WorkspaceTally> workspaces; ///< In the profile's order.
-    std::map<std::string, PurchaseFate> purchases;
-    std::vector<std::string> wrongs; ///< The first few answers that broke a promise, for people.
+    std::map<std::string, PurchaseOutcome> purchases;
+    std::vector<std::string>
+        faultyResponses; ///< The first few answers that broke a promise, for people.
 };
 
 } // namespace berylridge
--- a/tools/berylload/main.cpp
+++ b/tools/berylload/main.cpp
@@ -1,9 +1,9 @@
 // berylload: drives routers with an open-loop load and checks every answer.
+#include "EngineSampler.h"
 #include "Generator.h"
 #include "JsonText.h"
 #include "Profile.h"
 #include "Report.h"
-#include "Sampler.h"
 
 #include "berylridge/CommandLine/CommandLine.h"
 
@@ -27,7 +27,7 @@
 }
 
 /// What the profile lacks for its kind of run; null where nothing is missing.
-const char *unreachable(const Profile &profile)
+const char *missingEndpoints(const Profile &profile)
 {
     if (profile.isDirect && (profile.engines.empty() || profile.services.empty()))
         return "a direct run needs engines and services";
@@ -36,7 +36,7 @@
     return nullptr;
 }
 
-std::vector<double> weightsOf(const Profile &profile)
+std::vector<double> workspaceWeights(const Profile &profile)
 {
     std::vector<double> weights;
     for (const auto &spec : profile.workspaces)
@@ -48,17 +48,17 @@
 {
     boost::asio::io_context io;
     Generator generator(io, profile);
-    Sampler sampler(io, profile, generator.tally());
+    EngineSampler sampler(io, profile, generator.tally());
     generator.start();
     sampler.start([&] { return generator.isDone(); });
     io.run();
 
-    const auto purchases = judgePurchases(profile, generator.tally());
+    const auto purchases = checkPurchases(profile, generator.tally());
     if (!purchases) {
         std::cerr << purchases.failureReason() << '\n';
         return exitErrorsFound;
     }
-    const auto fairness = measureFairness(sampler.samples(), weightsOf(profile));
+    const auto fairness = measureFairness(sampler.samples(), workspaceWeights(profile));
     const auto report = makeReport(profile, generator.tally(), fairness, *purchases);
     printReport(std::cout, report);
     if (!jsonFile.empty())
@@ -85,8 +85,8 @@
     }
     Profile profile = *read;
     profile.isDirect = profile.isDirect || direct.getValue();
-    if (const auto fault = unreachable(profile)) {
-        std::cerr << profileFile.getValue() << ": " << fault << '\n';
+    if (const auto error = missingEndpoints(profile)) {
+        std::cerr << profileFile.getValue() << ": " << error << '\n';
         return exitUsageError;
     }
     return run(profile, json.getValue());
--- a/tools/berylreplay/BerylReplay.cpp
+++ b/tools/berylreplay/BerylReplay.cpp
@@ -11,21 +11,21 @@
 namespace {
 
 /// Compares what came with what the trace states; prints each difference.
-bool isAsStated(const Outcome &expected, const Outcome &outcome)
+bool matchesExpected(const OutcomeCounts &expected, const OutcomeCounts &outcome)
 {
-    bool isSame = true;
+    bool isEqual = true;
     for (const auto &[name, count] : expected) {
         const auto found = outcome.find(name);
         const std::uint64_t actual = found == outcome.end() ? 0 : found->second;
         if (actual == count)
             continue;
         std::cerr << name << ": stated " << count << ", came " << actual << '\n';
-        isSame = false;
+        isEqual = false;
     }
-    return isSame;
+    return isEqual;
 }
 
-int run(const std::string &file, const std::string &charts, bool isWhole)
+int run(const std::string &file, const std::string &charts, bool isVerbose)
 {
     std::ifstream in(file);
     if (!in) {
@@ -37,14 +37,14 @@
         std::cerr << trace.failureReason() << '\n';
         return 2;
     }
-    const auto outcome = replay(*trace, charts, isWhole, std::cout);
+    const auto outcome = replayTrace(*trace, charts, isVerbose, std::cout);
     if (!outcome) {
         std::cerr << outcome.failureReason() << '\n';
         return 2;
     }
     for (const auto &[name, count] : *outcome)
         std::cout << name << ' ' << count << '\n';
-    return isAsStated(trace->expected, *outcome) ? 0 : 1;
+    return matchesExpected(trace->expected, *outcome) ? 0 : 1;
 }
 
 } // namespace
@@ -58,11 +58,11 @@
             ' ', BERYLRIDGE_VERSION);
         TCLAP::ValueArg<std::string> charts("c", "charts", "directory of the state charts", false,
                                             "charts", "directory", command);
-        TCLAP::SwitchArg whole("w", "whole", "print messages, polls and probes too", command);
+        TCLAP::SwitchArg verbose("w", "whole", "print messages, polls and probes too", command);
         TCLAP::UnlabeledValueArg<std::string> file("trace", "trace file", true, "", "file",
                                                    command);
         command.parse(argc, argv);
-        return run(file.getValue(), charts.getValue(), whole.getValue());
+        return run(file.getValue(), charts.getValue(), verbose.getValue());
     } catch (const std::exception &error) {
         std::cerr << "berylreplay: " << error.what() << '\n';
         return 2;
--- a/tools/berylreplay/Session.cpp
+++ b/tools/berylreplay/Session.cpp
@@ -13,9 +13,9 @@
 class SessionWriter
 {
 public:
-    SessionWriter(const Trace &trace, bool isWhole, std::ostream &out)
+    SessionWriter(const Trace &trace, bool isVerbose, std::ostream &out)
         : m_start(trace.start)
-        , m_isWhole(isWhole)
+        , m_isVerbose(isVerbose)
         , m_out(out)
     {
     }
@@ -27,10 +27,10 @@
             std::visit([this](const auto &value) { write(value); }, action);
     }
 
-    Outcome outcome;
+    OutcomeCounts outcome;
 
 private:
-    std::ostream &line()
+    std::ostream &beginLine()
     {
         return m_out << std::fixed << std::setprecision(6) << std::setw(12)
                      << toSeconds(m_now - m_start) << "  ";
@@ -39,82 +39,82 @@
     void write(const Dispatch &action)
     {
         ++outcome["dispatched"];
-        line() << "dispatch " << action.handle << '/' << action.attempt << " to " << action.target
-               << (action.isResumed ? " resumed" : "") << '\n';
+        beginLine() << "dispatch " << action.handle << '/' << action.attempt << " to "
+                    << action.target << (action.isResumed ? " resumed" : "") << '\n';
     }
     void write(const AbortAttempt &action)
     {
-        line() << "abort " << action.handle << '/' << action.attempt << '\n';
+        beginLine() << "abort " << action.handle << '/' << action.attempt << '\n';
     }
     void write(const Refuse &action)
     {
         ++outcome["refused-" + std::string(verdictName(action.verdict))];
-        line() << "refuse " << action.handle << ' ' << action.status << ' ' << action.type << ' '
-               << verdictName(action.verdict) << '\n';
+        beginLine() << "refuse " << action.handle << ' ' << action.status << ' ' << action.type
+                    << ' ' << verdictName(action.verdict) << '\n';
     }
     void write(const SendStoredResponse &action)
     {
         ++outcome["kept"];
-        line() << "answer kept " << action.handle << ' ' << action.status << '\n';
+        beginLine() << "answer kept " << action.handle << ' ' << action.status << '\n';
     }
     void write(const RelayHeldResponse &action)
     {
         ++outcome["passed"];
-        line() << "pass answer " << action.handle << '/' << action.attempt << '\n';
+        beginLine() << "pass answer " << action.handle << '/' << action.attempt << '\n';
     }
     void write(const SendToNode &action)
     {
-        if (m_isWhole)
-            line() << "send " << action.to << ' '
-                   << peerMessageKindName(peerMessageKind(action.message)) << '\n';
+        if (m_isVerbose)
+            beginLine() << "send " << action.to << ' '
+                        << peerMessageKindName(peerMessageKind(action.message)) << '\n';
     }
     void write(const ProbeNode &action)
     {
-        if (m_isWhole)
-            line() << "probe " << action.node << '\n';
+        if (m_isVerbose)
+            beginLine() << "probe " << action.node << '\n';
     }
     void write(const PollTarget &action)
     {
-        if (m_isWhole)
-            line() << "poll " << action.target << '\n';
+        if (m_isVerbose)
+            beginLine() << "poll " << action.target << '\n';
     }
     void write(const WatchPlatform &action)
     {
-        line() << "watch platform " << (action.isOn ? "on" : "off") << '\n';
+        beginLine() << "watch platform " << (action.isOn ? "on" : "off") << '\n';
     }
     void write(const Readiness &action)
     {
-        line() << (action.isReady ? "ready" : "not ready") << '\n';
+        beginLine() << (action.isReady ? "ready" : "not ready") << '\n';
     }
-    void write(const Stopped &) { line() << "stopped\n"; }
+    void write(const Stopped &) { beginLine() << "stopped\n"; }
     void write(const Log &action)
     {
-        line() << "event " << static_cast<unsigned>(action.record.id) << ' '
-               << logEventInfo(action.record.id).name << ": " << action.record.detail << '\n';
+        beginLine() << "event " << static_cast<unsigned>(action.record.id) << ' '
+                    << logEventInfo(action.record.id).name << ": " << action.record.detail << '\n';
     }
     void write(const Audit &action)
     {
-        line() << "audit " << auditKindName(action.entry.kind) << ' ' << action.entry.what
-               << " from '" << action.entry.from << "' to '" << action.entry.to << "'\n";
+        beginLine() << "audit " << auditKindName(action.entry.kind) << ' ' << action.entry.what
+                    << " from '" << action.entry.from << "' to '" << action.entry.to << "'\n";
     }
 
     TimePoint m_start;
     TimePoint m_now {};
-    bool m_isWhole;
+    bool m_isVerbose;
     std::ostream &m_out;
 };
 
 } // namespace
 
-Expected<Outcome> replay(const Trace &trace, const std::string &chartDirectory, bool isWhole,
-                         std::ostream &out)
+Expected<OutcomeCounts> replayTrace(const Trace &trace, const std::string &chartDirectory,
+                                    bool isVerbose, std::ostream &out)
 {
     CoreOptions options = trace.options;
     options.chartDirectory = chartDirectory;
     auto core = RouterCore::create(options, trace.start, trace.startWall);
     if (!core)
         return Reason {core.failureReason()};
-    SessionWriter writer(trace, isWhole, out);
+    SessionWriter writer(trace, isVerbose, out);
     const auto feed = [&](const Event &event, TimePoint at, WallTime wall) {
         Actions actions;
         (*core)->handle(event, at, wall, actions);
--- a/tools/berylreplay/Session.h
+++ b/tools/berylreplay/Session.h
@@ -8,9 +8,9 @@
 namespace berylridge {
 
 /// Feeds the trace to a new core, its timers included, and prints a line for each decision on a
-/// request, state or document. With isWhole also messages, polls and probes. Fails when a chart is
-/// wrong.
-Expected<Outcome> replay(const Trace &trace, const std::string &chartDirectory, bool isWhole,
-                         std::ostream &out);
+/// request, state or document. With isVerbose also messages, polls and probes. Fails when a chart
+/// is wrong.
+Expected<OutcomeCounts> replayTrace(const Trace &trace, const std::string &chartDirectory,
+                                    bool isVerbose, std::ostream &out);
 
 } // namespace berylridge
--- a/tools/berylreplay/Trace.cpp
+++ b/tools/berylreplay/Trace.cpp
@@ -45,7 +45,7 @@
     return json;
 }
 
-VmEntry vmOf(const Json::Value &json)
+VmEntry vmFromJson(const Json::Value &json)
 {
     return {NodeId(json["node"].asString()), ZoneId(json["zone"].asString()),
             json["address"].asString(), static_cast<std::uint16_t>(json["port"].asUInt()),
@@ -69,7 +69,7 @@
     return json;
 }
 
-RequestArrived requestOf(const Json::Value &json)
+RequestArrived requestFromJson(const Json::Value &json)
 {
     RequestArrived e;
     e.handle = json["handle"].asUInt64();
@@ -85,46 +85,46 @@
     return e;
 }
 
-Json::Value typed(const char *type)
+Json::Value jsonOfType(const char *type)
 {
     Json::Value json;
     json["type"] = type;
     return json;
 }
 
-Json::Value attemptJson(const char *type, RequestHandle handle, AttemptNumber attempt)
+Json::Value attemptToJson(const char *type, RequestHandle handle, AttemptNumber attempt)
 {
-    Json::Value json = typed(type);
+    Json::Value json = jsonOfType(type);
     json["handle"] = Json::UInt64(handle);
     json["attempt"] = attempt;
     return json;
 }
 
-Json::Value bodyToJson(const Event &event)
+Json::Value eventFieldsToJson(const Event &event)
 {
     return std::visit(
         Overloaded {
             [](const RequestArrived &e) { return requestToJson(e); },
             [](const KeyIssueRequested &e) {
-                Json::Value json = typed("keyIssue");
+                Json::Value json = jsonOfType("keyIssue");
                 json["handle"] = Json::UInt64(e.handle);
                 json["id"] = e.requestId;
                 json["credential"] = e.credential;
                 return json;
             },
             [](const CallerGone &e) {
-                Json::Value json = typed("callerGone");
+                Json::Value json = jsonOfType("callerGone");
                 json["handle"] = Json::UInt64(e.handle);
                 return json;
             },
             [](const AttemptHead &e) {
-                Json::Value json = attemptJson("head", e.handle, e.attempt);
+                Json::Value json = attemptToJson("head", e.handle, e.attempt);
                 json["status"] = e.status;
                 json["boot"] = e.bootId;
                 return json;
             },
             [](const AttemptDone &e) {
-                Json::Value json = attemptJson("done", e.handle, e.attempt);
+                Json::Value json = attemptToJson("done", e.handle, e.attempt);
                 json["status"] = e.status;
                 json["boot"] = e.bootId;
                 json["bodyBytes"] = Json::UInt64(e.bodyBytes);
@@ -133,14 +133,14 @@
                 return json;
             },
             [](const AttemptFailed &e) {
-                Json::Value json = attemptJson("failed", e.handle, e.attempt);
+                Json::Value json = attemptToJson("failed", e.handle, e.attempt);
                 json["failure"] = static_cast<unsigned>(e.failure);
                 json["sentAny"] = e.sentAny;
                 json["answerBegun"] = e.answerBegun;
                 return json;
             },
             [](const TargetLoadReport &e) {
-                Json::Value json = typed("report");
+                Json::Value json = jsonOfType("report");
                 json["target"] = e.target.str();
                 json["boot"] = e.bootId;
                 json["running"] = e.running;
@@ -150,35 +150,35 @@
                 return json;
             },
             [](const TargetPollFailed &e) {
-                Json::Value json = typed("pollFailed");
+                Json::Value json = jsonOfType("pollFailed");
                 json["target"] = e.target.str();
                 json["failure"] = static_cast<unsigned>(e.failure);
                 json["poll"] = Json::UInt64(e.poll);
                 return json;
             },
             [](const NodeMessage &e) {
-                Json::Value json = typed("message");
+                Json::Value json = jsonOfType("message");
                 const std::string packed = packPeerMessage(e.message);
                 json["datagram"] = toHex(
                     DatagramEncoder(e.from, e.incarnation, traceKey).encode(std::span(&packed, 1)));
                 return json;
             },
             [](const ProbeEnded &e) {
-                Json::Value json = typed("probe");
+                Json::Value json = jsonOfType("probe");
                 json["node"] = e.node.str();
                 json["incarnation"] = Json::UInt64(e.incarnation);
                 json["isRefused"] = e.isRefused;
                 return json;
             },
             [](const DocumentArrived &e) {
-                Json::Value json = typed("document");
+                Json::Value json = jsonOfType("document");
                 json["name"] = e.document.name;
                 json["version"] = Json::UInt64(e.document.version);
                 json["text"] = e.document.text;
                 return json;
             },
             [](const VmListArrived &e) {
-                Json::Value json = typed("vms");
+                Json::Value json = jsonOfType("vms");
                 json["revision"] = Json::UInt64(e.list.revision);
                 json["vms"] = Json::Value(Json::arrayValue);
                 for (const VmEntry &vm : e.list.vms)
@@ -186,31 +186,31 @@
                 return json;
             },
             [](const PlatformReachability &e) {
-                Json::Value json = typed("platform");
+                Json::Value json = jsonOfType("platform");
                 json["isReachable"] = e.isReachable;
                 return json;
             },
             // Traces are of the core that shares by leases; it passes these over.
-            [](const CatalogArrived &) { return typed("catalog"); },
-            [](const DirectoryArrived &) { return typed("directory"); },
-            [](const SeedsChanged &) { return typed("seeds"); },
-            [](const TrafficThreadReport &) { return typed("lag"); },
+            [](const CatalogArrived &) { return jsonOfType("catalog"); },
+            [](const DirectoryArrived &) { return jsonOfType("directory"); },
+            [](const SeedsChanged &) { return jsonOfType("seeds"); },
+            [](const TrafficThreadReport &) { return jsonOfType("lag"); },
             [](const LeaveOrdered &e) {
-                Json::Value json = typed("leave");
+                Json::Value json = jsonOfType("leave");
                 json["who"] = e.who;
                 return json;
             },
             [](const ReturnOrdered &e) {
-                Json::Value json = typed("return");
+                Json::Value json = jsonOfType("return");
                 json["who"] = e.who;
                 return json;
             },
-            [](const TimerDue &) { return typed("timer"); },
+            [](const TimerDue &) { return jsonOfType("timer"); },
         },
         event);
 }
 
-std::optional<Event> messageOf(const Json::Value &json)
+std::optional<Event> messageFromJson(const Json::Value &json)
 {
     const std::string bytes = fromHex(json["datagram"].asString());
     auto datagram = decodeDatagram(traceKey, std::as_bytes(std::span(bytes)));
@@ -219,7 +219,7 @@
     return NodeMessage {datagram->from, datagram->incarnation, datagram->messages.front()};
 }
 
-std::optional<Event> targetEventOf(const std::string &type, const Json::Value &json)
+std::optional<Event> targetEventFromJson(const std::string &type, const Json::Value &json)
 {
     const RequestHandle handle = json["handle"].asUInt64();
     const AttemptNumber attempt = json["attempt"].asUInt();
@@ -251,18 +251,18 @@
     return std::nullopt;
 }
 
-std::optional<Event> eventOf(const Json::Value &json)
+std::optional<Event> eventFromJson(const Json::Value &json)
 {
     const std::string type = json["type"].asString();
     if (type == "request")
-        return requestOf(json);
+        return requestFromJson(json);
     if (type == "keyIssue")
         return KeyIssueRequested {json["handle"].asUInt64(), json["id"].asString(),
                                   json["credential"].asString()};
     if (type == "callerGone")
         return CallerGone {json["handle"].asUInt64()};
     if (type == "message")
-        return messageOf(json);
+        return messageFromJson(json);
     if (type == "probe")
         return ProbeEnded {NodeId(json["node"].asString()), json["incarnation"].asUInt64(),
                            json["isRefused"].asBool()};
@@ -273,7 +273,7 @@
         VmListArrived event;
         event.list.revision = json["revision"].asUInt64();
         for (const auto &vm : json["vms"])
-            event.list.vms.push_back(vmOf(vm));
+            event.list.vms.push_back(vmFromJson(vm));
         return event;
     }
     if (type == "platform")
@@ -284,10 +284,10 @@
         return ReturnOrdered {json["who"].asString()};
     if (type == "timer")
         return TimerDue {};
-    return targetEventOf(type, json);
+    return targetEventFromJson(type, json);
 }
 
-void readHead(const Json::Value &json, Trace &trace)
+void readHeader(const Json::Value &json, Trace &trace)
 {
     trace.options.node = NodeId(json["node"].asString());
     trace.options.zone = ZoneId(json["zone"].asString());
@@ -300,10 +300,10 @@
 }
 
 /// Takes in one line; false when it is none of a trace.
-bool readLine(const Json::Value &json, bool isFirst, Trace &trace)
+bool parseLine(const Json::Value &json, bool isFirst, Trace &trace)
 {
     if (isFirst) {
-        readHead(json, trace);
+        readHeader(json, trace);
         return json.isMember("node");
     }
     if (json.isMember("expected")) {
@@ -311,7 +311,7 @@
             trace.expected[name] = json["expected"][name].asUInt64();
         return true;
     }
-    auto event = eventOf(json);
+    auto event = eventFromJson(json);
     if (!event)
         return false;
     trace.events.push_back({TimePoint(Duration(json["at"].asInt64())),
@@ -322,7 +322,7 @@
 
 } // namespace
 
-Json::Value headToJson(const CoreOptions &options, TimePoint now, WallTime wall)
+Json::Value headerToJson(const CoreOptions &options, TimePoint now, WallTime wall)
 {
     Json::Value json;
     json["at"] = Json::Int64(now.time_since_epoch().count());
@@ -338,7 +338,7 @@
 
 Json::Value eventToJson(const Event &event, TimePoint now, WallTime wall)
 {
-    Json::Value json = bodyToJson(event);
+    Json::Value json = eventFieldsToJson(event);
     json["at"] = Json::Int64(now.time_since_epoch().count());
     json["wall"] = Json::Int64(wall.time_since_epoch().count());
     return json;
@@ -349,21 +349,21 @@
     Trace trace;
     const std::unique_ptr<Json::CharReader> reader(Json::CharReaderBuilder().newCharReader());
     std::string line;
-    for (int number = 1; std::getline(in, line); ++number) {
+    for (int lineNumber = 1; std::getline(in, line); ++lineNumber) {
         Json::Value json;
         std::string errors;
-        const std::string place = file + ":" + std::to_string(number) + ": ";
+        const std::string location = file + ":" + std::to_string(lineNumber) + ": ";
         try {
             if (!reader->parse(line.data(), line.data() + line.size(), &json, &errors))
-                return Reason {place + "not a JSON object"};
-            if (!readLine(json, number == 1, trace))
-                return Reason {place + "not a line of a trace"};
+                return Reason {location + "not a JSON object"};
+            if (!parseLine(json, lineNumber == 1, trace))
+                return Reason {location + "not a line of a trace"};
             const TimePoint before
                 = trace.events.size() > 1 ? trace.events.end()[-2].at : trace.start;
             if (!trace.events.empty() && trace.events.back().at < before)
-                return Reason {place + "time steps back"};
+                return Reason {location + "time steps back"};
         } catch (const std::exception &error) {
-            return Reason {place + error.what()};
+            return Reason {location + error.what()};
         }
     }
     return trace;
--- a/tools/berylreplay/Trace.h
+++ b/tools/berylreplay/Trace.h
@@ -21,7 +21,7 @@
 };
 
 /// Counts of a session, by name: answered, refused-not-run, refused-may-have-run, kept, dispatched.
-using Outcome = std::map<std::string, std::uint64_t>;
+using OutcomeCounts = std::map<std::string, std::uint64_t>;
 
 struct Trace
 {
@@ -29,11 +29,11 @@
     TimePoint start {};
     WallTime startWall {};
     std::vector<TraceEvent> events;
-    Outcome expected; ///< Stated by the trace's last line.
+    OutcomeCounts expected; ///< Stated by the trace's last line.
 };
 
 /// The trace's first line.
-Json::Value headToJson(const CoreOptions &options, TimePoint now, WallTime wall);
+Json::Value headerToJson(const CoreOptions &options, TimePoint now, WallTime wall);
 /// One event's line.
 Json::Value eventToJson(const Event &event, TimePoint now, WallTime wall);
 
