--- a/benchmarks/Documents.cpp
+++ b/benchmarks/Documents.cpp
@@ -1,5 +1,5 @@
-// What a service document costs a node: its size, the time to check it and put it into force, and
-// the memory that it holds, swept over workspaces and over targets. Prints one line a size.
+// Measures the cost of a service document at a node: its size, the time to validate and activate
+// it, and its memory, over the number of workspaces and of targets. Prints one line per size.
 #include "berylridge/Config/DocumentStore.h"
 #include "berylridge/Config/DocumentWriter.h"
 #include "berylridge/Support/Hash.h"
@@ -62,7 +62,7 @@
         const auto result = store.accept(std::move(document));
         times.push_back(microsecondsSince(begin));
         if (result.status != AcceptStatus::Accepted) {
-            std::printf("refused: %s\n", result.diagnostics.front().str().c_str());
+            std::printf("document refused: %s\n", result.diagnostics.front().str().c_str());
             return;
         }
         heapBytes = heapInUse() - before;
--- a/benchmarks/Shell.cpp
+++ b/benchmarks/Shell.cpp
@@ -1,6 +1,6 @@
-// What the I/O shell costs without any decisions: processor time a request on the traffic and the
-// control thread, added latency, cost of a streamed event, memory of idleConnections and waiting
-// callers.
+// Measures the cost of the I/O shell without decisions: processor time per request on the traffic
+// and the control thread, added latency, cost of a streamed event, and memory of idle connections
+// and waiting requests.
 #include "berylridge/Net/RouterNode.h"
 
 #include <algorithm>
@@ -29,8 +29,7 @@
 
 constexpr int callers = 8;
 constexpr int requestsPerCaller = 4000;
-constexpr int streamedEvents
-    = 5000; ///< A fifth of a millisecond apart, so that each goes baselineCallers.
+constexpr int streamedEvents = 5000; ///< Sent 0.2 ms apart, so that each is relayed alone.
 constexpr int idleCallers = 2000;
 constexpr int waitingCallers = 1000;
 constexpr const char *getRequest = "GET /v1/services/shop/x HTTP/1.1\r\nHost: r\r\n\r\n";
@@ -39,7 +38,7 @@
 constexpr const char *streamRequest = "GET /v1/services/shop/stream HTTP/1.1\r\nHost: r\r\n\r\n";
 constexpr const char *targetResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
-/// Sends everything to one target, or lets it wait.
+/// Dispatches every request to one target, or holds it if isHoldingRequests.
 class ForwardingCore
 {
 public:
@@ -65,20 +64,20 @@
     }
     TimePoint nextTimer() const { return TimePoint::max(); }
 
-    std::atomic<bool> isHoldingRequests {false}; // NOLINT: a switch of the measurement
+    std::atomic<bool> isHoldingRequests {false}; // NOLINT: set by the benchmark
 
 private:
     Endpoint m_target;
 };
 
-/// Answers each request at once, on a thread a connection.
+/// Responds to each request immediately, with one thread per connection.
 class FastTarget
 {
 public:
     FastTarget()
         : m_acceptor(m_context, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0))
     {
-        std::thread([this] { accept(); }).detach(); // Ends with the process.
+        std::thread([this] { accept(); }).detach(); // Runs until the process exits.
     }
 
     Endpoint endpoint() const { return {"127.0.0.1", m_acceptor.local_endpoint().port()}; }
@@ -132,7 +131,7 @@
     tcp::acceptor m_acceptor;
 };
 
-/// One blocking caller.
+/// A blocking client.
 class Caller
 {
 public:
@@ -164,7 +163,7 @@
     tcp::socket m_socket;
 };
 
-/// Seconds on a processor of this process's threads with such a name.
+/// Returns the processor time, in seconds, of this process's threads whose name has the prefix.
 double threadSeconds(const std::string &prefix)
 {
     double seconds = 0;
@@ -178,7 +177,7 @@
     return seconds;
 }
 
-/// Resident kilobytes of this process.
+/// Returns the resident memory of this process in kilobytes.
 long residentKb()
 {
     std::ifstream status("/proc/self/status");
@@ -190,7 +189,7 @@
     return 0;
 }
 
-/// Microseconds each request took, sorted.
+/// Returns the latency of each request in microseconds, sorted.
 std::vector<double> measureLatencies(const Endpoint &endpoint, const char *request, int count)
 {
     Caller caller(endpoint);
@@ -214,7 +213,7 @@
               << sorted[sorted.size() * 99 / 100] << " us\n";
 }
 
-/// Runs the work and prints what each thread of the router spent for one piece of it.
+/// Runs the work and prints the processor time of each router thread per operation.
 void measure(const char *name, int operationCount, const std::function<void()> &work)
 {
     const double traffic = threadSeconds("traffic");
@@ -224,7 +223,7 @@
     const std::chrono::duration<double> wall = std::chrono::steady_clock::now() - start;
     std::cout << name << ": traffic " << (threadSeconds("traffic") - traffic) / operationCount * 1e6
               << " us, control " << (threadSeconds("control") - control) / operationCount * 1e6
-              << " us each, " << operationCount / wall.count() << " a second\n";
+              << " us each, " << operationCount / wall.count() << " per second\n";
 }
 
 void runCallers(const Endpoint &endpoint, const char *request)
@@ -248,8 +247,8 @@
 
 void measureMemory(RouterNode &node, ForwardingCore &core)
 {
-    // The callers' own objects are in this process too: they are counted first, baselineCallers.
-    static FastTarget baselineTarget; // Its threads never end.
+    // The callers' objects are in this process too, so their memory is measured first, alone.
+    static FastTarget baselineTarget; // Its threads run until the process exits.
     const long before = residentKb();
     const auto baselineCallers = connect(baselineTarget.endpoint(), 200);
     const double callerKb = static_cast<double>(residentKb() - before) / 200;
@@ -293,19 +292,20 @@
     std::cout << std::fixed << std::setprecision(2);
 
     constexpr int total = callers * requestsPerCaller;
-    measure("GET on kept connections", total, [&] { runCallers(node.callers(), getRequest); });
-    measure("POST on fresh connections", total, [&] { runCallers(node.callers(), postRequest); });
+    measure("GET on kept-alive connections", total,
+            [&] { runCallers(node.callers(), getRequest); });
+    measure("POST on new connections", total, [&] { runCallers(node.callers(), postRequest); });
     measure("streamed event", streamedEvents, [&] {
         Caller caller(node.callers());
         caller.send(streamRequest);
         caller.readUntil("0\r\n\r\n");
     });
-    printLatency("straight", measureLatencies(target.endpoint(), getRequest, requestsPerCaller));
+    printLatency("direct", measureLatencies(target.endpoint(), getRequest, requestsPerCaller));
     printLatency("through the router",
                  measureLatencies(node.callers(), getRequest, requestsPerCaller));
     measureMemory(node, core);
     std::cout.flush();
     node.stop();
     control.join();
-    std::_Exit(0); // The target's threads never end.
+    std::_Exit(0); // The target's threads can't be joined: they run until the process exits.
 }
--- a/benchmarks/SingleNodeHarness.cpp
+++ b/benchmarks/SingleNodeHarness.cpp
@@ -22,7 +22,8 @@
 constexpr Duration heartbeatPeriod = std::chrono::milliseconds(250);
 constexpr Duration crossZoneHeartbeatPeriod = std::chrono::milliseconds(500);
 constexpr Duration demandPeriod = std::chrono::milliseconds(400);
-/// IP, UDP, the datagram's own head and its authenticator. Each message is taken to travel alone.
+/// IP and UDP headers (28 bytes), the datagram's header (20 bytes) and its authenticator. Assumes
+/// one message per datagram.
 constexpr std::size_t datagramOverheadBytes = 28 + 20 + authenticatorSize;
 constexpr Incarnation peerIncarnation = 7;
 
@@ -225,7 +226,7 @@
         onGrant(found->second, *grant);
 }
 
-/// A peer as owner gives out what is wanted.
+/// Simulates a peer that owns the pool and grants all that the core demands.
 void SingleNodeHarness::onDemand(Peer &peer, const PoolDemand &demand)
 {
     const auto pool = m_pools.find(demand.pool);
@@ -248,7 +249,7 @@
     m_scheduledEvents.push({m_clock.now() + std::chrono::milliseconds(1), std::move(message)});
 }
 
-/// A peer as holder runs a request on each lease and gives it back.
+/// Simulates a peer that holds leases: runs a request on each granted lease, then returns it.
 void SingleNodeHarness::onGrant(Peer &peer, const PoolGrant &grant)
 {
     peer.lastGrant[grant.pool] = grant.number;
@@ -328,7 +329,7 @@
     std::set<ZoneId> contactedZones;
     for (auto &[node, peer] : m_peers) {
         const bool isSameZone = peer.zone == ZoneId("z0");
-        // One counterpart of each other zone.
+        // Only one node of each other zone is the core's counterpart and exchanges heartbeats.
         if (!isSameZone && !contactedZones.insert(peer.zone).second)
             continue;
         if (m_clock.now() >= peer.nextHeartbeat) {
@@ -394,7 +395,7 @@
 
 CoreCost SingleNodeHarness::run(Duration time)
 {
-    // Zones are known by their views, which their nodes would send.
+    // The core learns the members of other zones from the views that their nodes send.
     for (unsigned zone = 1; zone < m_parameters.zones; ++zone) {
         ZoneView view;
         view.zone = zoneName(zone);
--- a/benchmarks/SingleNodeHarness.h
+++ b/benchmarks/SingleNodeHarness.h
@@ -1,5 +1,5 @@
-// One real decision core in the middle of a fleet that is only played: the messages that it would
-// get from its peers at a given size of fleet are made here, and what it costs is counted.
+// Runs one real decision core in a simulated fleet: generates the messages that its peers would
+// send in a fleet of a given size, and measures the core's cost.
 #pragma once
 
 #include "berylridge/Net/Datagram.h"
@@ -17,29 +17,29 @@
 
 namespace berylridge {
 
-/// The size of a fleet and of what one node of it has to do.
+/// The size of a fleet and the load of one of its nodes.
 struct FleetParameters
 {
     unsigned zones = 3;
     unsigned nodesPerZone = 3;
     unsigned services = 1;
-    unsigned targetsPerZone = 4; ///< Of each service.
+    unsigned targetsPerZone = 4; ///< Per service.
     unsigned workspaces = 16;
-    unsigned flowsPerDemand = 3;   ///< Of each service, that wait at each peer of the zone.
-    double requestsPerSecond = 20; ///< Arriving at this node.
+    unsigned flowsPerDemand = 3;   ///< Backlogged, per service and peer of the zone.
+    double requestsPerSecond = 20; ///< Arrivals at this node.
     Duration requestTime = std::chrono::seconds(2);
-    double changesPerHour = 0; ///< Each is a new version of every document.
+    double changesPerHour = 0; ///< Each publishes a new version of every document.
 };
 
-/// What the core used over a run.
+/// The resources that the core used during a run.
 struct CoreCost
 {
-    double cpuPerSecond = 0; ///< Part of one core.
+    double cpuPerSecond = 0; ///< CPU seconds per second, so 1 is one processor core.
     double memoryBytes = 0;
-    double sentBytesPerSecond = 0; ///< Between nodes, with headers.
+    double sentBytesPerSecond = 0; ///< Between nodes, including headers.
     double receivedBytesPerSecond = 0;
-    double requestsPerSecond = 0;              ///< Answered.
-    std::map<std::string, double> bytesByKind; ///< Sent and received, a second.
+    double requestsPerSecond = 0;              ///< Completed.
+    std::map<std::string, double> bytesByKind; ///< Sent and received, per second.
 };
 
 class SingleNodeHarness
@@ -48,7 +48,7 @@
     explicit SingleNodeHarness(const FleetParameters &parameters);
     ~SingleNodeHarness();
 
-    /// Runs the given time on the paused clock, after a warm-up that is not counted.
+    /// Runs for the given time on a manual clock, after a warm-up that is not measured.
     CoreCost run(Duration time);
 
 private:
@@ -94,7 +94,7 @@
     std::map<NodeId, Peer> m_peers;
     std::vector<ServiceDocument> m_documents;
     std::map<PoolId, Pool> m_pools;
-    std::vector<PoolId> m_ownedPools; ///< That the core owns.
+    std::vector<PoolId> m_ownedPools; ///< Pools that the core owns.
     std::priority_queue<ScheduledEvent, std::vector<ScheduledEvent>, std::greater<>>
         m_scheduledEvents;
     std::uint64_t m_zoneDigest = 0;
--- a/benchmarks/Slopes.cpp
+++ b/benchmarks/Slopes.cpp
@@ -1,5 +1,5 @@
-// What a node's control costs, swept over the size of the fleet: processor time, memory and bytes,
-// each with a straight line fitted through it. docs/CAPACITY.md is worked out from its output.
+// Measures the control cost of a node over the size of the fleet: processor time, memory and bytes
+// on the network, each with a linear fit. The figures of docs/CAPACITY.md derive from its output.
 #include "SingleNodeHarness.h"
 
 #include <cmath>
@@ -22,7 +22,7 @@
     double slope = 0;
 };
 
-/// Least squares.
+/// Fits a line by least squares.
 Fit fitLine(std::span<const double> x, std::span<const double> y)
 {
     double sumX = 0;
@@ -72,8 +72,8 @@
         bytesFit.intercept);
 }
 
-/// One node of the fleet in letter 1, whole: 840 nodes in 27 zones, 12,000 replicas of 6 models,
-/// 3,100 workspaces, 87 requests a second, 43,000 changes a day.
+/// Returns the parameters of one node in a fleet of full size: 840 nodes in 27 zones, 12,000
+/// replicas of 6 models, 3,100 workspaces, 87 requests per second, 43,000 changes per day.
 FleetParameters fullSizeParameters()
 {
     FleetParameters parameters;
@@ -91,7 +91,7 @@
 {
     SingleNodeHarness node(fullSizeParameters());
     const CoreCost cost = node.run(measuredTime);
-    printRow("whole size, one node", 840, cost);
+    printRow("whole fleet, one node", 840, cost);
     for (const auto &[kind, bytes] : cost.bytesByKind)
         std::printf("  %-24s %10.2f KB/s both ways\n", kind.c_str(), bytes / 1024);
 }
--- a/benchmarks/fairness/FairnessBench.cpp
+++ b/benchmarks/fairness/FairnessBench.cpp
@@ -1,5 +1,6 @@
-// Compares the variant rules on the test rig, with both deployments' sizes and fixed seeds: service
-// gap, utilisation, control traffic, and service while an availability zone leaves and returns.
+// Compares the sharing policies on the test rig, with the sizes of both deployments and fixed
+// seeds: service gap, utilisation, control traffic, and service during the evacuation and return of
+// an availability zone.
 #include "rig/Rig.h"
 
 #include <algorithm>
@@ -42,7 +43,7 @@
     double inFlight = 0;
     double utilisation = 0;
     double starvation = 0;
-    double controlBytes = 0; ///< A node and second, sent and received.
+    double controlBytes = 0; ///< Sent and received, per node and second.
 };
 
 double controlBytes(const Rig &rig)
@@ -95,7 +96,7 @@
               << std::endl;
 }
 
-/// A zone is taken out and brought back under a load that two zones can just carry.
+/// Evacuates a zone and returns it to service under a load that two zones can just carry.
 void printZoneEvacuation(const Deployment &deployment, std::uint64_t seed,
                          const std::string &dataDirectory)
 {
@@ -152,8 +153,8 @@
         for (const PolicyVariant &variant : policyVariants)
             printPolicyRow(deployment, variant, seeds, time);
     }
-    std::cout << "\na zone leaves for 15 s and returns, load 0.6 of all slots, 45 s\n"
-              << "deployment        answered   refused      lost  late(>2s) broken promises\n";
+    std::cout << "\na zone is evacuated for 15 s and returns, load 0.6 of all slots, 45 s\n"
+              << "deployment        answered   refused      lost  late(>2s)  violations\n";
     for (const Deployment &deployment : deployments)
         printZoneEvacuation(deployment, 1, dataDirectory);
 }
@@ -163,13 +164,13 @@
 int main(int argc, char **argv)
 {
     try {
-        TCLAP::CmdLine command("Compares the sharing rules on the test rig.", ' ',
+        TCLAP::CmdLine command("Compares the sharing policies on the test rig.", ' ',
                                BERYLRIDGE_VERSION);
-        TCLAP::ValueArg<std::uint64_t> seeds("n", "seeds", "seeds a row", false, 3, "count",
-                                             command);
-        TCLAP::ValueArg<std::uint64_t> seconds("s", "seconds", "measured time", false, 60,
-                                               "seconds", command);
-        TCLAP::ValueArg<std::string> data("d", "data", "directory for the data of plots", false, "",
+        TCLAP::ValueArg<std::uint64_t> seeds("n", "seeds", "number of seeds per row", false, 3,
+                                             "count", command);
+        TCLAP::ValueArg<std::uint64_t> seconds("s", "seconds", "measured time in seconds", false,
+                                               60, "seconds", command);
+        TCLAP::ValueArg<std::string> data("d", "data", "directory for the plot data", false, "",
                                           "directory", command);
         command.parse(argc, argv);
         runAll(seeds.getValue(), std::chrono::seconds(seconds.getValue()), data.getValue());
--- a/benchmarks/fairness/plot.sh
+++ b/benchmarks/fairness/plot.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Measures a zone's leave and return anew and plots it into docs/img, data beside it.
+# Measures the evacuation and return of a zone and writes the plot and its data to docs/img.
 set -euo pipefail
 root=$(cd "$(dirname "$0")/../.." && pwd)
 img=$root/docs/img
--- a/test/berylload/FairnessTest.cpp
+++ b/test/berylload/FairnessTest.cpp
@@ -1,5 +1,5 @@
-// How berylload measures fairness: figures that go into reports and pages.
-#include "Sampler.h"
+// Tests how berylload computes the fairness figures that reports and documentation use.
+#include "EngineSampler.h"
 
 #include <gtest/gtest.h>
 
@@ -20,8 +20,8 @@
     EXPECT_EQ(maxMinFairShares({1, 2, 3}, {1, 1, 1}, 20), (std::vector<double> {1, 2, 3}));
 }
 
-// Service that one of two gets while the other has nothing waiting is nobody's disadvantage: the
-// gap counts only what changes while both wait without a break.
+// Service that a workspace receives while the other has no backlog is not unfair: the gap counts
+// only changes while both are continuously backlogged.
 TEST(Fairness, GapCountsOnlyWhileBothAreBacklogged)
 {
     const std::vector<Sample> samples {
--- a/test/berylload/JudgementTest.cpp
+++ b/test/berylload/JudgementTest.cpp
@@ -1,4 +1,5 @@
-// How berylload judges single answers: what it lets pass, every process test lets pass.
+// Tests how berylload classifies responses. The process tests rely on it: a violation that it
+// misses, they miss too.
 #include "Outcome.h"
 
 #include <gtest/gtest.h>
--- a/test/sessions/RecordTrace.cpp
+++ b/test/sessions/RecordTrace.cpp
@@ -1,5 +1,5 @@
-// Records a trace: runs a deployment on the test rig and prints what its first node was told. The
-// last line states the outcome, as the rig counted it.
+// Records a trace: runs a deployment on the test rig and prints the events that its first node
+// received. The last line contains the counts of the node's decisions, as the rig observed them.
 #include "Session.h"
 
 #include "rig/Faults.h"
@@ -56,7 +56,8 @@
     OutcomeCounts m_outcome;
 };
 
-/// A short story: work on cold targets, a target crashes, a zone goes out, the node stops by plan.
+/// Records a short run: requests on cold targets, a crash of a target, the evacuation of a zone,
+/// and a planned stop of the node.
 void recordTrace(DeploymentOptions options, std::uint64_t seed)
 {
     options.callers.engineLoad = 0.2;
@@ -88,7 +89,7 @@
                                BERYLRIDGE_VERSION);
         TCLAP::ValueArg<std::string> deployment("d", "deployment", "men-gom or riviere-bells",
                                                 false, "men-gom", "name", command);
-        TCLAP::ValueArg<std::uint64_t> seed("s", "seed", "the run's seed", false, 1, "seed",
+        TCLAP::ValueArg<std::uint64_t> seed("s", "seed", "seed of the run", false, 1, "seed",
                                             command);
         command.parse(argc, argv);
         recordTrace(deployment.getValue() == "men-gom" ? menGom() : riviereBells(),
--- a/test/sessions/compare.sh
+++ b/test/sessions/compare.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Replays each trace under test/traces and compares the session with its golden file and the outcome
-# with the one that the trace states. With --update the golden files are written anew.
+# Replays each trace under test/traces and compares the session with its golden file and the counts
+# with those that the trace expects. With --update, writes the golden files instead.
 # Usage: compare.sh BERYLREPLAY [--update]
 set -euo pipefail
 replay=$(readlink -f "$1")
@@ -13,7 +13,7 @@
         continue
     fi
     if ! "$replay" --charts ../charts "$trace" | diff -u "$golden" -; then
-        echo "$trace: the session or its outcome differs"
+        echo "$trace: the session or its counts differ from the expected ones"
         status=1
     fi
 done
--- a/tools/berylload/AnswerText.h
+++ b/tools/berylload/AnswerText.h
@@ -1,5 +1,5 @@
-// What the stand-ins answer, as a function of the request alone: lets a caller tell whether an
-// answer is whole and its own.
+// Computes the response bodies of the target stand-ins from the request alone, so that a client can
+// verify that a response is complete and belongs to its request.
 #pragma once
 
 #include <cstdint>
@@ -8,22 +8,22 @@
 
 namespace berylridge {
 
-/// Stands in the last event of a whole stream.
+/// Data of the last event of a complete stream.
 inline constexpr std::string_view streamEndMarker = "[DONE]";
 
-/// The text of a stream's event, counted from 1, for the request with this body.
+/// Returns the data of the event with the index (from 1) in the response to a request body.
 std::string streamToken(std::string_view requestBody, std::uint64_t index);
 
-/// The event as it travels: "id: N", "data: TEXT" and an empty line.
+/// Formats a server-sent event: "id: N", "data: TEXT" and an empty line.
 std::string formatStreamEvent(std::uint64_t index, std::string_view text);
 
-/// The whole stream of a number of tokens, its end included.
+/// Returns the complete stream of a number of tokens, including the end marker.
 std::string completeStream(std::string_view requestBody, std::uint64_t tokens);
 
-/// A plain service's answer to a lookup of a path.
+/// Returns the response body of a plain service to a lookup of a path.
 std::string lookupResponse(std::string_view path);
 
-/// A plain service's answer to a purchase.
+/// Returns the response body of a plain service to a purchase.
 std::string purchaseResponse(std::string_view requestBody);
 
 } // namespace berylridge
--- a/tools/berylload/EngineSampler.cpp
+++ b/tools/berylload/EngineSampler.cpp
@@ -11,7 +11,7 @@
 
 constexpr auto samplePeriod = std::chrono::milliseconds(200);
 
-/// Range of a value over an unbroken rangeTracker of samples.
+/// Tracks the range of a value over consecutive samples.
 class RangeTracker
 {
 public:
@@ -104,7 +104,7 @@
     return fairness;
 }
 
-/// The answers to one sample's calls.
+/// A sample for which calls to engines are still open.
 struct EngineSampler::PendingSample
 {
     std::size_t pendingCalls = 0;
--- a/tools/berylload/EngineSampler.h
+++ b/tools/berylload/EngineSampler.h
@@ -1,5 +1,5 @@
-// Watches the model engines' own counts during a run: shares of service, utilisation while work
-// waits, and the fairness gap.
+// Samples the counters of the model engines during a run and computes shares of service,
+// utilisation while work waits, and the fairness gap.
 #pragma once
 
 #include "HttpCall.h"
@@ -13,30 +13,30 @@
 
 namespace berylridge {
 
-/// All engines' counts at one moment, by workspace in the profile's order.
+/// Sums of the counters of all engines at one moment; vectors are in the profile's order.
 struct Sample
 {
     std::vector<double> busySeconds;
-    std::vector<bool> isBacklogged; ///< It has more streams open than run at engines.
+    std::vector<bool> isBacklogged; ///< More streams are open than run at engines.
     double running = 0;
     double slots = 0;
 };
 
 struct Fairness
 {
-    std::vector<double> busySeconds; ///< Slot seconds received in the run.
-    double gap = 0;                  ///< Largest, in slot seconds at the mean weight.
-    double utilisation = 0;          ///< Mean share of slots that run, while any work waits.
+    std::vector<double> busySeconds; ///< Slot seconds received during the run.
+    double gap = 0;                  ///< The largest gap, in slot seconds at the mean weight.
+    double utilisation = 0;          ///< Mean share of busy slots while any work waits.
     std::size_t backloggedSamples = 0;
 };
 
-/// Weighted max-min fair parts of a capacity: nobody gets more than it asks for, and what one
-/// leaves over goes to the others by weight.
+/// Returns weighted max-min fair shares of a capacity: no share exceeds its demand, and unused
+/// capacity goes to the others by weight.
 std::vector<double> maxMinFairShares(const std::vector<double> &demands,
                                      const std::vector<double> &weights, double capacity);
 
-/// The largest change of the difference in service per weight between two workspaces while both
-/// are backlogged without a break.
+/// Computes the fairness figures. The gap is the largest change, over all pairs of workspaces, of
+/// the difference in service per weight while both are continuously backlogged.
 Fairness measureFairness(const std::vector<Sample> &samples, const std::vector<double> &weights);
 
 class EngineSampler
@@ -44,7 +44,7 @@
 public:
     EngineSampler(boost::asio::io_context &io, const Profile &profile, const Tally &tally);
 
-    /// Takes samples until the function says so; then the samples are complete.
+    /// Takes samples until isDone returns true; then samples() is complete.
     void start(std::function<bool()> isDone);
     const std::vector<Sample> &samples() const { return m_samples; }
 
--- a/tools/berylload/Generator.cpp
+++ b/tools/berylload/Generator.cpp
@@ -16,7 +16,7 @@
 constexpr auto minRetryDelay = std::chrono::milliseconds(50);
 constexpr auto maxRetryDelay = std::chrono::milliseconds(1000);
 
-/// How long to wait before a purchase is sent again, as its refusal asks within limits.
+/// Returns the delay before a purchase is retried: Retry-After, clamped to the limits above.
 Duration retryDelay(const CallResult &result)
 {
     const Duration requested
--- a/tools/berylload/Generator.h
+++ b/tools/berylload/Generator.h
@@ -1,5 +1,6 @@
-// Sends the load of a profile, open loop: startArrivals follow the clock, not the answers. For the
-// measure of throughput, some callers wait for their answers instead.
+// Sends the load of a profile. Arrivals are open loop: they follow the clock and don't wait for
+// responses. To measure throughput, lookup callers can be closed loop: each sends its next request
+// after the response to the previous one.
 #pragma once
 
 #include "HttpCall.h"
@@ -19,13 +20,13 @@
 public:
     Generator(boost::asio::io_context &io, const Profile &profile);
 
-    /// Begins; the context runs out of work once the last answer is in.
+    /// Starts sending; the I/O context runs out of work after the last response.
     void start();
     const Tally &tally() const { return m_tally; }
     bool isDone() const { return m_openArrivals == 0 && m_openRequests == 0; }
 
 private:
-    /// One purchase over its attempts, or one other request.
+    /// A purchase with all its attempts, or a single request of another kind.
     struct LoadRequest
     {
         std::size_t workspace = 0;
@@ -37,7 +38,7 @@
         std::uint32_t attempt = 1;
         TimePoint start {};
         std::size_t router = 0;
-        bool isClosedLoop = false; ///< Of a caller that sends the next one after its answer.
+        bool isClosedLoop = false; ///< The response triggers the next request.
     };
 
     void startArrivals(std::size_t workspace, RequestKind kind, double rate);
--- a/tools/berylload/HttpCall.cpp
+++ b/tools/berylload/HttpCall.cpp
@@ -30,7 +30,7 @@
     return text;
 }
 
-/// Whether the other side has closed a connection that nobody reads, or sent what nobody asked for.
+/// Returns true if the peer has closed an idle connection or sent unsolicited bytes on it.
 bool isStale(asio::ip::tcp::socket &socket)
 {
     char byte = 0;
@@ -48,7 +48,7 @@
     return found == headers.end() ? std::string() : found->second;
 }
 
-/// Connections that wait for their next call.
+/// Idle connections by endpoint.
 class PooledHttpClient::Pool
 {
 public:
@@ -176,7 +176,7 @@
             m_result.headers[lowerCase(std::string(field.name_string()))]
                 = std::string(field.value());
         m_result.body = m_parser.get().body();
-        // Bytes beyond the response would be taken for the next one.
+        // A connection with surplus bytes isn't reused: they would be read as the next response.
         if (callEnd == CallEnd::Complete && !error && m_parser.keep_alive()
             && m_buffer.size() == 0) {
             m_stream->expires_never();
--- a/tools/berylload/HttpCall.h
+++ b/tools/berylload/HttpCall.h
@@ -1,5 +1,4 @@
-// One HTTP request and its answer as a caller sees them: how it ended, and when the first byte
-// came.
+// An HTTP/1.1 client that reports how each call ended and when the first byte of the body arrived.
 #pragma once
 
 #include "berylridge/Support/Endpoint.h"
@@ -23,32 +22,32 @@
     std::string target = "/";
     std::vector<std::pair<std::string, std::string>> headers;
     std::string body;
-    Duration timeout = std::chrono::seconds(30); ///< For the whole exchange.
+    Duration timeout = std::chrono::seconds(30); ///< From connecting to the end of the response.
 };
 
 enum class CallEnd : std::uint8_t {
-    Complete,      ///< The answer came to its end, by its own framing.
-    Truncated,     ///< The answer began and the connection broke.
-    NoResponse,    ///< The request went out and the connection broke before an answer.
-    ConnectFailed, ///< Nothing went out.
+    Complete,      ///< The response ended as its framing says.
+    Truncated,     ///< The connection broke after the head of the response.
+    NoResponse,    ///< The request may have been sent, but no response head arrived.
+    ConnectFailed, ///< No connection, so nothing was sent.
     TimedOut,
 };
 
 struct CallResult
 {
     CallEnd end = CallEnd::ConnectFailed;
-    unsigned status = 0;                        ///< 0 where no head came.
-    std::map<std::string, std::string> headers; ///< Names in lower case.
+    unsigned status = 0;                        ///< 0 if no response head arrived.
+    std::map<std::string, std::string> headers; ///< Names are in lower case.
     std::string body;
-    Duration firstByte {0}; ///< From the start to the first byte of the body.
+    Duration firstByte {0}; ///< From the start of the call to the first byte of the body.
     Duration total {0};
-    std::string errorMessage; ///< Of the library, for people.
+    std::string errorMessage; ///< The library's message for logs; empty on success.
 
-    /// A header, or an empty text.
+    /// Returns the value of a header, or an empty string if it is missing.
     std::string header(const std::string &name) const;
 };
 
-/// Keeps connections between calls. Used by one thread.
+/// Reuses idle connections. Not thread-safe.
 class PooledHttpClient
 {
 public:
@@ -66,7 +65,7 @@
     std::shared_ptr<Pool> m_pool;
 };
 
-/// Makes one call and waits for its end.
+/// Makes one call on a new connection and blocks until it ends.
 CallResult fetch(CallSpec spec);
 
 } // namespace berylridge
--- a/tools/berylload/JsonText.h
+++ b/tools/berylload/JsonText.h
@@ -1,4 +1,4 @@
-// Reads and writes JSON (comments allowed) by jsoncpp, with errors as values.
+// Reads and writes JSON by jsoncpp and returns errors as values. Comments are allowed in the input.
 #pragma once
 
 #include "berylridge/Support/Expected.h"
@@ -9,13 +9,13 @@
 
 namespace berylridge {
 
-/// The value of a JSON text; comments are allowed, anything after the value is not.
+/// Parses a JSON text. Comments are allowed; text after the value is an error.
 Expected<Json::Value> parseJson(std::string_view text);
 
-/// Reads and parses a file; the reason names it.
+/// Reads and parses a file. The reason of a failure names the file.
 Expected<Json::Value> parseJsonFile(const std::string &path);
 
-/// On one line.
+/// Writes a value on one line.
 std::string toText(const Json::Value &value);
 
 } // namespace berylridge
--- a/tools/berylload/Outcome.h
+++ b/tools/berylload/Outcome.h
@@ -1,4 +1,4 @@
-// What became of one request, judged from the answer alone.
+// Classifies the outcome of a request by its response alone.
 #pragma once
 
 #include "HttpCall.h"
@@ -11,21 +11,22 @@
 enum class RequestKind : std::uint8_t { Stream, Lookup, Purchase };
 
 enum class Outcome : std::uint8_t {
-    Served,         ///< Complete, and the request's own.
-    WrongBody,      ///< Looked whole but is not the request's answer: never allowed.
-    Incomplete,     ///< Visibly cut short.
-    NotRun,         ///< Refused with the verdict not-run.
-    MayHaveRun,     ///< Refused with the verdict may-have-run.
-    TargetError,    ///< The target itself answered with an error.
-    MissingVerdict, ///< An error that carries no verdict: never allowed from a router.
-    NoResponse,     ///< The connection broke or timed out before an answer.
+    Served,         ///< A complete response with the expected body.
+    WrongBody,      ///< A complete response with another body: always a violation.
+    Incomplete,     ///< The client can tell that the response is truncated.
+    NotRun,         ///< An error with the verdict not-run.
+    MayHaveRun,     ///< An error with the verdict may-have-run.
+    TargetError,    ///< The target itself responded with an error.
+    MissingVerdict, ///< An error without a verdict: a violation by a router.
+    NoResponse,     ///< The connection broke or timed out before a response.
     ConnectFailed,  ///< Nothing was sent.
 };
 inline constexpr std::size_t outcomeCount = 9;
 
 const char *outcomeName(Outcome outcome);
 
-/// Judges an answer against the one that the request must get.
+/// Compares a response with the body that the request must get. With isDirect, the response comes
+/// from a target, whose errors carry no verdict.
 Outcome classifyResponse(const CallResult &result, const std::string &expectedBody, bool isDirect);
 
 } // namespace berylridge
--- a/tools/berylload/Profile.cpp
+++ b/tools/berylload/Profile.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Reads members of one object and notes what is wrong with them.
+/// Reads the members of a JSON object and collects errors. The destructor reports unknown members.
 class ObjectReader
 {
 public:
@@ -38,7 +38,7 @@
         static const Json::Value none;
         return m_value.isObject() && m_value.isMember(name) ? m_value[name] : none;
     }
-    /// A member that must be a list; an empty one where it is missing.
+    /// Returns a member that must be a list, or an empty list if it is missing.
     const Json::Value &list(const char *name)
     {
         static const Json::Value empty(Json::arrayValue);
@@ -54,7 +54,7 @@
         if (const auto &value = member(name); value.isString())
             out = value.asString();
         else if (!value.isNull())
-            addError(std::string(name) + " must be a text");
+            addError(std::string(name) + " must be a text string");
     }
     void read(const char *name, bool &out)
     {
@@ -127,7 +127,7 @@
         if (index.isUInt() && index.asUInt() < routers)
             spec.routers.push_back(index.asUInt());
         else
-            reader.addError("routers must be indices of the list of routers");
+            reader.addError("routers must contain indices into the profile's list of routers");
     }
     return spec;
 }
@@ -159,7 +159,7 @@
             profile.workspaces.push_back(readWorkspace(
                 list[i], "workspaces[" + std::to_string(i) + "]", profile.routers.size(), errors));
         if (profile.workspaces.empty())
-            reader.addError("workspaces must name at least one");
+            reader.addError("workspaces must name at least one workspace");
     }
     if (!errors.empty()) {
         errors.pop_back();
--- a/tools/berylload/Report.cpp
+++ b/tools/berylload/Report.cpp
@@ -26,10 +26,10 @@
         violation = "executed more than once";
     } else if (keyOutcome.isServed && executions == 0) {
         ++check.servedNotRun;
-        violation = "a receipt without an execution";
+        violation = "has a receipt but no execution";
     } else if (keyOutcome.isLastAttemptNotRun && executions > 0) {
         ++check.falseNotRun;
-        violation = "said not to have run, and executed";
+        violation = "was reported not to have run, but executed";
     }
     if (violation && check.examples.size() < maxExamples)
         check.examples.push_back(key + ": " + violation);
@@ -57,7 +57,7 @@
     return row;
 }
 
-/// Each workspace's tokenShare of the tokens served, had they been shared fairly.
+/// Returns each workspace's weighted max-min fair share of the tokens served.
 std::vector<double> fairShares(const Profile &profile, const Tally &tally)
 {
     std::vector<double> demands;
@@ -138,7 +138,7 @@
         const auto result = fetch(std::move(spec));
         const auto stats = parseJson(result.body);
         if (result.end != CallEnd::Complete || !stats)
-            return Reason {"no counts from the service at " + service.address + ":"
+            return Reason {"cannot read the counts from the service at " + service.address + ":"
                            + std::to_string(service.port)};
         const auto &byKey = (*stats)["executionsByKey"];
         for (const auto &key : byKey.getMemberNames())
@@ -192,9 +192,10 @@
     const auto &purchases = report["purchases"];
     out << "purchases: " << purchases["keys"].asUInt64() << " keys, "
         << purchases["served"].asUInt64() << " served, " << purchases["doubtful"].asUInt64()
-        << " in doubt, " << purchases["doubled"].asUInt64() << " doubled, "
-        << purchases["servedNotRun"].asUInt64() << " receipts without an execution, "
-        << purchases["falseNotRun"].asUInt64() << " false not-run\n"
+        << " with unknown outcome, " << purchases["doubled"].asUInt64()
+        << " doubled (executed more than once), " << purchases["servedNotRun"].asUInt64()
+        << " receipts without an execution, " << purchases["falseNotRun"].asUInt64()
+        << " false not-run\n"
         << std::setprecision(3) << "fairness gap: " << report["fairnessGapSlotSeconds"].asDouble()
         << " slot seconds; utilisation while work waits: "
         << report["utilisationWhileWorkWaits"].asDouble() << " over "
--- a/tools/berylload/Report.h
+++ b/tools/berylload/Report.h
@@ -1,4 +1,4 @@
-// What a load run found, with its violations, as a table and as JSON.
+// Reports the results of a load run and its violations as a table and as JSON.
 #pragma once
 
 #include "EngineSampler.h"
@@ -12,24 +12,24 @@
 
 namespace berylridge {
 
-/// Compares what callers were told of purchases with what the plain services executed.
+/// Compares the responses to purchases with the executions that the plain services counted.
 struct PurchaseCheck
 {
     std::uint64_t keys = 0;
     std::uint64_t served = 0;
-    std::uint64_t doubtful = 0;     ///< Neither a receipt nor a word that it has not run.
+    std::uint64_t doubtful = 0;     ///< No receipt, and some attempt may have run.
     std::uint64_t doubled = 0;      ///< Executed more than once.
-    std::uint64_t servedNotRun = 0; ///< A receipt, and not executed.
-    std::uint64_t falseNotRun = 0;  ///< Said not to have run at last, and executed.
+    std::uint64_t servedNotRun = 0; ///< A receipt, but no execution.
+    std::uint64_t falseNotRun = 0;  ///< The last response said not-run, but it was executed.
     std::vector<std::string> examples;
 
     std::uint64_t violations() const { return doubled + servedNotRun + falseNotRun; }
 };
 
-/// Reads the plain services' counts. Fails where one of them doesn't answer.
+/// Reads the plain services' counts. Fails if one of them doesn't respond.
 Expected<PurchaseCheck> checkPurchases(const Profile &profile, const Tally &tally);
 
-/// The whole report; "violations" counts what must never happen.
+/// Builds the report. "violations" counts the events that the routers must never cause.
 Json::Value makeReport(const Profile &profile, const Tally &tally, const Fairness &fairness,
                        const PurchaseCheck &purchases);
 
--- a/tools/berylload/Tally.h
+++ b/tools/berylload/Tally.h
@@ -1,4 +1,4 @@
-// What a load run saw: counts and latencies per workspace, and the keyOutcome of each purchase.
+// Counts and latencies of a load run per workspace, and the outcome of each purchase.
 #pragma once
 
 #include "Outcome.h"
@@ -14,13 +14,13 @@
 
 namespace berylridge {
 
-/// Latencies in milliseconds, in bins that grow by a five-hundredth.
+/// A histogram of latencies in milliseconds; each bin is about 1/500 wider than the one before.
 class LatencyHistogram
 {
 public:
     LatencyHistogram();
     void add(Duration latency);
-    /// The upper edge of the bin that holds this quantile of all samples; 0 where there are none.
+    /// Returns the upper edge of the bin that holds the quantile (0 to 1), or 0 without samples.
     double quantileMs(double quantile) const;
     std::uint64_t count() const { return m_count; }
 
@@ -36,9 +36,9 @@
     std::uint64_t tokensRequested = 0;
     std::uint64_t tokensServed = 0;
     std::array<std::uint64_t, outcomeCount> outcomes {};
-    LatencyHistogram firstByte;    ///< Of streams.
-    LatencyHistogram lookup;       ///< To the end.
-    LatencyHistogram purchase;     ///< To the receipt, over all attempts.
+    LatencyHistogram firstByte;    ///< Streams, to the first byte of the body.
+    LatencyHistogram lookup;       ///< Lookups, to the end of the response.
+    LatencyHistogram purchase;     ///< Purchases, to the receipt, over all attempts.
     std::uint32_t openStreams = 0; ///< Sent and not yet ended.
 
     std::uint64_t count(Outcome outcome) const
@@ -48,20 +48,19 @@
     void add(Outcome outcome) { ++outcomes[static_cast<std::size_t>(outcome)]; }
 };
 
-/// The keyOutcome of one key over all its attempts.
+/// The outcome of one idempotency key over all its attempts.
 struct PurchaseOutcome
 {
-    bool isServed = false;            ///< Some attempt got its receipt.
-    bool hasUnknownOutcome = false;   ///< Some attempt may have run it.
-    bool isLastAttemptNotRun = false; ///< The last attempt's answer said that the key has not run.
+    bool isServed = false;            ///< An attempt got the receipt.
+    bool hasUnknownOutcome = false;   ///< An attempt without a receipt may have run.
+    bool isLastAttemptNotRun = false; ///< The last response said not-run.
 };
 
 struct Tally
 {
     std::vector<WorkspaceTally> workspaces; ///< In the profile's order.
     std::map<std::string, PurchaseOutcome> purchases;
-    std::vector<std::string>
-        faultyResponses; ///< The first few answers that broke a promise, for people.
+    std::vector<std::string> faultyResponses; ///< The first few responses that are violations.
 };
 
 } // namespace berylridge
--- a/tools/berylload/Uuid.h
+++ b/tools/berylload/Uuid.h
@@ -1,4 +1,4 @@
-// Idempotency keys as callers should make them: UUIDv7 (RFC 9562), which tells the key's age.
+// Generates idempotency keys as callers should: UUIDv7 (RFC 9562) contains the key's creation time.
 #pragma once
 
 #include "berylridge/Support/Random.h"
@@ -8,7 +8,7 @@
 
 namespace berylridge {
 
-/// 48 bits of milliseconds, then version, variant and random bits.
+/// Returns 48 bits of milliseconds, then version, variant and random bits.
 std::string uuidV7(WallTime now, RandomEngine &random);
 
 } // namespace berylridge
--- a/tools/berylload/main.cpp
+++ b/tools/berylload/main.cpp
@@ -1,4 +1,4 @@
-// berylload: drives routers with an open-loop load and checks every answer.
+// berylload: sends an open-loop load to routers and checks every response.
 #include "EngineSampler.h"
 #include "Generator.h"
 #include "JsonText.h"
@@ -16,23 +16,24 @@
 
 ManPage manPage()
 {
-    return {"berylload",
-            "drive routers with an open-loop load",
-            "Sends what the profile says, checks every answer, compares purchases with what the "
-            "services\n"
-            "executed, and prints a report per workspace. Exit status 1 means that a promise was "
-            "broken,\n"
-            "2 a wrong command line or profile.",
-            {{"EXAMPLES", "berylload --profile load.json --json report.json"}}};
+    return {
+        "berylload",
+        "send an open-loop load to routers",
+        "Sends what the profile specifies, checks every response, compares purchases with what the "
+        "services\n"
+        "executed, and prints a report per workspace. Exit status 1 means that a guarantee was "
+        "violated,\n"
+        "2 a wrong command line or profile.",
+        {{"EXAMPLES", "berylload --profile load.json --json report.json"}}};
 }
 
-/// What the profile lacks for its kind of run; null where nothing is missing.
+/// Returns an error if the profile lacks the endpoints that its run needs, otherwise null.
 const char *missingEndpoints(const Profile &profile)
 {
     if (profile.isDirect && (profile.engines.empty() || profile.services.empty()))
         return "a direct run needs engines and services";
     if (!profile.isDirect && profile.routers.empty())
-        return "routers must name at least one";
+        return "routers must name at least one router";
     return nullptr;
 }
 
@@ -71,11 +72,13 @@
 int main(int argc, char **argv)
 {
     CommandLine line(manPage());
-    TCLAP::ValueArg<std::string> profileFile("", "profile", "what to send: JSON with comments",
+    TCLAP::ValueArg<std::string> profileFile("", "profile",
+                                             "load profile (what to send): JSON with comments",
                                              true, "", "FILE", line.arguments());
-    TCLAP::ValueArg<std::string> json("", "json", "write the report as JSON too", false, "", "FILE",
-                                      line.arguments());
-    TCLAP::SwitchArg direct("", "direct", "straight to the engines and services", line.arguments());
+    TCLAP::ValueArg<std::string> json("", "json", "also write the report as JSON", false, "",
+                                      "FILE", line.arguments());
+    TCLAP::SwitchArg direct("", "direct", "send directly to the engines and services",
+                            line.arguments());
     if (const auto status = line.parse(argc, argv))
         return *status;
     const auto read = readProfile(profileFile.getValue());
--- a/tools/berylreplay/BerylReplay.cpp
+++ b/tools/berylreplay/BerylReplay.cpp
@@ -1,5 +1,5 @@
-// berylreplay: feeds a recorded trace to a decision core under a paused clock and prints the
-// session.
+// berylreplay: replays a recorded trace on a decision core under a manual clock and prints the
+// resulting session.
 #include "Session.h"
 
 #include <fstream>
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Compares what came with what the trace states; prints each difference.
+/// Compares the replayed counts with those that the trace expects and prints each difference.
 bool matchesExpected(const OutcomeCounts &expected, const OutcomeCounts &outcome)
 {
     bool isEqual = true;
@@ -19,7 +19,7 @@
         const std::uint64_t actual = found == outcome.end() ? 0 : found->second;
         if (actual == count)
             continue;
-        std::cerr << name << ": stated " << count << ", came " << actual << '\n';
+        std::cerr << name << ": expected " << count << ", actual " << actual << '\n';
         isEqual = false;
     }
     return isEqual;
@@ -29,7 +29,7 @@
 {
     std::ifstream in(file);
     if (!in) {
-        std::cerr << file << ": can't be read\n";
+        std::cerr << file << ": cannot be read\n";
         return 2;
     }
     const auto trace = readTrace(file, in);
@@ -54,11 +54,12 @@
     try {
         TCLAP::CmdLine command(
             "Replays a recorded trace on a decision core and prints the session. "
-            "Exit status 0 as stated, 1 another outcome, 2 not readable.",
+            "Exit status: 0 if the counts match the trace, 1 if they differ, 2 if the trace or a "
+            "chart cannot be read.",
             ' ', BERYLRIDGE_VERSION);
         TCLAP::ValueArg<std::string> charts("c", "charts", "directory of the state charts", false,
                                             "charts", "directory", command);
-        TCLAP::SwitchArg verbose("w", "whole", "print messages, polls and probes too", command);
+        TCLAP::SwitchArg verbose("w", "whole", "also print messages, polls and probes", command);
         TCLAP::UnlabeledValueArg<std::string> file("trace", "trace file", true, "", "file",
                                                    command);
         command.parse(argc, argv);
--- a/tools/berylreplay/Trace.cpp
+++ b/tools/berylreplay/Trace.cpp
@@ -11,7 +11,8 @@
 
 namespace {
 
-/// Messages stand in a trace as sealed datagrams; a trace is no secret, so its key isn't either.
+/// A trace contains messages as authenticated datagrams. The key needs no protection because a
+/// trace contains no secrets.
 const std::string traceKey = "the-key-of-recorded-traces-00000";
 
 std::string toHex(const std::string &bytes)
@@ -190,7 +191,8 @@
                 json["isReachable"] = e.isReachable;
                 return json;
             },
-            // Traces are of the core that shares by leases; it passes these over.
+            // Traces are recorded from the router core, which shares by leases and ignores these
+            // events.
             [](const CatalogArrived &) { return jsonOfType("catalog"); },
             [](const DirectoryArrived &) { return jsonOfType("directory"); },
             [](const SeedsChanged &) { return jsonOfType("seeds"); },
@@ -299,7 +301,7 @@
     trace.startWall = WallTime(std::chrono::milliseconds(json["wall"].asInt64()));
 }
 
-/// Takes in one line; false when it is none of a trace.
+/// Adds one line to the trace. Returns false if it is not a valid line.
 bool parseLine(const Json::Value &json, bool isFirst, Trace &trace)
 {
     if (isFirst) {
@@ -357,11 +359,11 @@
             if (!reader->parse(line.data(), line.data() + line.size(), &json, &errors))
                 return Reason {location + "not a JSON object"};
             if (!parseLine(json, lineNumber == 1, trace))
-                return Reason {location + "not a line of a trace"};
+                return Reason {location + "not a valid trace line"};
             const TimePoint before
                 = trace.events.size() > 1 ? trace.events.end()[-2].at : trace.start;
             if (!trace.events.empty() && trace.events.back().at < before)
-                return Reason {location + "time steps back"};
+                return Reason {location + "time steps back from that of the previous event"};
         } catch (const std::exception &error) {
             return Reason {location + error.what()};
         }
--- a/tools/berylreplay/Trace.h
+++ b/tools/berylreplay/Trace.h
@@ -1,5 +1,5 @@
-// Recorded traces: what one decision core was told, one JSON object a line, and what must come of
-// it.
+// Recorded traces: the events that one decision core received, one JSON object per line, and the
+// expected counts of its decisions.
 #pragma once
 
 #include "berylridge/Router/RouterCore.h"
@@ -12,7 +12,7 @@
 
 namespace berylridge {
 
-/// One line of a trace: an event and the core's own times at which it came.
+/// One line of a trace: an event and the times of the core's clocks when it arrived.
 struct TraceEvent
 {
     TimePoint at {};
@@ -20,7 +20,8 @@
     Event event;
 };
 
-/// Counts of a session, by name: answered, refused-not-run, refused-may-have-run, kept, dispatched.
+/// Counts of a session by name: answered (attempts done), refused-not-run, refused-may-have-run,
+/// kept (stored responses sent), passed (held responses relayed), dispatched.
 using OutcomeCounts = std::map<std::string, std::uint64_t>;
 
 struct Trace
@@ -29,15 +30,15 @@
     TimePoint start {};
     WallTime startWall {};
     std::vector<TraceEvent> events;
-    OutcomeCounts expected; ///< Stated by the trace's last line.
+    OutcomeCounts expected; ///< From the last line of the trace.
 };
 
-/// The trace's first line.
+/// Returns the first line of a trace.
 Json::Value headerToJson(const CoreOptions &options, TimePoint now, WallTime wall);
-/// One event's line.
+/// Returns the line of one event.
 Json::Value eventToJson(const Event &event, TimePoint now, WallTime wall);
 
-/// Reads a whole trace; the reason names file and line.
+/// Reads a complete trace. The reason of a failure names the file and the line.
 Expected<Trace> readTrace(const std::string &file, std::istream &in);
 
 } // namespace berylridge
