--- a/benchmarks/fairness/FairnessBench.cpp
+++ b/benchmarks/fairness/FairnessBench.cpp
@@ -65,8 +65,9 @@
     const double bytesBefore = controlBytes(rig);
     rig.meter->start();
     rig.run(time);
-    return {rig.meter->gap(), rig.meter->largestInFlight(), rig.meter->utilisation(),
-            rig.meter->longestStarvation(), (controlBytes(rig) - bytesBefore) / toSeconds(time)};
+    return {rig.meter->gap(), rig.meter->largestInFlightCost(), rig.meter->utilisation(),
+            rig.meter->longestStarvationSeconds(),
+            (controlBytes(rig) - bytesBefore) / toSeconds(time)};
 }
 
 double median(std::vector<double> values)
@@ -108,9 +109,9 @@
     rig.run(warmUp);
     rig.meter->start();
     rig.run(timeBeforeEvacuation);
-    rig.takeOut({ZoneId("b")});
+    rig.setEvacuatedZones({ZoneId("b")});
     rig.run(evacuationTime);
-    rig.takeOut({});
+    rig.setEvacuatedZones({});
     rig.run(timeAfterReturn);
 
     std::ostringstream data;
@@ -129,15 +130,18 @@
         lost += sample.lost;
     }
     std::uint64_t lateStarts = 0;
-    for (const auto &request : rig.world.journal.requests()) {
-        for (const auto &callerTry : request->tries)
-            lateStarts
-                += callerTry->startedAt && *callerTry->startedAt - callerTry->at > 2s ? 1 : 0;
+    for (const auto &request : rig.simulation.journal.requests()) {
+        for (const auto &callerAttempt : request->attempts)
+            lateStarts += callerAttempt->startedAt
+                    && *callerAttempt->startedAt - callerAttempt->sentAt > 2s
+                ? 1
+                : 0;
     }
     std::cout << std::left << std::setw(16) << deployment.name << std::right << std::setw(10)
               << answered << std::setw(10) << refused << std::setw(10) << lost << std::setw(10)
-              << lateStarts << std::setw(12) << rig.world.journal.findings().size() << std::endl;
-    for (const auto &finding : rig.world.journal.findings())
+              << lateStarts << std::setw(12) << rig.simulation.journal.violations().size()
+              << std::endl;
+    for (const auto &finding : rig.simulation.journal.violations())
         std::cout << "  " << finding << '\n';
     if (!dataDirectory.empty())
         std::ofstream(dataDirectory + "/zone-" + deployment.name + ".dat") << data.str();
--- a/test/faults/FairnessTest.cpp
+++ b/test/faults/FairnessTest.cpp
@@ -1,5 +1,5 @@
 // The service gap, starvation and idle slots of whole fleets under overload, held to their bounds.
-#include "rig/Faults.h"
+#include "rig/FaultInjector.h"
 #include "rig/Rig.h"
 
 #include <gtest/gtest.h>
@@ -13,7 +13,7 @@
 constexpr Duration warmUp = 12s;
 /// No backlogged workspace may go without any service for longer. Its weight's share of the slots
 /// is at least 2 of 80, and requests take 2 s on average, 20 s at most.
-constexpr double starvationLimit = 10;
+constexpr double maxStarvationSeconds = 10;
 
 class Fairness : public testing::TestWithParam<std::uint64_t>
 {
@@ -28,11 +28,11 @@
     }
     void expectFair(double factor) const
     {
-        const Meter &meter = *m_rig->meter;
-        EXPECT_LE(meter.gap(), factor * meter.largestInFlight());
-        EXPECT_LE(meter.longestStarvation(), starvationLimit);
-        for (const std::string &finding : m_rig->world.journal.findings())
-            ADD_FAILURE() << finding;
+        const FairnessMeter &meter = *m_rig->meter;
+        EXPECT_LE(meter.gap(), factor * meter.largestInFlightCost());
+        EXPECT_LE(meter.longestStarvationSeconds(), maxStarvationSeconds);
+        for (const std::string &violation : m_rig->simulation.journal.violations())
+            ADD_FAILURE() << violation;
     }
 
     std::unique_ptr<Rig> m_rig;
@@ -43,7 +43,7 @@
 // Sixteen workspaces of weights one to four wait without end, three of them with six times the
 // load, on routers that see very different parts of them. No rule can do better than what one
 // workspace has in flight; the gap must stay below twice that, and slots must not idle.
-TEST_P(Fairness, MenGomStaysWithinTheBound)
+TEST_P(Fairness, MenGomGapStaysWithinBound)
 {
     start(menGom());
     m_rig->run(60s);
@@ -51,7 +51,7 @@
     EXPECT_GE(m_rig->meter->utilisation(), 0.98);
 }
 
-TEST_P(Fairness, RiviereBellsStaysWithinTheBound)
+TEST_P(Fairness, RiviereBellsGapStaysWithinBound)
 {
     start(riviereBells());
     m_rig->run(60s);
@@ -60,7 +60,7 @@
 }
 
 // Were the gap to grow slowly, a short run would not show it: three times as long, the same bound.
-TEST_P(Fairness, TheGapDoesNotGrowWithTime)
+TEST_P(Fairness, GapDoesNotGrowWithTime)
 {
     start(menGom());
     m_rig->run(180s);
@@ -70,10 +70,10 @@
 // Two routers die one after the other and come back with no memory: pools change their owners, and
 // what these had counted is lost. Flows start level with each successor, so each change costs at
 // most the bound once more, and nobody starves meanwhile.
-TEST_P(Fairness, LostOwnersCostTheBoundOnceEach)
+TEST_P(Fairness, EachLostOwnerAddsAtMostOneBound)
 {
     start(menGom());
-    Faults faults(*m_rig);
+    FaultInjector faults(*m_rig);
     m_rig->run(10s);
     faults.inject(Fault::KillNode, 6s, 0);
     m_rig->run(20s);
--- a/test/faults/FaultSeedsTest.cpp
+++ b/test/faults/FaultSeedsTest.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-std::string textOf(const ScenarioResult &result)
+std::string describeFailure(const ScenarioResult &result)
 {
     std::string text;
-    for (const auto &finding : result.findings)
-        text += "  " + finding + "\n";
-    return text + "what was done:\n" + result.story;
+    for (const auto &violation : result.violations)
+        text += "  " + violation + "\n";
+    return text + "what was done:\n" + result.faultLog;
 }
 
 class FaultSeeds : public testing::TestWithParam<std::uint64_t>
@@ -22,10 +22,10 @@
 
 } // namespace
 
-TEST_P(FaultSeeds, EveryPromiseHolds)
+TEST_P(FaultSeeds, NoInvariantIsViolated)
 {
     const ScenarioResult result = runScenario(GetParam());
-    EXPECT_TRUE(result.findings.empty()) << textOf(result);
+    EXPECT_TRUE(result.violations.empty()) << describeFailure(result);
     EXPECT_GT(result.answered, 0U);
 }
 
@@ -35,5 +35,5 @@
 // cut-off node. 1166: nodes ready just after the rig's wait. 111, 2114: a planned stop across a
 // pause (RouterCoreTest.PauseRestartsQuietPeriodOfPlannedStop). Of the range, these failed once and
 // what was mended: 3 10 28 60 69 80 117 182 (query of death), 14 38 79 112 180 (cold target), 51 55
-// (drain meter), 29 59 121 130 136 174 (address of a node first heard by a key message).
-INSTANTIATE_TEST_SUITE_P(OnceFailed, FaultSeeds, testing::Values<std::uint64_t>(1019, 1166, 2114));
+// (drain meter), 29 59 121 130 136 174 (address of a node firstSeed heard by a key message).
+INSTANTIATE_TEST_SUITE_P(Regressions, FaultSeeds, testing::Values<std::uint64_t>(1019, 1166, 2114));
--- a/test/faults/Scenario.h
+++ b/test/faults/Scenario.h
@@ -1,8 +1,8 @@
-// One seeded run of a small deployment through mixed faults, judged by what targets executed and
-// callers were told.
+// One seeded run of a small deployment through mixed faults, judged by what targets
+// onExecutionStarted and callers were told.
 #pragma once
 
-#include "rig/Faults.h"
+#include "rig/FaultInjector.h"
 
 #include <cstdint>
 #include <string>
@@ -12,8 +12,8 @@
 
 struct ScenarioResult
 {
-    std::vector<std::string> findings; ///< Broken promises.
-    std::string story;                 ///< What was done to the deployment.
+    std::vector<std::string> violations; ///< Broken promises.
+    std::string faultLog;                ///< What was done to the deployment.
     std::size_t answered = 0;
     std::size_t refused = 0;
     std::size_t lost = 0;
@@ -23,15 +23,15 @@
 };
 
 /// The deployment of a seed: both of today's sizes in turn, with loads below and above capacity.
-DeploymentOptions deploymentOf(std::uint64_t seed);
+DeploymentOptions deploymentFor(std::uint64_t seed);
 
-/// Two rounds of two or three overlapping faults, then rest, then everything must work again.
+/// Two rounds of two or three overlapping faults, then drainTime, then everything must work again.
 ScenarioResult runScenario(std::uint64_t seed);
 
 /// The same with these faults instead of chosen ones.
 ScenarioResult runScenario(std::uint64_t seed, const std::vector<Fault> &faults);
 
-/// After rest: every node is ready and serves every service.
+/// After drainTime: every node is ready and serves every service.
 void checkRecovered(Rig &rig);
 
 } // namespace berylridge::rig
--- a/test/rig/Callers.cpp
+++ b/test/rig/Callers.cpp
@@ -9,76 +9,78 @@
 
 namespace {
 
-constexpr Duration lookPeriod = std::chrono::milliseconds(100);
-constexpr double unevenness = 1.5; ///< Exponent of a workspace's spread over nodes.
+constexpr Duration attemptPollPeriod = std::chrono::milliseconds(100);
+constexpr double nodeSkewExponent = 1.5; ///< Exponent of a workspace's spread over nodes.
 
 } // namespace
 
 Callers::Callers(Rig &rig, CallerOptions options)
     : m_rig(rig)
     , m_options(std::move(options))
-    , m_factor(rig.options.workspaces, 1.0)
+    , m_loadFactors(rig.options.workspaces, 1.0)
 {
-    if (m_options.demand.empty())
-        m_options.demand.assign(rig.options.workspaces, 1.0);
+    if (m_options.demandWeights.empty())
+        m_options.demandWeights.assign(rig.options.workspaces, 1.0);
     for (std::size_t i = 0; i < rig.options.workspaces; ++i) {
-        auto &weights = m_spread.emplace_back();
+        auto &weights = m_nodeWeights.emplace_back();
         for (std::size_t j = 0; j < rig.nodes.size(); ++j)
-            weights.push_back(std::pow(0.02 + uniform(rig.world.random), unevenness));
+            weights.push_back(std::pow(0.02 + uniform(rig.simulation.random), nodeSkewExponent));
     }
 }
 
 void Callers::start()
 {
-    m_isOn = true;
-    for (std::size_t i = 0; i < m_factor.size(); ++i) {
-        for (const Kind kind : {Kind::Generation, Kind::Lookup, Kind::Purchase})
+    m_isRunning = true;
+    for (std::size_t i = 0; i < m_loadFactors.size(); ++i) {
+        for (const RequestKind kind :
+             {RequestKind::Generation, RequestKind::Lookup, RequestKind::Purchase})
             arrive(kind, i);
     }
 }
 
-double Callers::rate(Kind kind, std::size_t workspace) const
+double Callers::arrivalRate(RequestKind kind, std::size_t workspace) const
 {
     double sum = 0;
-    for (const double demand : m_options.demand)
-        sum += demand;
-    const double share = m_factor[workspace] * m_options.demand[workspace] / sum;
+    for (const double demandWeights : m_options.demandWeights)
+        sum += demandWeights;
+    const double share = m_loadFactors[workspace] * m_options.demandWeights[workspace] / sum;
     const double slots = m_rig.options.engineSlots * static_cast<double>(m_rig.options.engines);
     switch (kind) {
-    case Kind::Generation:
+    case RequestKind::Generation:
         return share * m_options.engineLoad * slots / m_options.meanCost;
-    case Kind::Lookup:
+    case RequestKind::Lookup:
         return share * m_options.lookupsPerSecond;
-    case Kind::Purchase:
+    case RequestKind::Purchase:
         return share * m_options.purchasesPerSecond;
     }
     return 0;
 }
 
-void Callers::arrive(Kind kind, std::size_t workspace)
+void Callers::arrive(RequestKind kind, std::size_t workspace)
 {
-    RandomEngine &random = m_rig.world.random;
-    const double perSecond = rate(kind, workspace);
+    RandomEngine &random = m_rig.simulation.random;
+    const double perSecond = arrivalRate(kind, workspace);
     if (perSecond <= 0)
         return;
     const double wait = std::exponential_distribution<double>(perSecond)(random);
-    m_rig.world.queue.after(fromSeconds(wait), [this, kind, workspace] {
-        if (!m_isOn)
+    m_rig.simulation.queue.after(fromSeconds(wait), [this, kind, workspace] {
+        if (!m_isRunning)
             return;
-        CallerRequest request = kind == Kind::Generation ? generation(workspace)
-            : kind == Kind::Lookup
-            ? lookup(workspace)
-            : purchase(workspace, uniform(m_rig.world.random) >= m_options.keyless);
-        const bool isTwice = request.key && uniform(m_rig.world.random) < m_options.asksTwice;
+        CallerRequest request = kind == RequestKind::Generation ? makeGeneration(workspace)
+            : kind == RequestKind::Lookup
+            ? makeLookup(workspace)
+            : makePurchase(workspace, uniform(m_rig.simulation.random) >= m_options.keylessRatio);
+        const bool isDuplicated
+            = request.key && uniform(m_rig.simulation.random) < m_options.duplicateRatio;
         const std::size_t node = chooseNode(workspace, m_rig.nodes.size());
         CallerRequest &sent = send(std::move(request), node);
-        if (isTwice)
-            attempt(sent, chooseNode(workspace, node));
+        if (isDuplicated)
+            submit(sent, chooseNode(workspace, node));
         arrive(kind, workspace);
     });
 }
 
-CallerRequest Callers::generation(std::size_t workspace)
+CallerRequest Callers::makeGeneration(std::size_t workspace)
 {
     CallerRequest request;
     request.workspace = workspace;
@@ -87,12 +89,12 @@
     request.path = "/generate";
     const double mu = std::log(m_options.meanCost) - m_options.costSigma * m_options.costSigma / 2;
     std::lognormal_distribution<double> cost(mu, m_options.costSigma);
-    request.cost = std::min(cost(m_rig.world.random), 5 * m_options.meanCost);
-    request.bodyHash = m_nextBody++;
+    request.cost = std::min(cost(m_rig.simulation.random), 5 * m_options.meanCost);
+    request.bodyHash = m_nextBodyHash++;
     return request;
 }
 
-CallerRequest Callers::lookup(std::size_t workspace)
+CallerRequest Callers::makeLookup(std::size_t workspace)
 {
     CallerRequest request;
     request.workspace = workspace;
@@ -103,7 +105,7 @@
     return request;
 }
 
-CallerRequest Callers::purchase(std::size_t workspace, bool hasKey)
+CallerRequest Callers::makePurchase(std::size_t workspace, bool hasKey)
 {
     CallerRequest request;
     request.workspace = workspace;
@@ -111,20 +113,20 @@
     request.method = "POST";
     request.path = "/purchases";
     request.isIdempotent = false;
-    request.cost = 0.05 + 0.3 * uniform(m_rig.world.random);
-    request.bodyHash = m_nextBody++;
+    request.cost = 0.05 + 0.3 * uniform(m_rig.simulation.random);
+    request.bodyHash = m_nextBodyHash++;
     if (hasKey)
-        request.key = newKey();
+        request.key = makeIdempotencyKey();
     return request;
 }
 
 /// A UUIDv7 (RFC 9562): 48 bits of milliseconds, then random bits.
-std::string Callers::newKey()
+std::string Callers::makeIdempotencyKey()
 {
     const auto ms
-        = static_cast<std::uint64_t>(m_rig.world.queue.wallNow().time_since_epoch().count());
-    const std::uint64_t a = m_rig.world.random();
-    const std::uint64_t b = m_rig.world.random();
+        = static_cast<std::uint64_t>(m_rig.simulation.queue.wallNow().time_since_epoch().count());
+    const std::uint64_t a = m_rig.simulation.random();
+    const std::uint64_t b = m_rig.simulation.random();
     char text[37];
     std::snprintf(text, sizeof text, "%08x-%04x-7%03x-%04x-%012llx",
                   static_cast<unsigned>(ms >> 16), static_cast<unsigned>(ms & 0xffff),
@@ -136,51 +138,51 @@
 
 CallerRequest &Callers::send(CallerRequest request, std::size_t node)
 {
-    CallerRequest &kept = m_rig.world.journal.add(std::move(request));
-    attempt(kept, node);
-    return kept;
+    CallerRequest &addedRequest = m_rig.simulation.journal.add(std::move(request));
+    submit(addedRequest, node);
+    return addedRequest;
 }
 
-void Callers::sendDeadly(std::size_t workspace, std::size_t times)
+void Callers::sendQueryOfDeath(std::size_t workspace, std::size_t times)
 {
-    CallerRequest request = generation(workspace);
-    request.isDeadly = true;
+    CallerRequest request = makeGeneration(workspace);
+    request.isQueryOfDeath = true;
     CallerRequest &sent = send(std::move(request), chooseNode(workspace, m_rig.nodes.size()));
     for (std::size_t i = 1; i < times; ++i) {
-        m_rig.world.queue.after(std::chrono::seconds(2 * i), [this, &sent, workspace] {
-            attempt(sent, chooseNode(workspace, sent.tries.back()->node));
+        m_rig.simulation.queue.after(std::chrono::seconds(2 * i), [this, &sent, workspace] {
+            submit(sent, chooseNode(workspace, sent.attempts.back()->node));
         });
     }
 }
 
-/// The balancer: among nodes that look ready, by the workspace's spread.
-std::size_t Callers::chooseNode(std::size_t workspace, std::size_t avoided)
+/// The balancer: among nodes that pollAttempt ready, by the workspace's spread.
+std::size_t Callers::chooseNode(std::size_t workspace, std::size_t excludedNode)
 {
-    std::vector<double> weights = m_spread[workspace];
+    std::vector<double> weights = m_nodeWeights[workspace];
     for (std::size_t i = 0; i < weights.size(); ++i) {
         const FakeNode &node = *m_rig.nodes[i];
         // The balancer notices a pause late: now and then it still sends there.
-        const bool isSent
-            = node.isReady() || (node.isPaused() && uniform(m_rig.world.random) < 0.2);
-        if (!isSent || i == avoided)
+        const bool isRoutable
+            = node.isReady() || (node.isPaused() && uniform(m_rig.simulation.random) < 0.2);
+        if (!isRoutable || i == excludedNode)
             weights[i] = 0;
     }
     double sum = 0;
     for (const double weight : weights)
         sum += weight;
     if (sum <= 0)
-        return avoided < weights.size() ? avoided : 0;
+        return excludedNode < weights.size() ? excludedNode : 0;
     return std::discrete_distribution<std::size_t>(weights.begin(),
-                                                   weights.end())(m_rig.world.random);
+                                                   weights.end())(m_rig.simulation.random);
 }
 
-void Callers::attempt(CallerRequest &request, std::size_t node)
+void Callers::submit(CallerRequest &request, std::size_t node)
 {
     FakeNode &router = *m_rig.nodes[node];
     // The balancer has nobody: the caller sees a refused connection.
     if (!router.isUp())
         return;
-    CallerTry &callerTry = m_rig.world.journal.begin(request, node);
+    CallerAttempt &callerAttempt = m_rig.simulation.journal.begin(request, node);
     RequestArrived event;
     event.service = m_rig.services[request.service].service;
     event.credential = m_rig.credentials[request.workspace];
@@ -189,50 +191,51 @@
     event.idempotencyKey = request.key;
     event.bodyHash = request.bodyHash;
     event.bodyBytes = 500;
-    router.arrive(callerTry, event);
-    m_rig.world.queue.after(m_options.patience, [this, &router, &callerTry] {
-        if (callerTry.ending != Ending::Open)
+    router.arrive(callerAttempt, event);
+    m_rig.simulation.queue.after(m_options.callerTimeout, [this, &router, &callerAttempt] {
+        if (callerAttempt.outcome != AttemptOutcome::Pending)
             return;
-        if (!router.wasDisturbed(callerTry.at)) {
-            m_rig.world.journal.fail("own answer",
-                                     callerTry.id + " hung until its caller left"
-                                         + historyOf(*callerTry.request));
+        if (!router.hadOutageSince(callerAttempt.sentAt)) {
+            m_rig.simulation.journal.recordViolation("own answer",
+                                                     callerAttempt.id
+                                                         + " hung until its caller left"
+                                                         + formatHistory(*callerAttempt.request));
         }
-        router.callerGone(callerTry);
+        router.onCallerDisconnected(callerAttempt);
     });
-    if (!request.isDeadly)
-        look(request, callerTry);
+    if (!request.isQueryOfDeath)
+        pollAttempt(request, callerAttempt);
 }
 
 /// Looks now and then whether the try has ended, and sends again where that makes sense.
-void Callers::look(CallerRequest &request, CallerTry &callerTry)
+void Callers::pollAttempt(CallerRequest &request, CallerAttempt &callerAttempt)
 {
-    m_rig.world.queue.after(lookPeriod, [this, &request, &callerTry] {
-        if (callerTry.ending == Ending::Open) {
-            look(request, callerTry);
+    m_rig.simulation.queue.after(attemptPollPeriod, [this, &request, &callerAttempt] {
+        if (callerAttempt.outcome == AttemptOutcome::Pending) {
+            pollAttempt(request, callerAttempt);
             return;
         }
-        const bool isLast = request.tries.back().get() == &callerTry;
-        if (!isLast || !maySendAgain(request, callerTry))
+        const bool isLast = request.attempts.back().get() == &callerAttempt;
+        if (!isLast || !isRetryAllowed(request, callerAttempt))
             return;
-        const double wait = 0.2 + uniform(m_rig.world.random);
-        m_rig.world.queue.after(fromSeconds(wait), [this, &request, &callerTry] {
-            if (m_isOn)
-                attempt(request, chooseNode(request.workspace, callerTry.node));
+        const double wait = 0.2 + uniform(m_rig.simulation.random);
+        m_rig.simulation.queue.after(fromSeconds(wait), [this, &request, &callerAttempt] {
+            if (m_isRunning)
+                submit(request, chooseNode(request.workspace, callerAttempt.node));
         });
     });
 }
 
-bool Callers::maySendAgain(const CallerRequest &request, const CallerTry &callerTry) const
+bool Callers::isRetryAllowed(const CallerRequest &request, const CallerAttempt &callerAttempt) const
 {
-    if (request.tries.size() >= m_options.mostTries)
+    if (request.attempts.size() >= m_options.maxAttempts)
         return false;
-    switch (callerTry.ending) {
-    case Ending::NotRun:
+    switch (callerAttempt.outcome) {
+    case AttemptOutcome::NotRun:
         return request.service == Rig::applicationService;
-    case Ending::MayHaveRun:
-    case Ending::Cut:
-    case Ending::Lost:
+    case AttemptOutcome::MayHaveRun:
+    case AttemptOutcome::Truncated:
+    case AttemptOutcome::NodeLost:
         return request.isIdempotent || request.key;
     default:
         return false;
--- a/test/rig/Callers.h
+++ b/test/rig/Callers.h
@@ -21,12 +21,12 @@
     double costSigma = 0.8;
     double lookupsPerSecond = 20;
     double purchasesPerSecond = 8;
-    double keyless = 0.1;   ///< Share of purchases that carry no idempotency key.
-    double asksTwice = 0.0; ///< Share of purchases that are sent through two nodes at once.
+    double keylessRatio = 0.1;   ///< Share of purchases that carry no idempotency key.
+    double duplicateRatio = 0.0; ///< Share of purchases that are sent through two nodes at once.
     /// Load of each workspace relative to the others; all equal where empty.
-    std::vector<double> demand;
-    std::uint32_t mostTries = 4;
-    Duration patience = std::chrono::seconds(25); ///< Then the caller closes its connection.
+    std::vector<double> demandWeights;
+    std::uint32_t maxAttempts = 4;
+    Duration callerTimeout = std::chrono::seconds(25); ///< Then the caller closes its connection.
 };
 
 class Callers
@@ -35,34 +35,34 @@
     Callers(Rig &rig, CallerOptions options);
 
     void start();
-    void stop() { m_isOn = false; }
+    void stop() { m_isRunning = false; }
     /// A request that crashes each target that runs it; its caller sends it again and again.
-    void sendDeadly(std::size_t workspace, std::size_t times);
+    void sendQueryOfDeath(std::size_t workspace, std::size_t times);
     /// Multiplies one workspace's load.
-    void flood(std::size_t workspace, double factor) { m_factor[workspace] = factor; }
+    void setLoadFactor(std::size_t workspace, double factor) { m_loadFactors[workspace] = factor; }
     /// One request now; for tests that tell a story step by step.
     CallerRequest &send(CallerRequest request, std::size_t node);
-    CallerRequest purchase(std::size_t workspace, bool hasKey);
-    CallerRequest generation(std::size_t workspace);
+    CallerRequest makePurchase(std::size_t workspace, bool hasKey);
+    CallerRequest makeGeneration(std::size_t workspace);
 
 private:
-    enum class Kind : std::uint8_t { Generation, Lookup, Purchase };
+    enum class RequestKind : std::uint8_t { Generation, Lookup, Purchase };
 
-    double rate(Kind kind, std::size_t workspace) const;
-    void arrive(Kind kind, std::size_t workspace);
-    CallerRequest lookup(std::size_t workspace);
-    std::size_t chooseNode(std::size_t workspace, std::size_t avoided);
-    void attempt(CallerRequest &request, std::size_t node);
-    void look(CallerRequest &request, CallerTry &callerTry);
-    bool maySendAgain(const CallerRequest &request, const CallerTry &callerTry) const;
-    std::string newKey();
+    double arrivalRate(RequestKind kind, std::size_t workspace) const;
+    void arrive(RequestKind kind, std::size_t workspace);
+    CallerRequest makeLookup(std::size_t workspace);
+    std::size_t chooseNode(std::size_t workspace, std::size_t excludedNode);
+    void submit(CallerRequest &request, std::size_t node);
+    void pollAttempt(CallerRequest &request, CallerAttempt &callerAttempt);
+    bool isRetryAllowed(const CallerRequest &request, const CallerAttempt &callerAttempt) const;
+    std::string makeIdempotencyKey();
 
     Rig &m_rig;
     CallerOptions m_options;
-    bool m_isOn = false;
-    std::vector<double> m_factor;
-    std::vector<std::vector<double>> m_spread; ///< Per workspace, weight of each node.
-    std::uint64_t m_nextBody = 1;
+    bool m_isRunning = false;
+    std::vector<double> m_loadFactors;
+    std::vector<std::vector<double>> m_nodeWeights; ///< Per workspace, weight of each node.
+    std::uint64_t m_nextBodyHash = 1;
 };
 
 } // namespace berylridge::rig
--- a/test/rig/Meter.h
+++ b/test/rig/FairnessMeter.h
@@ -23,10 +23,10 @@
     double waiting = 0;
 };
 
-class Meter
+class FairnessMeter
 {
 public:
-    explicit Meter(Rig &rig);
+    explicit FairnessMeter(Rig &rig);
 
     /// Begins to measure; what came before is left out.
     void start();
@@ -35,40 +35,43 @@
     /// weight.
     double gap() const { return m_gap; }
     /// The largest cost that one workspace had in flight, over weight: what no rule could avoid.
-    double largestInFlight() const { return m_largestInFlight; }
+    double largestInFlightCost() const { return m_largestInFlightCost; }
     /// Of the engine slots, while engine requests waited.
-    double utilisation() const { return m_offered > 0 ? m_used / m_offered : 1.0; }
+    double utilisation() const
+    {
+        return m_availableSlotSeconds > 0 ? m_usedSlotSeconds / m_availableSlotSeconds : 1.0;
+    }
     /// The longest time that a backlogged workspace got nothing at all.
-    double longestStarvation() const { return m_longestStarvation; }
+    double longestStarvationSeconds() const { return m_longestStarvationSeconds; }
     const std::vector<SecondSample> &seconds() const { return m_seconds; }
 
 private:
     void sample();
-    void sampleFlows(double step);
+    void sampleFlows(double stepSeconds);
     void sampleGap();
     void sampleSecond(double used, double slots);
-    double slotsInService() const;
+    double availableSlots() const;
 
     Rig &m_rig;
     TimePoint m_since {};
-    std::vector<double> m_service; ///< Slot seconds over weight, per workspace.
-    std::vector<double> m_starving;
+    std::vector<double> m_normalizedService; ///< Slot seconds over weight, per workspace.
+    std::vector<double> m_starvationSeconds;
     std::vector<bool> m_isBacklogged;
     struct Range
     {
-        bool isOpen = false;
+        bool isActive = false;
         double low = 0;
         double high = 0;
     };
-    std::vector<std::vector<Range>> m_pairs;
+    std::vector<std::vector<Range>> m_gapRanges;
     double m_gap = 0;
-    double m_largestInFlight = 0;
-    double m_used = 0;
-    double m_offered = 0;
-    double m_longestStarvation = 0;
-    std::uint64_t m_samples = 0;
+    double m_largestInFlightCost = 0;
+    double m_usedSlotSeconds = 0;
+    double m_availableSlotSeconds = 0;
+    double m_longestStarvationSeconds = 0;
+    std::uint64_t m_sampleCount = 0;
     std::vector<SecondSample> m_seconds;
-    SecondSample m_before;
+    SecondSample m_previousTotals;
 };
 
 } // namespace berylridge::rig
--- a/test/rig/FakeNode.cpp
+++ b/test/rig/FakeNode.cpp
@@ -1,6 +1,6 @@
 #include "FakeNode.h"
 
-#include "FakeNodeParts.h"
+#include "FakeNodeRequests.h"
 
 #include "berylridge/Net/Datagram.h"
 #include "berylridge/Support/Overloaded.h"
@@ -15,14 +15,14 @@
 const std::string fleetKey = "a-fleet-key-of-the-test-rig-0000";
 constexpr Duration connectTimeout = std::chrono::seconds(1);
 constexpr std::size_t headerBytes = 28; // IP and UDP
-constexpr int mostTimersNow = 100;
-constexpr std::size_t mostWaiting = 4000;
+constexpr int maxTimersPerInstant = 100;
+constexpr std::size_t maxDeferredCallbacks = 4000;
 
 } // namespace
 
-FakeNode::FakeNode(World &world, PlaceId place, CoreOptions options)
-    : m_world(world)
-    , m_place(place)
+FakeNode::FakeNode(Simulation &simulation, HostId host, CoreOptions options)
+    : m_simulation(simulation)
+    , m_host(host)
     , m_options(std::move(options))
 {
 }
@@ -32,26 +32,26 @@
 void FakeNode::start()
 {
     assert(!isUp() && "the node already runs");
-    ++m_run;
+    ++m_incarnationNumber;
     m_options.incarnation
-        = static_cast<Incarnation>(m_world.queue.wallNow().time_since_epoch().count()) * 1000;
-    m_options.seed = m_world.random();
+        = static_cast<Incarnation>(m_simulation.queue.wallNow().time_since_epoch().count()) * 1000;
+    m_options.seed = m_simulation.random();
     // Each process has a clock epoch of its own; a core that compares two nodes' clocks shows here.
-    m_clockOffset = std::chrono::seconds(1 + m_world.random() % 100000);
-    auto core = RouterCore::create(m_options, localNow(), m_world.queue.wallNow());
+    m_clockOffset = std::chrono::seconds(1 + m_simulation.random() % 100000);
+    auto core = RouterCore::create(m_options, localNow(), m_simulation.queue.wallNow());
     if (!core) {
-        m_world.journal.fail("start", core.failureReason());
+        m_simulation.journal.recordViolation("start", core.failureReason());
         return;
     }
     m_core = *std::move(core);
     m_isPaused = m_isReady = m_isLeaving = m_isVmGone = false;
     m_timerAt = TimePoint::max();
-    m_waiting.clear();
-    // A node without memory may have lost what it heard, and can't hear while it is cut off.
-    TimePoint until = m_world.queue.now();
-    for (const auto &[from, end] : m_disturbances)
+    m_deferredCallbacks.clear();
+    // A node without memory may have lost what it publishTime, and can't hear while it is cut off.
+    TimePoint until = m_simulation.queue.now();
+    for (const auto &[from, end] : m_outages)
         until = std::max(until, end);
-    disturb(TimePoint {}, until);
+    addOutage(TimePoint {}, until);
     handle(TimerDue {});
 }
 
@@ -59,28 +59,28 @@
 {
     if (!isUp())
         return;
-    ++m_run;
+    ++m_incarnationNumber;
     m_isVmGone = isVmGone;
     m_isReady = false;
     m_isPaused = false;
-    auto open = std::move(m_open);
-    m_open.clear();
+    auto open = std::move(m_openRequests);
+    m_openRequests.clear();
     for (auto &[handle, request] : open) {
         if (request.attempt)
             close(request.attempt);
-        if (!request.isGone)
-            m_world.journal.end(*request.callerTry, Ending::Lost);
+        if (!request.isCallerDisconnected)
+            m_simulation.journal.end(*request.callerAttempt, AttemptOutcome::NodeLost);
     }
-    m_world.platform->forget(*this);
+    m_simulation.platform->stopWatch(*this);
     m_outbox.clear();
-    m_idle.clear();
+    m_idleConnections.clear();
     m_core.reset();
 }
 
 void FakeNode::pause()
 {
     m_isPaused = isUp();
-    m_pausedAt = m_world.queue.now();
+    m_pausedAt = m_simulation.queue.now();
 }
 
 void FakeNode::resume()
@@ -88,18 +88,18 @@
     if (!m_isPaused)
         return;
     m_isPaused = false;
-    disturb(m_pausedAt, m_world.queue.now());
-    auto waiting = std::move(m_waiting);
-    m_waiting.clear();
-    const std::uint64_t run = m_run;
+    addOutage(m_pausedAt, m_simulation.queue.now());
+    auto waiting = std::move(m_deferredCallbacks);
+    m_deferredCallbacks.clear();
+    const std::uint64_t incarnationNumber = m_incarnationNumber;
     // A late process may see its timer or its sockets first.
-    if (uniform(m_world.random) < 0.5)
+    if (uniform(m_simulation.random) < 0.5)
         handle(TimerDue {});
     for (const auto &function : waiting) {
-        if (m_run == run)
+        if (m_incarnationNumber == incarnationNumber)
             function();
     }
-    if (m_run == run)
+    if (m_incarnationNumber == incarnationNumber)
         handle(TimerDue {});
 }
 
@@ -109,70 +109,70 @@
     handle(LeaveOrdered {"rig"});
 }
 
-bool FakeNode::wasDisturbed(TimePoint since) const
+bool FakeNode::hadOutageSince(TimePoint since) const
 {
-    return m_isPaused
-        || std::any_of(m_disturbances.begin(), m_disturbances.end(),
-                       [&](const auto &disturbance) { return disturbance.second >= since; });
+    return m_isPaused || std::any_of(m_outages.begin(), m_outages.end(), [&](const auto &outage) {
+               return outage.second >= since;
+           });
 }
 
-TimePoint FakeNode::couldHear(TimePoint published, Duration limit) const
+TimePoint FakeNode::effectivePublishTime(TimePoint published, Duration limit) const
 {
-    TimePoint heard = published;
+    TimePoint publishTime = published;
     for (bool isChanged = true; isChanged;) {
         isChanged = false;
-        for (const auto &[from, until] : m_disturbances) {
-            if (from <= heard + limit && until > heard) {
-                heard = until;
+        for (const auto &[from, until] : m_outages) {
+            if (from <= publishTime + limit && until > publishTime) {
+                publishTime = until;
                 isChanged = true;
             }
         }
     }
-    return heard;
+    return publishTime;
 }
 
-bool FakeNode::arrive(CallerTry &callerTry, const RequestArrived &request)
+bool FakeNode::arrive(CallerAttempt &callerAttempt, const RequestArrived &request)
 {
     if (!isUp())
         return false;
     RequestArrived event = request;
     event.handle = m_nextHandle++;
-    event.requestId = callerTry.id;
-    m_open[event.handle].callerTry = &callerTry;
-    whenAwake([this, event] { handle(event); });
+    event.requestId = callerAttempt.id;
+    m_openRequests[event.handle].callerAttempt = &callerAttempt;
+    runWhenResumed([this, event] { handle(event); });
     return true;
 }
 
-void FakeNode::callerGone(const CallerTry &callerTry)
+void FakeNode::onCallerDisconnected(const CallerAttempt &callerAttempt)
 {
-    for (auto &[handleNumber, open] : m_open) {
-        if (open.callerTry != &callerTry || open.isGone)
+    for (auto &[openHandle, open] : m_openRequests) {
+        if (open.callerAttempt != &callerAttempt || open.isCallerDisconnected)
             continue;
-        open.isGone = true;
-        m_world.journal.end(*open.callerTry, Ending::GivenUp);
-        whenAwake([this, gone = handleNumber] { forgetCaller(gone); });
+        open.isCallerDisconnected = true;
+        m_simulation.journal.end(*open.callerAttempt, AttemptOutcome::CallerClosed);
+        runWhenResumed([this, requestHandle = openHandle] { releaseCaller(requestHandle); });
         return;
     }
 }
 
-void FakeNode::forgetCaller(RequestHandle gone)
+void FakeNode::releaseCaller(RequestHandle requestHandle)
 {
-    handle(CallerGone {gone});
-    const auto found = m_open.find(gone);
-    if (found == m_open.end())
+    handle(CallerGone {requestHandle});
+    const auto found = m_openRequests.find(requestHandle);
+    if (found == m_openRequests.end())
         return;
-    const Open &open = found->second;
-    const bool isRunning = open.attempt && !open.attempt->isOver;
-    if (isRunning && open.callerTry->request->isIdempotent)
-        m_world.journal.fail("core", "an attempt goes on without its caller");
+    const OpenRequest &open = found->second;
+    const bool isRunning = open.attempt && !open.attempt->isFinished;
+    if (isRunning && open.callerAttempt->request->isIdempotent)
+        m_simulation.journal.recordViolation("core", "an attempt goes on without its caller");
     // What may not be repeated goes on to its end, so that a repeat of its key finds the answer.
     if (!isRunning)
-        m_open.erase(found);
+        m_openRequests.erase(found);
 }
 
 TimePoint FakeNode::localNow() const
 {
-    return m_world.queue.now() + m_clockOffset;
+    return m_simulation.queue.now() + m_clockOffset;
 }
 
 void FakeNode::handle(const Event &event)
@@ -180,16 +180,16 @@
     if (!isUp())
         return;
     assert(!m_isPaused && "a paused process handles nothing");
-    if (watchEvents)
-        watchEvents(event, localNow(), m_world.queue.wallNow());
+    if (eventObserver)
+        eventObserver(event, localNow(), m_simulation.queue.wallNow());
     Actions actions;
-    m_core->handle(event, localNow(), m_world.queue.wallNow(), actions);
-    const std::uint64_t run = m_run;
+    m_core->handle(event, localNow(), m_simulation.queue.wallNow(), actions);
+    const std::uint64_t incarnationNumber = m_incarnationNumber;
     for (const auto &action : actions) {
-        if (watchActions)
-            watchActions(action);
-        carryOut(action);
-        if (m_run != run)
+        if (actionObserver)
+            actionObserver(action);
+        execute(action);
+        if (m_incarnationNumber != incarnationNumber)
             return;
     }
     flushMessages();
@@ -201,17 +201,17 @@
     const TimePoint due = m_core->nextTimer();
     if (due == TimePoint::max())
         return;
-    const TimePoint when = std::max(due - m_clockOffset, m_world.queue.now());
+    const TimePoint when = std::max(due - m_clockOffset, m_simulation.queue.now());
     if (when >= m_timerAt)
         return;
     m_timerAt = when;
-    m_world.queue.at(when, guarded([this, when] {
-                         if (m_timerAt == when)
-                             timerDue();
-                     }));
+    m_simulation.queue.at(when, bindToIncarnation([this, when] {
+                              if (m_timerAt == when)
+                                  onTimer();
+                          }));
 }
 
-void FakeNode::timerDue()
+void FakeNode::onTimer()
 {
     m_timerAt = TimePoint::max();
     if (m_core->nextTimer() > localNow()) {
@@ -219,50 +219,53 @@
         return;
     }
     // A core that is never satisfied would keep a processor busy without end.
-    m_timersNow = m_lastTimer == m_world.queue.now() ? m_timersNow + 1 : 0;
-    m_lastTimer = m_world.queue.now();
-    if (m_timersNow < mostTimersNow) {
+    m_timersAtInstant = m_lastTimer == m_simulation.queue.now() ? m_timersAtInstant + 1 : 0;
+    m_lastTimer = m_simulation.queue.now();
+    if (m_timersAtInstant < maxTimersPerInstant) {
         handle(TimerDue {});
         return;
     }
-    m_world.journal.fail("core", m_options.node.str() + " asks for a timer again and again");
-    later(std::chrono::milliseconds(1), [this] { handle(TimerDue {}); });
+    m_simulation.journal.recordViolation(
+        "core", m_options.node.str() + " asks for a timer again and again");
+    runLater(std::chrono::milliseconds(1), [this] { handle(TimerDue {}); });
 }
 
-void FakeNode::carryOut(const Action &action)
+void FakeNode::execute(const Action &action)
 {
     std::visit(
         Overloaded {
-            [this](const Dispatch &order) { dispatch(order); },
-            [this](const AbortAttempt &order) { abort(order); },
-            [this](const Refuse &refusal) { refuse(refusal); },
-            [this](const SendStoredResponse &kept) { answerKept(kept); },
+            [this](const Dispatch &attemptAction) { startAttempt(attemptAction); },
+            [this](const AbortAttempt &attemptAction) { abortAttempt(attemptAction); },
+            [this](const Refuse &refusal) { refuseRequest(refusal); },
+            [this](const SendStoredResponse &storedResponse) {
+                sendStoredResponse(storedResponse);
+            },
             [](const RelayHeldResponse &) {
                 assert(false && "only the balancer passes failures on");
             },
-            [this](const SendToNode &message) { enqueue(message); },
-            [this](const ProbeNode &silent) { probe(silent); },
+            [this](const SendToNode &message) { enqueueMessage(message); },
+            [this](const ProbeNode &probeAction) { probeNode(probeAction); },
             [this](const PollTarget &target) { poll(target); },
-            [this](const WatchPlatform &watch) { m_world.platform->watch(*this, watch.isOn); },
+            [this](const WatchPlatform &watch) { m_simulation.platform->watch(*this, watch.isOn); },
             [this](const Readiness &readiness) { m_isReady = readiness.isReady; },
-            [this](const Stopped &) { stopped(); },
+            [this](const Stopped &) { onStopped(); },
             [](const Log &) {},
             [](const Audit &) {},
         },
         action);
 }
 
-void FakeNode::abort(const AbortAttempt &action)
+void FakeNode::abortAttempt(const AbortAttempt &action)
 {
-    const auto found = m_open.find(action.handle);
-    if (found != m_open.end() && found->second.attempt)
+    const auto found = m_openRequests.find(action.handle);
+    if (found != m_openRequests.end() && found->second.attempt)
         close(found->second.attempt);
 }
 
-void FakeNode::enqueue(const SendToNode &action)
+void FakeNode::enqueueMessage(const SendToNode &action)
 {
-    const PlaceId to = m_world.links.find(action.endpoint);
-    if (m_world.nodes.contains(to))
+    const HostId to = m_simulation.network.find(action.endpoint);
+    if (m_simulation.nodes.contains(to))
         m_outbox[to].push_back(packPeerMessage(action.message));
 }
 
@@ -270,158 +273,164 @@
 {
     if (m_outbox.empty())
         return;
-    const DatagramEncoder sealer(m_options.node, m_options.incarnation, fleetKey);
-    for (auto &[to, packed] : m_outbox) {
+    const DatagramEncoder encoder(m_options.node, m_options.incarnation, fleetKey);
+    for (auto &[to, packedMessages] : m_outbox) {
         std::vector<std::string> batch;
         std::size_t bytes = 0;
-        for (auto &message : packed) {
-            if (!batch.empty() && bytes + message.size() > sealer.capacity()) {
-                sendPacked(to, batch);
+        for (auto &message : packedMessages) {
+            if (!batch.empty() && bytes + message.size() > encoder.capacity()) {
+                sendBatch(to, batch);
                 batch.clear();
                 bytes = 0;
             }
             bytes += message.size();
             batch.push_back(std::move(message));
         }
-        sendPacked(to, batch);
+        sendBatch(to, batch);
     }
     m_outbox.clear();
 }
 
-void FakeNode::sendPacked(PlaceId to, const std::vector<std::string> &packed)
+void FakeNode::sendBatch(HostId to, const std::vector<std::string> &packedMessages)
 {
-    const DatagramEncoder sealer(m_options.node, m_options.incarnation, fleetKey);
-    auto sealed = std::make_shared<const std::string>(sealer.encode(packed));
-    m_traffic.sentBytes += sealed->size() + headerBytes;
+    const DatagramEncoder encoder(m_options.node, m_options.incarnation, fleetKey);
+    auto encoded = std::make_shared<const std::string>(encoder.encode(packedMessages));
+    m_traffic.sentBytes += encoded->size() + headerBytes;
     ++m_traffic.sentDatagrams;
-    FakeNode *receiver = m_world.nodes.at(to);
-    const auto arrive = [receiver, sealed] { receiver->deliver(*sealed); };
-    if (sealed->size() <= maxDatagramBytes)
-        m_world.links.datagram(m_place, to, arrive);
-    else if (m_world.links.isOpen(m_place, to))
-        m_world.links.stream(m_place, to, arrive);
+    FakeNode *receiver = m_simulation.nodes.at(to);
+    const auto arrive = [receiver, encoded] { receiver->receiveDatagram(*encoded); };
+    if (encoded->size() <= maxDatagramBytes)
+        m_simulation.network.datagram(m_host, to, arrive);
+    else if (m_simulation.network.isConnected(m_host, to))
+        m_simulation.network.stream(m_host, to, arrive);
 }
 
-void FakeNode::deliver(const std::string &sealed)
+void FakeNode::receiveDatagram(const std::string &encoded)
 {
     if (!isUp())
         return;
-    m_traffic.receivedBytes += sealed.size() + headerBytes;
-    auto datagram = decodeDatagram(fleetKey, std::as_bytes(std::span(sealed)));
+    m_traffic.receivedBytes += encoded.size() + headerBytes;
+    auto datagram = decodeDatagram(fleetKey, std::as_bytes(std::span(encoded)));
     if (!datagram) {
-        m_world.journal.fail("codec", datagram.failureReason());
+        m_simulation.journal.recordViolation("codec", datagram.failureReason());
         return;
     }
-    if (m_isPaused && m_waiting.size() > mostWaiting)
+    if (m_isPaused && m_deferredCallbacks.size() > maxDeferredCallbacks)
         return; // the socket's buffer is full
     for (const PeerMessage &message : datagram->messages) {
-        whenAwake([this, event = NodeMessage {datagram->from, datagram->incarnation, message}] {
-            handle(event);
-        });
+        runWhenResumed(
+            [this, event = NodeMessage {datagram->from, datagram->incarnation, message}] {
+                handle(event);
+            });
     }
 }
 
-void FakeNode::endTry(RequestHandle handle, Ending ending, const std::string &problem)
+void FakeNode::endCallerAttempt(RequestHandle handle, AttemptOutcome outcome,
+                                const std::string &problemType)
 {
-    const auto found = m_open.find(handle);
-    if (found == m_open.end()) {
-        m_world.journal.fail("own answer", "a request was answered that had ended: " + problem);
+    const auto found = m_openRequests.find(handle);
+    if (found == m_openRequests.end()) {
+        m_simulation.journal.recordViolation(
+            "own answer", "a request was answered that had ended: " + problemType);
         return;
     }
-    if (!found->second.isGone)
-        m_world.journal.end(*found->second.callerTry, ending, problem);
-    m_open.erase(found);
+    if (!found->second.isCallerDisconnected)
+        m_simulation.journal.end(*found->second.callerAttempt, outcome, problemType);
+    m_openRequests.erase(found);
 }
 
-void FakeNode::refuse(const Refuse &action)
+void FakeNode::refuseRequest(const Refuse &action)
 {
-    const auto found = m_open.find(action.handle);
-    Ending ending = action.verdict == Verdict::NotRun ? Ending::NotRun : Ending::MayHaveRun;
-    if (found != m_open.end()) {
-        if (found->second.attempt && !found->second.attempt->isOver) {
+    const auto found = m_openRequests.find(action.handle);
+    AttemptOutcome outcome
+        = action.verdict == Verdict::NotRun ? AttemptOutcome::NotRun : AttemptOutcome::MayHaveRun;
+    if (found != m_openRequests.end()) {
+        if (found->second.attempt && !found->second.attempt->isFinished) {
             if (m_isLeaving) {
-                m_world.journal.fail("graceful stop",
-                                     "a running request was refused: " + action.type);
+                m_simulation.journal.recordViolation(
+                    "graceful stop", "a running request was refused: " + action.type);
             }
             close(found->second.attempt);
         }
         if (found->second.answerBegun)
-            ending = Ending::Cut;
+            outcome = AttemptOutcome::Truncated;
     }
-    endTry(action.handle, ending, action.type);
+    endCallerAttempt(action.handle, outcome, action.type);
 }
 
-void FakeNode::answerKept(const SendStoredResponse &action)
+void FakeNode::sendStoredResponse(const SendStoredResponse &action)
 {
-    const auto found = m_open.find(action.handle);
-    if (found != m_open.end())
-        m_world.journal.checkKept(*found->second.callerTry, action.body);
-    endTry(action.handle, Ending::Answered, "kept");
+    const auto found = m_openRequests.find(action.handle);
+    if (found != m_openRequests.end())
+        m_simulation.journal.checkStoredResponse(*found->second.callerAttempt, action.body);
+    endCallerAttempt(action.handle, AttemptOutcome::Answered, "kept");
 }
 
-void FakeNode::probe(const ProbeNode &action)
+void FakeNode::probeNode(const ProbeNode &action)
 {
-    const PlaceId place = m_world.links.find(action.endpoint);
-    const bool isKnown = m_world.nodes.contains(place);
-    const bool isAnswered
-        = isKnown && m_world.links.isOpen(m_place, place) && !m_world.nodes.at(place)->isVmGone();
-    const Duration wait = isAnswered ? 2 * m_world.links.delay(m_place, place) : connectTimeout;
-    later(wait, [this, action, place, isAnswered] {
-        const bool isRefused = isAnswered && !m_world.nodes.at(place)->isUp();
+    const HostId host = m_simulation.network.find(action.endpoint);
+    const bool isKnown = m_simulation.nodes.contains(host);
+    const bool isResponding = isKnown && m_simulation.network.isConnected(m_host, host)
+        && !m_simulation.nodes.at(host)->isVmGone();
+    const Duration wait
+        = isResponding ? 2 * m_simulation.network.delay(m_host, host) : connectTimeout;
+    runLater(wait, [this, action, host, isResponding] {
+        const bool isRefused = isResponding && !m_simulation.nodes.at(host)->isUp();
         handle(ProbeEnded {action.node, action.incarnation, isRefused});
     });
 }
 
 void FakeNode::poll(const PollTarget &action)
 {
-    const PlaceId place = m_world.links.find(action.endpoint);
-    if (!m_world.targets.contains(place))
+    const HostId host = m_simulation.network.find(action.endpoint);
+    if (!m_simulation.targets.contains(host))
         return;
-    if (!m_world.links.isOpen(m_place, place)) {
-        later(connectTimeout, [this, action] {
+    if (!m_simulation.network.isConnected(m_host, host)) {
+        runLater(connectTimeout, [this, action] {
             handle(TargetPollFailed {action.target, AttemptFailure::ConnectTimeout, action.poll});
         });
         return;
     }
-    later(2 * m_world.links.delay(m_place, place), [this, action, place] {
-        const FakeTarget &target = *m_world.targets.at(place);
+    runLater(2 * m_simulation.network.delay(m_host, host), [this, action, host] {
+        const FakeTarget &target = *m_simulation.targets.at(host);
         if (!target.isUp()) {
             handle(TargetPollFailed {action.target, AttemptFailure::ConnectRefused, action.poll});
             return;
         }
         const auto &load = target.load();
         handle(TargetLoadReport {action.target, load.bootId, load.running, load.completed,
-                                 m_world.queue.now() - load.at, action.poll});
+                                 m_simulation.queue.now() - load.at, action.poll});
     });
 }
 
-void FakeNode::stopped()
+void FakeNode::onStopped()
 {
-    if (!m_open.empty()) {
-        m_world.journal.fail("graceful stop",
-                             m_options.node.str() + " stopped with " + std::to_string(m_open.size())
-                                 + " requests open");
+    if (!m_openRequests.empty()) {
+        m_simulation.journal.recordViolation("graceful stop",
+                                             m_options.node.str() + " stopped with "
+                                                 + std::to_string(m_openRequests.size())
+                                                 + " requests open");
     }
     kill();
 }
 
-void FakeNode::later(Duration wait, const EventQueue::Function &function)
+void FakeNode::runLater(Duration wait, const EventQueue::Function &function)
 {
-    m_world.queue.after(wait, guarded(function));
+    m_simulation.queue.after(wait, bindToIncarnation(function));
 }
 
-EventQueue::Function FakeNode::guarded(const EventQueue::Function &function)
+EventQueue::Function FakeNode::bindToIncarnation(const EventQueue::Function &function)
 {
-    return [this, run = m_run, function] {
-        if (m_run == run && isUp())
-            whenAwake(function);
+    return [this, incarnationNumber = m_incarnationNumber, function] {
+        if (m_incarnationNumber == incarnationNumber && isUp())
+            runWhenResumed(function);
     };
 }
 
-void FakeNode::whenAwake(const EventQueue::Function &function)
+void FakeNode::runWhenResumed(const EventQueue::Function &function)
 {
     if (m_isPaused)
-        m_waiting.push_back(function);
+        m_deferredCallbacks.push_back(function);
     else
         function();
 }
--- a/test/rig/FakeNodeAttempts.cpp
+++ b/test/rig/FakeNodeAttempts.cpp
@@ -1,7 +1,7 @@
 // The part of a fake node that stands for the traffic threads: attempts at targets.
 #include "FakeNode.h"
 
-#include "FakeNodeParts.h"
+#include "FakeNodeRequests.h"
 
 #include <algorithm>
 
@@ -15,38 +15,40 @@
 
 } // namespace
 
-void FakeNode::dispatch(const Dispatch &action)
+void FakeNode::startAttempt(const Dispatch &action)
 {
-    const auto found = m_open.find(action.handle);
-    if (found == m_open.end()) {
-        m_world.journal.fail("core", "a request was dispatched that had ended");
+    const auto found = m_openRequests.find(action.handle);
+    if (found == m_openRequests.end()) {
+        m_simulation.journal.fail("core", "a request was dispatched that had ended");
         return;
     }
-    Open &open = found->second;
-    const PlaceId place = m_world.links.find(action.endpoint);
-    if (open.attempt && !open.attempt->isOver)
-        m_world.journal.fail("core", "a request has two attempts at once");
-    if (!m_world.targets.contains(place)) {
-        m_world.journal.fail("core", "a request was sent to a place without target");
+    OpenRequest &open = found->second;
+    const HostId host = m_simulation.network.find(action.endpoint);
+    if (open.attempt && !open.attempt->isFinished)
+        m_simulation.journal.fail("core", "a request has two attempts at once");
+    if (!m_simulation.targets.contains(host)) {
+        m_simulation.journal.fail("core", "a request was sent to a place without target");
         return;
     }
     auto attempt = std::make_shared<Attempt>();
     attempt->action = action;
-    attempt->target = m_world.targets.at(place);
-    attempt->callerTry = open.callerTry;
-    attempt->startedAt = m_world.queue.now();
-    const double cost = open.callerTry->request->cost;
-    attempt->order = {open.callerTry, action.isResumed ? cost - open.streamed : cost, 0.1 * cost};
+    attempt->target = m_simulation.targets.at(host);
+    attempt->callerAttempt = open.callerAttempt;
+    attempt->startedAt = m_simulation.queue.now();
+    const double cost = open.callerAttempt->request->cost;
+    attempt->targetRequest
+        = {open.callerAttempt, action.isResumed ? cost - open.streamedCost : cost, 0.1 * cost};
     open.attempt = attempt;
-    const auto idle = m_idle.find(attempt->target);
+    const auto idle = m_idleConnections.find(attempt->target);
     // As the shell does where targets tell no limit of their own: a request that may run once goes
     // on a connection for a moment alone.
     constexpr Duration maxIdleTimeWithoutResend = std::chrono::milliseconds(250);
-    const bool isFresh = idle != m_idle.end()
-        && m_world.queue.now() - idle->second.since <= maxIdleTimeWithoutResend;
-    if (idle != m_idle.end() && (isFresh || action.resendPolicy == ResendPolicy::Allowed)) {
-        attempt->reusedBoot = idle->second.boot;
-        m_idle.erase(idle);
+    const bool isRecentlyUsed = idle != m_idleConnections.end()
+        && m_simulation.queue.now() - idle->second.since <= maxIdleTimeWithoutResend;
+    if (idle != m_idleConnections.end()
+        && (isRecentlyUsed || action.resendPolicy == ResendPolicy::Allowed)) {
+        attempt->reusedBootId = idle->second.boot;
+        m_idleConnections.erase(idle);
         sendRequest(attempt);
     } else {
         connect(attempt, Duration(0));
@@ -55,19 +57,20 @@
 
 void FakeNode::connect(const AttemptPtr &attempt, Duration waited)
 {
-    if (attempt->isOver)
+    if (attempt->isFinished)
         return;
-    const PlaceId place = attempt->target->place();
+    const HostId host = attempt->target->host();
     if (waited >= connectTimeout) {
         fail(attempt, AttemptFailure::ConnectTimeout, false);
         return;
     }
-    if (!m_world.links.isOpen(m_place, place)) {
-        later(connectRetry, [this, attempt, waited] { connect(attempt, waited + connectRetry); });
+    if (!m_simulation.network.isConnected(m_host, host)) {
+        runLater(connectRetry,
+                 [this, attempt, waited] { connect(attempt, waited + connectRetry); });
         return;
     }
-    later(2 * m_world.links.delay(m_place, place), [this, attempt] {
-        if (attempt->isOver)
+    runLater(2 * m_simulation.network.delay(m_host, host), [this, attempt] {
+        if (attempt->isFinished)
             return;
         if (attempt->target->isUp())
             sendRequest(attempt);
@@ -83,99 +86,106 @@
         return;
     }
     // Bytes that left reach the target even if this node dies or gives up meanwhile.
-    m_world.links.stream(m_place, attempt->target->place(),
-                         [this, attempt] { reachTarget(attempt); });
-    watchSilence(attempt);
+    m_simulation.network.stream(m_host, attempt->target->host(),
+                                [this, attempt] { deliverToTarget(attempt); });
+    watchTimeouts(attempt);
 }
 
-void FakeNode::reachTarget(const AttemptPtr &attempt)
+void FakeNode::deliverToTarget(const AttemptPtr &attempt)
 {
     FakeTarget &target = *attempt->target;
-    const bool isOtherBoot = !attempt->reusedBoot.empty() && attempt->reusedBoot != target.bootId();
-    if (!target.isUp() || isOtherBoot) {
-        later(m_world.links.delay(m_place, target.place()),
-              [this, attempt] { fail(attempt, AttemptFailure::Reset, true); });
+    const bool isDifferentBoot
+        = !attempt->reusedBootId.empty() && attempt->reusedBootId != target.bootId();
+    if (!target.isUp() || isDifferentBoot) {
+        runLater(m_simulation.network.delay(m_host, target.host()),
+                 [this, attempt] { fail(attempt, AttemptFailure::Reset, true); });
         return;
     }
-    if (m_world.dispatched)
-        m_world.dispatched(*this, target);
-    attempt->work = target.receive(attempt->order, sinkFor(attempt));
-    if (attempt->isOver)
-        target.cancel(attempt->work);
+    if (m_simulation.onRequestAtTarget)
+        m_simulation.onRequestAtTarget(*this, target);
+    attempt->executionId = target.receive(attempt->targetRequest, makeResponseSink(attempt));
+    if (attempt->isFinished)
+        target.cancel(attempt->executionId);
 }
 
-AnswerSink FakeNode::sinkFor(const AttemptPtr &attempt)
+ResponseSink FakeNode::makeResponseSink(const AttemptPtr &attempt)
 {
-    const auto back = [this, attempt](const EventQueue::Function &function) {
-        m_world.links.stream(attempt->target->place(), m_place, guarded(function));
+    const auto sendToNode = [this, attempt](const EventQueue::Function &function) {
+        m_simulation.network.stream(attempt->target->host(), m_host, bindToIncarnation(function));
     };
-    return {[=, this](const std::string &boot) { back([=, this] { onHead(attempt, boot); }); },
-            [=, this](const std::string &boot) { back([=, this] { onDone(attempt, boot); }); },
-            [=, this] { back([=, this] { fail(attempt, AttemptFailure::Reset, true); }); }};
+    return {[=, this](const std::string &boot) {
+                sendToNode([=, this] { onResponseHead(attempt, boot); });
+            },
+            [=, this](const std::string &boot) {
+                sendToNode([=, this] { onResponseDone(attempt, boot); });
+            },
+            [=, this] { sendToNode([=, this] { fail(attempt, AttemptFailure::Reset, true); }); }};
 }
 
-/// The shell's timeouts, as the dispatch asks: none may pass without a byte, nor the whole attempt.
-void FakeNode::watchSilence(const AttemptPtr &attempt)
+/// The shell's timeouts, as the startAttempt asks: none may pass without a byte, nor the whole
+/// attempt.
+void FakeNode::watchTimeouts(const AttemptPtr &attempt)
 {
-    later(attempt->action.idleTimeout, [this, attempt] {
-        if (attempt->isOver)
+    runLater(attempt->action.idleTimeout, [this, attempt] {
+        if (attempt->isFinished)
             return;
-        const bool isFlowing = attempt->hasHead && attempt->target->isStreaming(attempt->work)
-            && m_world.links.isOpen(m_place, attempt->target->place());
-        const Duration age = m_world.queue.now() - attempt->startedAt;
+        const bool isFlowing = attempt->hasHead
+            && attempt->target->isStreaming(attempt->executionId)
+            && m_simulation.network.isConnected(m_host, attempt->target->host());
+        const Duration age = m_simulation.queue.now() - attempt->startedAt;
         if (isFlowing && age < attempt->action.attemptTimeout)
-            watchSilence(attempt);
+            watchTimeouts(attempt);
         else
             fail(attempt, AttemptFailure::Timeout, true);
     });
 }
 
-void FakeNode::onHead(const AttemptPtr &attempt, const std::string &bootId)
+void FakeNode::onResponseHead(const AttemptPtr &attempt, const std::string &bootId)
 {
-    if (attempt->isOver)
+    if (attempt->isFinished)
         return;
     attempt->hasHead = true;
-    attempt->headAt = m_world.queue.now();
+    attempt->headAt = m_simulation.queue.now();
     const auto &action = attempt->action;
-    m_open.at(action.handle).answerBegun = true;
+    m_openRequests.at(action.handle).answerBegun = true;
     handle(AttemptHead {action.handle, action.attempt, statusOk, bootId});
 }
 
-void FakeNode::onDone(const AttemptPtr &attempt, const std::string &bootId)
+void FakeNode::onResponseDone(const AttemptPtr &attempt, const std::string &bootId)
 {
-    if (attempt->isOver)
+    if (attempt->isFinished)
         return;
-    attempt->isOver = true;
-    m_idle[attempt->target] = {bootId, m_world.queue.now()};
+    attempt->isFinished = true;
+    m_idleConnections[attempt->target] = {bootId, m_simulation.queue.now()};
     const auto &action = attempt->action;
     AttemptDone done {action.handle, action.attempt, statusOk, bootId, 100, {}, {}};
     if (action.storesResponse)
-        done.storedBody = answerText(*attempt->callerTry->request);
-    endTry(action.handle, Ending::Answered, "");
+        done.storedBody = responseText(*attempt->callerAttempt->request);
+    endCallerAttempt(action.handle, AttemptOutcome::Answered, "");
     handle(done);
 }
 
 void FakeNode::fail(const AttemptPtr &attempt, AttemptFailure failure, bool sentAny)
 {
-    if (attempt->isOver)
+    if (attempt->isFinished)
         return;
     close(attempt);
     const auto &action = attempt->action;
-    Open &open = m_open.at(action.handle);
+    OpenRequest &open = m_openRequests.at(action.handle);
     if (attempt->hasHead)
-        open.streamed += 0.5 * toSeconds(m_world.queue.now() - attempt->headAt);
-    open.streamed = std::min(open.streamed, 0.9 * attempt->order.cost);
+        open.streamedCost += 0.5 * toSeconds(m_simulation.queue.now() - attempt->headAt);
+    open.streamedCost = std::min(open.streamedCost, 0.9 * attempt->targetRequest.cost);
     handle(AttemptFailed {action.handle, action.attempt, failure, sentAny, open.answerBegun});
 }
 
 void FakeNode::close(const AttemptPtr &attempt)
 {
-    if (attempt->isOver)
+    if (attempt->isFinished)
         return;
-    attempt->isOver = true;
-    if (attempt->work != 0) {
-        m_world.links.stream(m_place, attempt->target->place(),
-                             [attempt] { attempt->target->cancel(attempt->work); });
+    attempt->isFinished = true;
+    if (attempt->executionId != 0) {
+        m_simulation.network.stream(m_host, attempt->target->host(),
+                                    [attempt] { attempt->target->cancel(attempt->executionId); });
     }
 }
 
--- a/test/rig/FakePlatform.cpp
+++ b/test/rig/FakePlatform.cpp
@@ -6,14 +6,14 @@
 
 namespace {
 
-constexpr Duration pollPeriod = std::chrono::seconds(5); ///< Of a watch that sees no change.
-constexpr Duration retryPeriod = std::chrono::seconds(1);
+constexpr Duration watchPollPeriod = std::chrono::seconds(5); ///< Of a watch that sees no change.
+constexpr Duration watchRetryPeriod = std::chrono::seconds(1);
 
 } // namespace
 
-FakePlatform::FakePlatform(World &world, PlaceId place)
-    : m_world(world)
-    , m_place(place)
+FakePlatform::FakePlatform(Simulation &simulation, HostId host)
+    : m_simulation(simulation)
+    , m_host(host)
 {
 }
 
@@ -21,94 +21,94 @@
 {
     ++m_current.revision;
     m_current.documents[document.name] = std::move(document);
-    notifyAll();
+    notifyWatchers();
 }
 
 void FakePlatform::setVms(std::vector<VmEntry> vms)
 {
-    m_world.queue.after(vmLag, [this, vms = std::move(vms)] {
+    m_simulation.queue.after(vmListDelay, [this, vms = std::move(vms)] {
         ++m_current.vms.revision;
         m_current.vms.vms = vms;
-        notifyAll();
+        notifyWatchers();
     });
 }
 
 void FakePlatform::setMode(Mode mode)
 {
     m_mode = mode;
-    notifyAll();
+    notifyWatchers();
 }
 
 void FakePlatform::watch(FakeNode &node, bool isOn)
 {
     if (!isOn) {
-        forget(node);
+        stopWatch(node);
         return;
     }
-    if (m_watchers.contains(node.place()))
+    if (m_watchers.contains(node.host()))
         return;
-    const std::uint64_t session = m_nextSession++;
-    m_watchers[node.place()].session = session;
-    poll(node, session);
+    const std::uint64_t watchId = m_nextWatchId++;
+    m_watchers[node.host()].watchId = watchId;
+    pollWatch(node, watchId);
 }
 
-void FakePlatform::forget(const FakeNode &node)
+void FakePlatform::stopWatch(const FakeNode &node)
 {
-    m_watchers.erase(node.place());
+    m_watchers.erase(node.host());
 }
 
-bool FakePlatform::isReached(const FakeNode &node) const
+bool FakePlatform::isReachableFrom(const FakeNode &node) const
 {
-    return m_mode != Mode::Down && m_world.links.isOpen(m_place, node.place());
+    return m_mode != Mode::Down && m_simulation.network.isConnected(m_host, node.host());
 }
 
 /// One waiting call of a watch: answered now where there is news, else after its period.
-void FakePlatform::poll(FakeNode &node, std::uint64_t session)
+void FakePlatform::pollWatch(FakeNode &node, std::uint64_t watchId)
 {
-    const auto found = m_watchers.find(node.place());
-    if (found == m_watchers.end() || found->second.session != session)
+    const auto found = m_watchers.find(node.host());
+    if (found == m_watchers.end() || found->second.watchId != watchId)
         return;
-    ++m_calls;
-    if (isReached(node)) {
-        answer(node, found->second);
+    ++m_callCount;
+    if (isReachableFrom(node)) {
+        sendChanges(node, found->second);
     } else {
-        reach(node, false);
+        reportReachability(node, false);
     }
-    const Duration period = isReached(node) ? pollPeriod : retryPeriod;
-    node.later(period, [this, &node, session] { poll(node, session); });
+    const Duration period = isReachableFrom(node) ? watchPollPeriod : watchRetryPeriod;
+    node.runLater(period, [this, &node, watchId] { pollWatch(node, watchId); });
 }
 
-void FakePlatform::answer(FakeNode &node, Watcher &watcher)
+void FakePlatform::sendChanges(FakeNode &node, Watcher &watcher)
 {
-    const Snapshot &snapshot = served();
-    reach(node, true);
-    const Duration delay = 2 * m_world.links.delay(m_place, node.place());
+    const Snapshot &snapshot = servedSnapshot();
+    reportReachability(node, true);
+    const Duration delay = 2 * m_simulation.network.delay(m_host, node.host());
     if (snapshot.revision > watcher.documentsRevision) {
         watcher.documentsRevision = snapshot.revision;
         for (const auto &entry : snapshot.documents) {
-            node.later(delay, [&node, document = entry.second] {
+            node.runLater(delay, [&node, document = entry.second] {
                 node.handle(DocumentArrived {document});
             });
         }
     }
     if (snapshot.vms.revision > watcher.vmsRevision) {
         watcher.vmsRevision = snapshot.vms.revision;
-        node.later(delay, [&node, vms = snapshot.vms] { node.handle(VmListArrived {vms}); });
+        node.runLater(delay, [&node, vms = snapshot.vms] { node.handle(VmListArrived {vms}); });
     }
 }
 
-void FakePlatform::reach(FakeNode &node, bool isReachable)
+void FakePlatform::reportReachability(FakeNode &node, bool isReachable)
 {
-    node.later(m_world.links.delay(m_place, node.place()),
-               [&node, isReachable] { node.handle(PlatformReachability {isReachable}); });
+    node.runLater(m_simulation.network.delay(m_host, node.host()),
+                  [&node, isReachable] { node.handle(PlatformReachability {isReachable}); });
 }
 
-void FakePlatform::notifyAll()
+void FakePlatform::notifyWatchers()
 {
-    for (auto &[place, watcher] : m_watchers) {
-        FakeNode &node = *m_world.nodes.at(place);
-        if (isReached(node))
-            answer(node, watcher);
+    for (auto &[host, watcher] : m_watchers) {
+        FakeNode &node = *m_simulation.nodes.at(host);
+        if (isReachableFrom(node))
+            sendChanges(node, watcher);
     }
 }
 
--- a/test/rig/FakePlatform.h
+++ b/test/rig/FakePlatform.h
@@ -2,7 +2,7 @@
 // or down, and nothing can be written to it by nodes.
 #pragma once
 
-#include "Links.h"
+#include "FakeNetwork.h"
 
 #include "berylridge/Config/Documents.h"
 #include "berylridge/Config/Vms.h"
@@ -13,7 +13,7 @@
 
 namespace berylridge::rig {
 
-struct World;
+struct Simulation;
 class FakeNode;
 
 class FakePlatform
@@ -21,7 +21,7 @@
 public:
     enum class Mode : std::uint8_t { Up, Stale, Down };
 
-    FakePlatform(World &world, PlaceId place);
+    FakePlatform(Simulation &simulation, HostId host);
 
     /// Operators put a document into the platform.
     void publish(DocumentText document);
@@ -31,15 +31,15 @@
     void setMode(Mode mode);
     Mode mode() const { return m_mode; }
     /// Makes what is published so far the state that a stale platform falls back to.
-    void keepAsStale() { m_stale = m_current; }
+    void saveStaleSnapshot() { m_stale = m_current; }
 
     /// A node begins or ceases to watch.
     void watch(FakeNode &node, bool isOn);
-    void forget(const FakeNode &node);
+    void stopWatch(const FakeNode &node);
 
-    std::uint64_t calls() const { return m_calls; }
-    PlaceId place() const { return m_place; }
-    Duration vmLag = std::chrono::seconds(4);
+    std::uint64_t callCount() const { return m_callCount; }
+    HostId host() const { return m_host; }
+    Duration vmListDelay = std::chrono::seconds(4);
 
 private:
     struct Snapshot
@@ -50,26 +50,26 @@
     };
     struct Watcher
     {
-        std::uint64_t session = 0;
+        std::uint64_t watchId = 0;
         std::uint64_t documentsRevision = 0;
         std::uint64_t vmsRevision = 0;
     };
 
-    const Snapshot &served() const { return m_mode == Mode::Stale ? m_stale : m_current; }
-    bool isReached(const FakeNode &node) const;
-    void poll(FakeNode &node, std::uint64_t session);
-    void answer(FakeNode &node, Watcher &watcher);
-    void reach(FakeNode &node, bool isReachable);
-    void notifyAll();
+    const Snapshot &servedSnapshot() const { return m_mode == Mode::Stale ? m_stale : m_current; }
+    bool isReachableFrom(const FakeNode &node) const;
+    void pollWatch(FakeNode &node, std::uint64_t watchId);
+    void sendChanges(FakeNode &node, Watcher &watcher);
+    void reportReachability(FakeNode &node, bool isReachable);
+    void notifyWatchers();
 
-    World &m_world;
-    PlaceId m_place;
+    Simulation &m_simulation;
+    HostId m_host;
     Mode m_mode = Mode::Up;
     Snapshot m_current;
     Snapshot m_stale;
-    std::map<PlaceId, Watcher> m_watchers; ///< By node, so that a run repeats.
-    std::uint64_t m_nextSession = 1;
-    std::uint64_t m_calls = 0;
+    std::map<HostId, Watcher> m_watchers; ///< By node, so that a run repeats.
+    std::uint64_t m_nextWatchId = 1;
+    std::uint64_t m_callCount = 0;
 };
 
 } // namespace berylridge::rig
--- a/test/rig/Journal.cpp
+++ b/test/rig/Journal.cpp
@@ -6,37 +6,38 @@
 
 namespace {
 
-constexpr std::size_t mostFindings = 20;
+constexpr std::size_t maxViolations = 20;
 /// A query of death may crash so many targets, and so many while the fleet is split.
-constexpr std::uint32_t mostCrashes = 2;
-constexpr std::uint32_t mostCrashesSplit = 6;
+constexpr std::uint32_t maxCrashes = 2;
+constexpr std::uint32_t maxCrashesWhenPartitioned = 6;
 
 } // namespace
 
 std::uint32_t CallerRequest::executions() const
 {
     std::uint32_t sum = 0;
-    for (const auto &callerTry : tries)
-        sum += callerTry->executions;
+    for (const auto &callerAttempt : attempts)
+        sum += callerAttempt->executions;
     return sum;
 }
 
-std::string historyOf(const CallerRequest &request)
+std::string formatHistory(const CallerRequest &request)
 {
     std::ostringstream text;
-    for (const auto &callerTry : request.tries) {
-        text << "\n    " << callerTry->id << " to node " << callerTry->node << " at "
-             << toSeconds(callerTry->at.time_since_epoch()) << " s, " << callerTry->executions
-             << " executions";
-        if (callerTry->startedAt)
-            text << " from " << toSeconds(callerTry->startedAt->time_since_epoch()) << " s";
-        text << ", ending " << static_cast<int>(callerTry->ending) << ' ' << callerTry->problem
-             << " at " << toSeconds(callerTry->endedAt.time_since_epoch()) << " s";
+    for (const auto &callerAttempt : request.attempts) {
+        text << "\n    " << callerAttempt->id << " to node " << callerAttempt->node << " at "
+             << toSeconds(callerAttempt->sentAt.time_since_epoch()) << " s, "
+             << callerAttempt->executions << " executions";
+        if (callerAttempt->startedAt)
+            text << " from " << toSeconds(callerAttempt->startedAt->time_since_epoch()) << " s";
+        text << ", ending " << static_cast<int>(callerAttempt->outcome) << ' '
+             << callerAttempt->problemType << " at "
+             << toSeconds(callerAttempt->endedAt.time_since_epoch()) << " s";
     }
     return text.str();
 }
 
-std::string answerText(const CallerRequest &request)
+std::string responseText(const CallerRequest &request)
 {
     return "answer to " + request.key.value_or("a request without key");
 }
@@ -53,118 +54,127 @@
     return *m_requests.back();
 }
 
-CallerTry &Journal::begin(CallerRequest &request, std::size_t node)
+CallerAttempt &Journal::begin(CallerRequest &request, std::size_t node)
 {
-    request.tries.push_back(std::make_unique<CallerTry>());
-    CallerTry &callerTry = *request.tries.back();
-    callerTry.request = &request;
-    callerTry.id = "try-" + std::to_string(m_nextTry++);
-    callerTry.at = m_queue.now();
-    callerTry.node = node;
-    ++flowOf(callerTry).waiting;
-    ++m_open;
-    return callerTry;
+    request.attempts.push_back(std::make_unique<CallerAttempt>());
+    CallerAttempt &callerAttempt = *request.attempts.back();
+    callerAttempt.request = &request;
+    callerAttempt.id = "try-" + std::to_string(m_nextAttemptNumber++);
+    callerAttempt.sentAt = m_queue.now();
+    callerAttempt.node = node;
+    ++flowFor(callerAttempt).waiting;
+    ++m_openAttempts;
+    return callerAttempt;
 }
 
-void Journal::end(CallerTry &callerTry, Ending ending, const std::string &problem)
+void Journal::end(CallerAttempt &callerAttempt, AttemptOutcome outcome,
+                  const std::string &problemType)
 {
-    if (callerTry.ending != Ending::Open) {
-        fail("own answer", callerTry.id + " was answered twice (" + problem + ")");
+    if (callerAttempt.outcome != AttemptOutcome::Pending) {
+        recordViolation("own answer",
+                        callerAttempt.id + " was answered twice (" + problemType + ")");
         return;
     }
-    callerTry.ending = ending;
-    callerTry.endedAt = m_queue.now();
-    callerTry.problem = problem;
-    if (callerTry.running == 0)
-        --flowOf(callerTry).waiting;
-    ++m_endings[ending];
-    --m_open;
-    if (ending == Ending::NotRun)
-        checkNotRun(callerTry);
-    if (ending == Ending::Answered && callerTry.request->executions() == 0)
-        fail("own answer", callerTry.id + " was answered and no target ran it");
+    callerAttempt.outcome = outcome;
+    callerAttempt.endedAt = m_queue.now();
+    callerAttempt.problemType = problemType;
+    if (callerAttempt.running == 0)
+        --flowFor(callerAttempt).waiting;
+    ++m_outcomeCounts[outcome];
+    --m_openAttempts;
+    if (outcome == AttemptOutcome::NotRun)
+        checkNotRun(callerAttempt);
+    if (outcome == AttemptOutcome::Answered && callerAttempt.request->executions() == 0)
+        recordViolation("own answer", callerAttempt.id + " was answered and no target ran it");
 }
 
 /// With a key the verdict speaks of the operation: no try that was sent before it may have run.
-void Journal::checkNotRun(const CallerTry &callerTry)
+void Journal::checkNotRun(const CallerAttempt &callerAttempt)
 {
-    const CallerRequest &request = *callerTry.request;
-    const std::uint32_t runs = request.key ? request.executions() : callerTry.executions;
-    if (runs > 0) {
-        fail("not run",
-             callerTry.id + " was told not-run after it ran (" + callerTry.problem + ")");
+    const CallerRequest &request = *callerAttempt.request;
+    const std::uint32_t executionCount
+        = request.key ? request.executions() : callerAttempt.executions;
+    if (executionCount > 0) {
+        recordViolation("not run",
+                        callerAttempt.id + " was told not-run after it ran ("
+                            + callerAttempt.problemType + ")");
     }
 }
 
-void Journal::executed(CallerTry &callerTry, const TargetId &target)
+void Journal::onExecutionStarted(CallerAttempt &callerAttempt, const TargetId &target)
 {
-    CallerRequest &request = *callerTry.request;
-    ++callerTry.executions;
-    if (callerTry.ending == Ending::Open && ++callerTry.running == 1)
-        --flowOf(callerTry).waiting;
-    else if (callerTry.ending != Ending::Open)
-        ++callerTry.running;
-    ++flowOf(callerTry).running;
-    if (!callerTry.startedAt)
-        callerTry.startedAt = m_queue.now();
-
-    const std::uint32_t runs = request.key ? request.executions() : callerTry.executions;
-    if (!request.isIdempotent && runs > 1) {
-        fail("at most once",
-             callerTry.id + " is execution " + std::to_string(runs) + " of "
-                 + request.key.value_or("a request without key") + " at " + target.str());
+    CallerRequest &request = *callerAttempt.request;
+    ++callerAttempt.executions;
+    if (callerAttempt.outcome == AttemptOutcome::Pending && ++callerAttempt.running == 1)
+        --flowFor(callerAttempt).waiting;
+    else if (callerAttempt.outcome != AttemptOutcome::Pending)
+        ++callerAttempt.running;
+    ++flowFor(callerAttempt).running;
+    if (!callerAttempt.startedAt)
+        callerAttempt.startedAt = m_queue.now();
+
+    const std::uint32_t executionCount
+        = request.key ? request.executions() : callerAttempt.executions;
+    if (!request.isIdempotent && executionCount > 1) {
+        recordViolation("at most once",
+                        callerAttempt.id + " is execution " + std::to_string(executionCount)
+                            + " of " + request.key.value_or("a request without key") + " at "
+                            + target.str());
     }
-    for (const auto &other : request.tries) {
-        const bool isSameOperation = request.key || other.get() == &callerTry;
-        if (isSameOperation && other->ending == Ending::NotRun && other->endedAt >= callerTry.at) {
-            fail("not run",
-                 callerTry.id + " ran at " + target.str() + " after " + other->id
-                     + " was told not-run (" + other->problem + ")");
+    for (const auto &other : request.attempts) {
+        const bool isSameOperation = request.key || other.get() == &callerAttempt;
+        if (isSameOperation && other->outcome == AttemptOutcome::NotRun
+            && other->endedAt >= callerAttempt.sentAt) {
+            recordViolation("not run",
+                            callerAttempt.id + " ran at " + target.str() + " after " + other->id
+                                + " was told not-run (" + other->problemType + ")");
         }
     }
 }
 
-void Journal::released(CallerTry &callerTry)
+void Journal::onExecutionEnded(CallerAttempt &callerAttempt)
 {
-    --flowOf(callerTry).running;
-    if (--callerTry.running == 0 && callerTry.ending == Ending::Open)
-        ++flowOf(callerTry).waiting;
+    --flowFor(callerAttempt).running;
+    if (--callerAttempt.running == 0 && callerAttempt.outcome == AttemptOutcome::Pending)
+        ++flowFor(callerAttempt).waiting;
 }
 
-void Journal::crashed(CallerRequest &request)
+void Journal::onTargetCrashed(CallerRequest &request)
 {
     ++request.crashes;
-    if (request.crashes > (m_isSplit ? mostCrashesSplit : mostCrashes)) {
-        fail("query of death",
-             "request crashed target number " + std::to_string(request.crashes)
-                 + historyOf(request));
+    if (request.crashes > (m_wasPartitioned ? maxCrashesWhenPartitioned : maxCrashes)) {
+        recordViolation("query of death",
+                        "request crashed target number " + std::to_string(request.crashes)
+                            + formatHistory(request));
     }
 }
 
-void Journal::checkKept(const CallerTry &callerTry, const std::string &body)
+void Journal::checkStoredResponse(const CallerAttempt &callerAttempt, const std::string &body)
 {
-    if (body != answerText(*callerTry.request))
-        fail("own answer", callerTry.id + " got the kept answer of another operation");
+    if (body != responseText(*callerAttempt.request))
+        recordViolation("own answer",
+                        callerAttempt.id + " got the kept answer of another operation");
 }
 
-void Journal::fail(const std::string &promise, const std::string &what)
+void Journal::recordViolation(const std::string &invariant, const std::string &description)
 {
-    if (m_findings.size() >= mostFindings)
+    if (m_violations.size() >= maxViolations)
         return;
     std::ostringstream line;
-    line << toSeconds(m_queue.now().time_since_epoch()) << " s: " << promise << ": " << what;
-    m_findings.push_back(line.str());
+    line << toSeconds(m_queue.now().time_since_epoch()) << " s: " << invariant << ": "
+         << description;
+    m_violations.push_back(line.str());
 }
 
-std::size_t Journal::count(Ending ending) const
+std::size_t Journal::count(AttemptOutcome outcome) const
 {
-    const auto found = m_endings.find(ending);
-    return found == m_endings.end() ? 0 : found->second;
+    const auto found = m_outcomeCounts.find(outcome);
+    return found == m_outcomeCounts.end() ? 0 : found->second;
 }
 
-FlowCount &Journal::flowOf(const CallerTry &callerTry)
+FlowCount &Journal::flowFor(const CallerAttempt &callerAttempt)
 {
-    return m_flows[callerTry.request->service][callerTry.request->workspace];
+    return m_flows[callerAttempt.request->service][callerAttempt.request->workspace];
 }
 
 } // namespace berylridge::rig
--- a/test/rig/Rig.cpp
+++ b/test/rig/Rig.cpp
@@ -11,16 +11,16 @@
 
 constexpr std::uint16_t nodePort = 7400;
 constexpr std::uint16_t targetPort = 8000;
-constexpr Duration loadPeriod = std::chrono::milliseconds(400);
-constexpr Duration versionPeriod = std::chrono::milliseconds(500);
+constexpr Duration loadSamplePeriod = std::chrono::milliseconds(400);
+constexpr Duration versionCheckPeriod = std::chrono::milliseconds(500);
 /// Until the VM list has come through its lag and the nodes have agreed on witnesses.
-constexpr Duration shortestStart = std::chrono::seconds(8);
-constexpr Duration longestStart = std::chrono::seconds(20);
-constexpr Duration startStep = std::chrono::milliseconds(500);
+constexpr Duration minStartTime = std::chrono::seconds(8);
+constexpr Duration maxStartTime = std::chrono::seconds(20);
+constexpr Duration startPollPeriod = std::chrono::milliseconds(500);
 /// "A few seconds" of the brief, for new work at a zone or target that was taken out.
-constexpr Duration outLimit = std::chrono::seconds(3);
+constexpr Duration maxExclusionDelay = std::chrono::seconds(3);
 /// "Within seconds" for a configuration.
-constexpr Duration configLimit = std::chrono::seconds(5);
+constexpr Duration maxConfigurationDelay = std::chrono::seconds(5);
 
 std::string addressOf(std::size_t zone, std::size_t index)
 {
@@ -58,7 +58,7 @@
     options.callers.lookupsPerSecond = 0;
     options.callers.purchasesPerSecond = 0;
     for (std::size_t i = 0; i < options.workspaces; ++i)
-        options.callers.demand.push_back(i < 3 ? 6 : 1);
+        options.callers.demandWeights.push_back(i < 3 ? 6 : 1);
     return options;
 }
 
@@ -104,26 +104,27 @@
 
 Rig::Rig(std::uint64_t seed, DeploymentOptions deployment)
     : options(std::move(deployment))
-    , world(seed, 2, options.workspaces)
+    , simulation(seed, 2, options.workspaces)
 {
-    world.links.options = options.links;
+    simulation.network.options = options.network;
     const ZoneId firstZone(options.zones.front());
-    platform = std::make_unique<FakePlatform>(world, world.links.add(ZoneId("platform"), {"p", 1}));
-    world.platform = platform.get();
+    platform = std::make_unique<FakePlatform>(simulation,
+                                              simulation.network.add(ZoneId("platform"), {"p", 1}));
+    simulation.platform = platform.get();
     addServices();
     addTargets(engineService, options.engines, 0);
     addTargets(applicationService, options.applications, options.engines);
     addNodes();
-    world.dispatched
+    simulation.onRequestAtTarget
         = [this](const FakeNode &node, const FakeTarget &target) { checkDispatch(node, target); };
     callers = std::make_unique<Callers>(*this, options.callers);
-    meter = std::make_unique<Meter>(*this);
+    meter = std::make_unique<FairnessMeter>(*this);
     publishVms();
-    takeOut({});
+    setEvacuatedZones({});
     publishService(engineService);
     publishService(applicationService);
-    platform->keepAsStale();
-    refreshLoads();
+    platform->saveStaleSnapshot();
+    sampleLoads();
     checkVersions();
 }
 
@@ -161,10 +162,10 @@
         spec.address = addressOf(zone, 100 + first + i);
         spec.port = targetPort;
         services[service].targets.push_back(spec);
-        const PlaceId place = world.links.add(spec.zone, {spec.address, spec.port});
-        targets.push_back(std::make_unique<FakeTarget>(world.queue, world.journal, place, spec,
-                                                       services[service]));
-        world.targets[place] = targets.back().get();
+        const HostId host = simulation.network.add(spec.zone, {spec.address, spec.port});
+        targets.push_back(std::make_unique<FakeTarget>(simulation.queue, simulation.journal, host,
+                                                       spec, services[service]));
+        simulation.targets[host] = targets.back().get();
     }
 }
 
@@ -178,9 +179,9 @@
             node.endpoint = {addressOf(zone, i), nodePort};
             node.chartDirectory = BERYLRIDGE_SOURCE_DIR "/charts";
             node.policy = options.policy;
-            const PlaceId place = world.links.add(node.zone, node.endpoint);
-            nodes.push_back(std::make_unique<FakeNode>(world, place, node));
-            world.nodes[place] = nodes.back().get();
+            const HostId host = simulation.network.add(node.zone, node.endpoint);
+            nodes.push_back(std::make_unique<FakeNode>(simulation, host, node));
+            simulation.nodes[host] = nodes.back().get();
         }
     }
 }
@@ -188,51 +189,52 @@
 void Rig::start()
 {
     for (auto &node : nodes) {
-        run(fromSeconds(0.1 * uniform(world.random)));
+        run(fromSeconds(0.1 * uniform(simulation.random)));
         node->start();
     }
-    run(shortestStart);
+    run(minStartTime);
     const auto isReady = [](const auto &node) { return node->isReady(); };
-    for (Duration waited = shortestStart; waited < longestStart; waited += startStep) {
+    for (Duration waited = minStartTime; waited < maxStartTime; waited += startPollPeriod) {
         if (std::all_of(nodes.begin(), nodes.end(), isReady))
             return;
-        run(startStep);
+        run(startPollPeriod);
     }
-    world.journal.fail("start", "not all nodes are ready after 20 s");
+    simulation.journal.recordViolation("start", "not all nodes are ready after 20 s");
 }
 
 void Rig::drain(Duration limit)
 {
     callers->stop();
     run(limit);
-    if (world.journal.openTries() > 0) {
-        world.journal.fail("own answer",
-                           std::to_string(world.journal.openTries())
-                               + " requests got no answer at all");
+    if (simulation.journal.openAttempts() > 0) {
+        simulation.journal.recordViolation("own answer",
+                                           std::to_string(simulation.journal.openAttempts())
+                                               + " requests got no answer at all");
     }
 }
 
-void Rig::takeOut(const std::vector<ZoneId> &zones)
+void Rig::setEvacuatedZones(const std::vector<ZoneId> &zones)
 {
-    m_zonesOut = zones;
+    m_evacuatedZones = zones;
     Json::Value json(Json::objectValue);
     json["zonesOut"] = Json::Value(Json::arrayValue);
     for (const auto &zone : zones)
         json["zonesOut"].append(zone.str());
     for (const auto &name : options.zones) {
-        if (!isOut(ZoneId(name)))
-            m_outSince.erase(name);
+        if (!isZoneEvacuated(ZoneId(name)))
+            m_excludedSince.erase(name);
         else
-            m_outSince.emplace(name, world.queue.now());
+            m_excludedSince.emplace(name, simulation.queue.now());
     }
     ++m_version;
     platform->publish({"fleet", m_version, Json::writeString(Json::StreamWriterBuilder(), json)});
-    m_published["fleet"] = {m_version, world.queue.now()};
+    m_published["fleet"] = {m_version, simulation.queue.now()};
 }
 
-bool Rig::isOut(const ZoneId &zone) const
+bool Rig::isZoneEvacuated(const ZoneId &zone) const
 {
-    return std::find(m_zonesOut.begin(), m_zonesOut.end(), zone) != m_zonesOut.end();
+    return std::find(m_evacuatedZones.begin(), m_evacuatedZones.end(), zone)
+        != m_evacuatedZones.end();
 }
 
 void Rig::publishService(std::size_t service)
@@ -240,7 +242,7 @@
     const std::string name = "service/" + services[service].service.str();
     ++m_version;
     platform->publish({name, m_version, documentText(services[service])});
-    m_published[name] = {m_version, world.queue.now()};
+    m_published[name] = {m_version, simulation.queue.now()};
 }
 
 void Rig::setTargetLeaving(std::size_t target, bool isLeaving)
@@ -250,9 +252,9 @@
     services[service].targets[index].isLeaving = isLeaving;
     const std::string name = targets[target]->spec().target.str();
     if (isLeaving)
-        m_outSince.emplace(name, world.queue.now());
+        m_excludedSince.emplace(name, simulation.queue.now());
     else
-        m_outSince.erase(name);
+        m_excludedSince.erase(name);
     publishService(service);
 }
 
@@ -269,45 +271,46 @@
     platform->setVms(std::move(vms));
 }
 
-std::vector<PlaceId> Rig::placesOf(const ZoneId &zone) const
+std::vector<HostId> Rig::hostsIn(const ZoneId &zone) const
 {
-    std::vector<PlaceId> places;
-    for (const auto &[place, node] : world.nodes) {
+    std::vector<HostId> hosts;
+    for (const auto &[host, node] : simulation.nodes) {
         if (node->options().zone == zone)
-            places.push_back(place);
+            hosts.push_back(host);
     }
-    for (const auto &[place, target] : world.targets) {
+    for (const auto &[host, target] : simulation.targets) {
         if (target->spec().zone == zone)
-            places.push_back(place);
+            hosts.push_back(host);
     }
-    return places;
+    return hosts;
 }
 
-void Rig::disturbAll(Duration time)
+void Rig::addFleetOutage(Duration time)
 {
     for (auto &node : nodes)
-        node->disturb(world.queue.now(), world.queue.now() + time);
+        node->addOutage(simulation.queue.now(), simulation.queue.now() + time);
 }
 
-void Rig::refreshLoads()
+void Rig::sampleLoads()
 {
     for (auto &target : targets)
-        target->refreshLoad();
-    world.queue.after(loadPeriod, [this] { refreshLoads(); });
+        target->sampleLoad();
+    simulation.queue.after(loadSamplePeriod, [this] { sampleLoads(); });
 }
 
 /// Nothing new goes to what operators have taken out, but from a node that can't know it yet.
 void Rig::checkDispatch(const FakeNode &node, const FakeTarget &target)
 {
     for (const std::string &name : {target.spec().zone.str(), target.spec().target.str()}) {
-        const auto found = m_outSince.find(name);
-        if (found == m_outSince.end())
+        const auto found = m_excludedSince.find(name);
+        if (found == m_excludedSince.end())
             continue;
-        const TimePoint since = node.couldHear(found->second, outLimit);
-        if (world.queue.now() - since > outLimit) {
-            world.journal.fail("out of service",
-                               node.options().node.str() + " sent new work to "
-                                   + target.spec().target.str() + " though " + name + " is out");
+        const TimePoint since = node.effectivePublishTime(found->second, maxExclusionDelay);
+        if (simulation.queue.now() - since > maxExclusionDelay) {
+            simulation.journal.recordViolation("out of service",
+                                               node.options().node.str() + " sent new work to "
+                                                   + target.spec().target.str() + " though " + name
+                                                   + " is out");
         }
     }
 }
@@ -319,29 +322,31 @@
         if (!node->isUp() || node->isPaused())
             continue;
         const NodeStatus status = node->status();
-        if (m_incarnationsSeen[node.get()] != status.incarnation)
-            m_versionsSeen[node.get()].clear();
-        m_incarnationsSeen[node.get()] = status.incarnation;
-        auto &seen = m_versionsSeen[node.get()];
+        if (m_seenIncarnations[node.get()] != status.incarnation)
+            m_seenVersions[node.get()].clear();
+        m_seenIncarnations[node.get()] = status.incarnation;
+        auto &seen = m_seenVersions[node.get()];
         for (const auto &head : status.documents) {
             if (head.version < seen[head.name]) {
-                world.journal.fail("configuration",
-                                   status.node.str() + " went back on " + head.name);
+                simulation.journal.recordViolation(
+                    "configuration", status.node.str() + " went back on " + head.name);
             }
             seen[head.name] = head.version;
         }
         for (const auto &[name, published] : m_published) {
-            const TimePoint since = node->couldHear(published.second, configLimit);
-            const bool isDue = world.queue.now() - since > configLimit && node->isReady();
+            const TimePoint since
+                = node->effectivePublishTime(published.second, maxConfigurationDelay);
+            const bool isDue
+                = simulation.queue.now() - since > maxConfigurationDelay && node->isReady();
             if (isDue && seen[name] < published.first) {
-                world.journal.fail("configuration",
-                                   status.node.str() + " has version " + std::to_string(seen[name])
-                                       + " of " + name + ", not "
-                                       + std::to_string(published.first));
+                simulation.journal.recordViolation(
+                    "configuration",
+                    status.node.str() + " has version " + std::to_string(seen[name]) + " of " + name
+                        + ", not " + std::to_string(published.first));
             }
         }
     }
-    world.queue.after(versionPeriod, [this] { checkVersions(); });
+    simulation.queue.after(versionCheckPeriod, [this] { checkVersions(); });
 }
 
 } // namespace berylridge::rig
--- a/test/rig/Rig.h
+++ b/test/rig/Rig.h
@@ -3,10 +3,10 @@
 #pragma once
 
 #include "Callers.h"
+#include "FairnessMeter.h"
 #include "FakeNode.h"
 #include "FakePlatform.h"
 #include "FakeTarget.h"
-#include "Meter.h"
 
 #include <memory>
 #include <string>
@@ -27,7 +27,7 @@
     std::size_t workspaces = 16;
     Duration queueTimeout = std::chrono::seconds(10);
     SharingPolicy policy = SharingPolicy::Fleet;
-    LinkOptions links;
+    NetworkOptions network;
     CallerOptions callers;
 };
 
@@ -47,48 +47,49 @@
 
     /// Starts all nodes and waits until the balancer would send callers.
     void start();
-    void run(Duration time) { world.queue.runUntil(world.queue.now() + time); }
+    void run(Duration time) { simulation.queue.runUntil(simulation.queue.now() + time); }
     /// Callers stop; everything heals; what was open must end by itself.
     void drain(Duration limit);
 
     /// Operators publish the fleet document with these zones out.
-    void takeOut(const std::vector<ZoneId> &zones);
+    void setEvacuatedZones(const std::vector<ZoneId> &zones);
     /// Operators publish a service's document anew.
     void publishService(std::size_t service);
     /// Operators mark a target as leaving or back.
     void setTargetLeaving(std::size_t target, bool isLeaving);
     /// Tells the platform which VMs live; a leaving one is still listed.
     void publishVms();
-    /// All places of a zone, for cutting it off.
-    std::vector<PlaceId> placesOf(const ZoneId &zone) const;
+    /// All hosts of a zone, for cutting it off.
+    std::vector<HostId> hostsIn(const ZoneId &zone) const;
     /// No node's view is sure to be fresh for so long.
-    void disturbAll(Duration time);
+    void addFleetOutage(Duration time);
 
-    bool isOut(const ZoneId &zone) const;
+    bool isZoneEvacuated(const ZoneId &zone) const;
 
     DeploymentOptions options;
-    World world;
+    Simulation simulation;
     std::vector<ServiceDocument> services;
     std::vector<std::unique_ptr<FakeTarget>> targets;
     std::vector<std::unique_ptr<FakeNode>> nodes;
     std::unique_ptr<FakePlatform> platform;
     std::unique_ptr<Callers> callers;
-    std::unique_ptr<Meter> meter;
+    std::unique_ptr<FairnessMeter> meter;
     std::vector<std::string> credentials;
 
 private:
     void addServices();
     void addTargets(std::size_t service, std::size_t count, std::size_t first);
     void addNodes();
-    void refreshLoads();
+    void sampleLoads();
     void checkDispatch(const FakeNode &node, const FakeTarget &target);
     void checkVersions();
 
     DocumentVersion m_version = 1;
-    std::vector<ZoneId> m_zonesOut;
-    std::map<std::string, TimePoint> m_outSince; ///< Zone or target: new work is forbidden since.
-    std::map<const FakeNode *, std::map<std::string, DocumentVersion>> m_versionsSeen;
-    std::map<const FakeNode *, Incarnation> m_incarnationsSeen;
+    std::vector<ZoneId> m_evacuatedZones;
+    std::map<std::string, TimePoint>
+        m_excludedSince; ///< Zone or target: new work is forbidden since.
+    std::map<const FakeNode *, std::map<std::string, DocumentVersion>> m_seenVersions;
+    std::map<const FakeNode *, Incarnation> m_seenIncarnations;
     std::map<std::string, std::pair<DocumentVersion, TimePoint>> m_published;
 };
 
--- a/test/sessions/RecordTrace.cpp
+++ b/test/sessions/RecordTrace.cpp
@@ -2,7 +2,7 @@
 // received. The last line contains the counts of the node's decisions, as the rig observed them.
 #include "Session.h"
 
-#include "rig/Faults.h"
+#include "rig/FaultInjector.h"
 
 #include <iostream>
 #include <tclap/CmdLine.h>
@@ -25,7 +25,7 @@
 public:
     explicit Recorder(FakeNode &node)
     {
-        node.watchEvents = [this, &node](const Event &event, TimePoint now, WallTime wall) {
+        node.eventObserver = [this, &node](const Event &event, TimePoint now, WallTime wall) {
             if (!m_hasHeader)
                 std::cout << toJsonLine(headerToJson(node.options(), now, wall)) << '\n';
             m_hasHeader = true;
@@ -33,7 +33,7 @@
                 ++m_outcome["answered"];
             std::cout << toJsonLine(eventToJson(event, now, wall)) << '\n';
         };
-        node.watchActions = [this](const Action &action) {
+        node.actionObserver = [this](const Action &action) {
             if (std::holds_alternative<Dispatch>(action))
                 ++m_outcome["dispatched"];
             if (std::holds_alternative<SendStoredResponse>(action))
@@ -65,14 +65,14 @@
     options.callers.lookupsPerSecond = 6;
     options.callers.purchasesPerSecond = 4;
     Rig rig(seed, std::move(options));
-    Faults faults(rig);
+    FaultInjector faults(rig);
     const Recorder recorder(*rig.nodes.front());
     rig.start();
     rig.callers->start();
     rig.run(1500ms);
     faults.inject(Fault::CrashTarget, 1s, 0);
     rig.run(1500ms);
-    rig.takeOut({ZoneId("b")});
+    rig.setEvacuatedZones({ZoneId("b")});
     rig.run(1500ms);
     rig.nodes.front()->leave();
     rig.callers->stop();
