--- a/test/faults/FairnessTest.cpp
+++ b/test/faults/FairnessTest.cpp
@@ -1,4 +1,4 @@
-// The service gap, starvation and idle slots of whole fleets under overload, held to their bounds.
+// Checks the bounds of the service gap, starvation and idle slots of whole fleets under overload.
 #include "rig/FaultInjector.h"
 #include "rig/Rig.h"
 
@@ -11,8 +11,8 @@
 namespace {
 
 constexpr Duration warmUp = 12s;
-/// No backlogged workspace may go without any service for longer. Its weight's share of the slots
-/// is at least 2 of 80, and requests take 2 s on average, 20 s at most.
+/// The longest time that a backlogged workspace may receive no service. The share of its weight is
+/// at least 2 of 80 slots, and requests take 2 s on average and 20 s at most.
 constexpr double maxStarvationSeconds = 10;
 
 class Fairness : public testing::TestWithParam<std::uint64_t>
@@ -40,9 +40,10 @@
 
 } // namespace
 
-// Sixteen workspaces of weights one to four wait without end, three of them with six times the
-// load, on routers that see very different parts of them. No rule can do better than what one
-// workspace has in flight; the gap must stay below twice that, and slots must not idle.
+// Sixteen workspaces of weights one to four are always backlogged, three of them with six times the
+// load, on routers that each receive a very different part of the load. No scheduling policy can
+// guarantee a gap below the cost that one workspace has in flight. The gap must stay below twice
+// that cost, and slots must not idle.
 TEST_P(Fairness, MenGomGapStaysWithinBound)
 {
     start(menGom());
@@ -59,7 +60,8 @@
     EXPECT_GE(m_rig->meter->utilisation(), 0.98);
 }
 
-// Were the gap to grow slowly, a short run would not show it: three times as long, the same bound.
+// Guards against a gap that grows slowly, which a short run can't show: the run takes three times
+// as long and must keep the same bound.
 TEST_P(Fairness, GapDoesNotGrowWithTime)
 {
     start(menGom());
@@ -67,9 +69,9 @@
     expectFair(2);
 }
 
-// Two routers die one after the other and come back with no memory: pools change their owners, and
-// what these had counted is lost. Flows start level with each successor, so each change costs at
-// most the bound once more, and nobody starves meanwhile.
+// Two routers terminate one after the other and restart without state, so pools change their owners
+// and lose the service counts of the previous ones. Each new owner starts all flows with equal
+// counts, so each change adds at most the bound once more, and no workspace may starve meanwhile.
 TEST_P(Fairness, EachLostOwnerAddsAtMostOneBound)
 {
     start(menGom());
--- a/test/faults/FaultSeeds.cpp
+++ b/test/faults/FaultSeeds.cpp
@@ -1,5 +1,5 @@
-// Runs the fault scenarios of many seeds, for long runs by command: prints each failing seed with
-// what was done and what broke, and exits with 1 if there was one.
+// Runs the fault scenarios of a range of seeds. Prints each failing seed with its violations and
+// the injected faults, and exits with 1 if a seed failed.
 #include "Scenario.h"
 
 #include <cstdio>
--- a/test/faults/FaultSeedsTest.cpp
+++ b/test/faults/FaultSeedsTest.cpp
@@ -1,5 +1,5 @@
-// Mixes of two and three failures at a time over fixed seeds. A seed that ever failed stays below
-// by its number, with its cause.
+// Runs mixes of two and three concurrent faults for fixed seeds. Seeds that failed before are
+// listed below with the cause.
 #include "Scenario.h"
 
 #include <gtest/gtest.h>
@@ -31,9 +31,14 @@
 
 INSTANTIATE_TEST_SUITE_P(Fixed, FaultSeeds, testing::Range<std::uint64_t>(1, 201));
 
-// Failed once, outside the fixed range. 1019: a cold target got one too many beside work of a
-// cut-off node. 1166: nodes ready just after the rig's wait. 111, 2114: a planned stop across a
-// pause (RouterCoreTest.PauseRestartsQuietPeriodOfPlannedStop). Of the range, these failed once and
-// what was mended: 3 10 28 60 69 80 117 182 (query of death), 14 38 79 112 180 (cold target), 51 55
-// (drain meter), 29 59 121 130 136 174 (address of a node firstSeed heard by a key message).
+// Regression tests for seeds outside the fixed range:
+// - 1019: a cold target received one request too many while it executed work of a partitioned node.
+// - 1166: nodes became ready just after the rig had stopped waiting for them.
+// - 2114, and 111 of the fixed range: a node was paused during a planned stop, see
+//   RouterCoreTest.PauseRestartsQuietPeriodOfPlannedStop.
+// Seeds of the fixed range guard against faults in these parts:
+// - 3 10 28 60 69 80 117 182: limiting the crashes that a query of death causes.
+// - 14 38 79 112 180: the request limit of cold targets.
+// - 51 55: the estimate of the drain rate.
+// - 29 59 121 130 136 174: the address of a node whose first message concerns an idempotency key.
 INSTANTIATE_TEST_SUITE_P(Regressions, FaultSeeds, testing::Values<std::uint64_t>(1019, 1166, 2114));
--- a/test/faults/Scenario.cpp
+++ b/test/faults/Scenario.cpp
@@ -6,9 +6,9 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration faultWindow = 8s; ///< In which the faults of a mix begin and end, mostly.
+constexpr Duration faultWindow = 8s; ///< Faults start in its first half; most also end in it.
 constexpr Duration roundDuration = 12s;
-constexpr Duration drainTime = 32s; ///< Longer than any caller waits.
+constexpr Duration drainTime = 32s; ///< Longer than any caller's timeout.
 
 ScenarioResult makeResult(const Rig &rig, const FaultInjector &faults)
 {
--- a/test/faults/Scenario.h
+++ b/test/faults/Scenario.h
@@ -1,5 +1,5 @@
-// One seeded run of a small deployment through mixed faults, judged by what targets
-// onExecutionStarted and callers were told.
+// A scenario: a seed's simulation of a small deployment with a mix of faults. The journal checks
+// the executions at targets against the outcomes at callers.
 #pragma once
 
 #include "rig/FaultInjector.h"
@@ -12,8 +12,8 @@
 
 struct ScenarioResult
 {
-    std::vector<std::string> violations; ///< Broken promises.
-    std::string faultLog;                ///< What was done to the deployment.
+    std::vector<std::string> violations; ///< Of the journal's invariants.
+    std::string faultLog;                ///< The injected faults, one per line.
     std::size_t answered = 0;
     std::size_t refused = 0;
     std::size_t lost = 0;
@@ -22,16 +22,18 @@
     double starvation = 0;
 };
 
-/// The deployment of a seed: both of today's sizes in turn, with loads below and above capacity.
+/// Returns the deployment of a seed. Seeds alternate between the two deployment sizes; the load is
+/// below capacity for every third seed and above it for the others.
 DeploymentOptions deploymentFor(std::uint64_t seed);
 
-/// Two rounds of two or three overlapping faults, then drainTime, then everything must work again.
+/// Runs two rounds of two or three overlapping faults, stops the callers until all requests have
+/// ended, and checks the recovery.
 ScenarioResult runScenario(std::uint64_t seed);
 
-/// The same with these faults instead of chosen ones.
+/// Runs the scenario with the given faults in both rounds.
 ScenarioResult runScenario(std::uint64_t seed, const std::vector<Fault> &faults);
 
-/// After drainTime: every node is ready and serves every service.
+/// Checks that every node is ready and serves every service.
 void checkRecovered(Rig &rig);
 
 } // namespace berylridge::rig
--- a/test/rig/Callers.cpp
+++ b/test/rig/Callers.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr Duration attemptPollPeriod = std::chrono::milliseconds(100);
-constexpr double nodeSkewExponent = 1.5; ///< Exponent of a workspace's spread over nodes.
+constexpr double nodeSkewExponent = 1.5; ///< Higher values make the nodes' weights less equal.
 
 } // namespace
 
@@ -34,7 +34,7 @@
     for (std::size_t i = 0; i < m_loadFactors.size(); ++i) {
         for (const RequestKind kind :
              {RequestKind::Generation, RequestKind::Lookup, RequestKind::Purchase})
-            arrive(kind, i);
+            scheduleNextArrival(kind, i);
     }
 }
 
@@ -56,14 +56,14 @@
     return 0;
 }
 
-void Callers::arrive(RequestKind kind, std::size_t workspace)
+void Callers::scheduleNextArrival(RequestKind kind, std::size_t workspace)
 {
     RandomEngine &random = m_rig.simulation.random;
     const double perSecond = arrivalRate(kind, workspace);
     if (perSecond <= 0)
         return;
     const double wait = std::exponential_distribution<double>(perSecond)(random);
-    m_rig.simulation.queue.after(fromSeconds(wait), [this, kind, workspace] {
+    m_rig.simulation.queue.scheduleAfter(fromSeconds(wait), [this, kind, workspace] {
         if (!m_isRunning)
             return;
         CallerRequest request = kind == RequestKind::Generation ? makeGeneration(workspace)
@@ -76,7 +76,7 @@
         CallerRequest &sent = send(std::move(request), node);
         if (isDuplicated)
             submit(sent, chooseNode(workspace, node));
-        arrive(kind, workspace);
+        scheduleNextArrival(kind, workspace);
     });
 }
 
@@ -120,7 +120,7 @@
     return request;
 }
 
-/// A UUIDv7 (RFC 9562): 48 bits of milliseconds, then random bits.
+/// Returns a UUIDv7 (RFC 9562): 48 bits of milliseconds, then random bits.
 std::string Callers::makeIdempotencyKey()
 {
     const auto ms
@@ -149,19 +149,20 @@
     request.isQueryOfDeath = true;
     CallerRequest &sent = send(std::move(request), chooseNode(workspace, m_rig.nodes.size()));
     for (std::size_t i = 1; i < times; ++i) {
-        m_rig.simulation.queue.after(std::chrono::seconds(2 * i), [this, &sent, workspace] {
+        m_rig.simulation.queue.scheduleAfter(std::chrono::seconds(2 * i), [this, &sent, workspace] {
             submit(sent, chooseNode(workspace, sent.attempts.back()->node));
         });
     }
 }
 
-/// The balancer: among nodes that pollAttempt ready, by the workspace's spread.
+/// Simulates the load balancer in front of the fleet: chooses among nodes that appear ready, by the
+/// workspace's weights.
 std::size_t Callers::chooseNode(std::size_t workspace, std::size_t excludedNode)
 {
     std::vector<double> weights = m_nodeWeights[workspace];
     for (std::size_t i = 0; i < weights.size(); ++i) {
         const FakeNode &node = *m_rig.nodes[i];
-        // The balancer notices a pause late: now and then it still sends there.
+        // The load balancer detects a pause late, so a paused node still receives some requests.
         const bool isRoutable
             = node.isReady() || (node.isPaused() && uniform(m_rig.simulation.random) < 0.2);
         if (!isRoutable || i == excludedNode)
@@ -179,10 +180,10 @@
 void Callers::submit(CallerRequest &request, std::size_t node)
 {
     FakeNode &router = *m_rig.nodes[node];
-    // The balancer has nobody: the caller sees a refused connection.
+    // The load balancer found no running node, so the caller's connection is refused.
     if (!router.isUp())
         return;
-    CallerAttempt &callerAttempt = m_rig.simulation.journal.begin(request, node);
+    CallerAttempt &callerAttempt = m_rig.simulation.journal.beginAttempt(request, node);
     RequestArrived event;
     event.service = m_rig.services[request.service].service;
     event.credential = m_rig.credentials[request.workspace];
@@ -191,15 +192,15 @@
     event.idempotencyKey = request.key;
     event.bodyHash = request.bodyHash;
     event.bodyBytes = 500;
-    router.arrive(callerAttempt, event);
-    m_rig.simulation.queue.after(m_options.callerTimeout, [this, &router, &callerAttempt] {
+    router.acceptRequest(callerAttempt, event);
+    m_rig.simulation.queue.scheduleAfter(m_options.callerTimeout, [this, &router, &callerAttempt] {
         if (callerAttempt.outcome != AttemptOutcome::Pending)
             return;
         if (!router.hadOutageSince(callerAttempt.sentAt)) {
-            m_rig.simulation.journal.recordViolation("own answer",
-                                                     callerAttempt.id
-                                                         + " hung until its caller left"
-                                                         + formatHistory(*callerAttempt.request));
+            m_rig.simulation.journal.recordViolation(
+                "own answer",
+                callerAttempt.id + " received no response until its caller timed out"
+                    + formatHistory(*callerAttempt.request));
         }
         router.onCallerDisconnected(callerAttempt);
     });
@@ -207,10 +208,10 @@
         pollAttempt(request, callerAttempt);
 }
 
-/// Looks now and then whether the try has ended, and sends again where that makes sense.
+/// Polls until the attempt has ended, and retries the request where a retry is allowed.
 void Callers::pollAttempt(CallerRequest &request, CallerAttempt &callerAttempt)
 {
-    m_rig.simulation.queue.after(attemptPollPeriod, [this, &request, &callerAttempt] {
+    m_rig.simulation.queue.scheduleAfter(attemptPollPeriod, [this, &request, &callerAttempt] {
         if (callerAttempt.outcome == AttemptOutcome::Pending) {
             pollAttempt(request, callerAttempt);
             return;
@@ -219,7 +220,7 @@
         if (!isLast || !isRetryAllowed(request, callerAttempt))
             return;
         const double wait = 0.2 + uniform(m_rig.simulation.random);
-        m_rig.simulation.queue.after(fromSeconds(wait), [this, &request, &callerAttempt] {
+        m_rig.simulation.queue.scheduleAfter(fromSeconds(wait), [this, &request, &callerAttempt] {
             if (m_isRunning)
                 submit(request, chooseNode(request.workspace, callerAttempt.node));
         });
--- a/test/rig/Callers.h
+++ b/test/rig/Callers.h
@@ -1,5 +1,5 @@
-// The callers of a test run: an open loop per workspace, spread unevenly over the nodes, that sends
-// again through another node where that is allowed.
+// Simulated callers: an open-loop load generator per workspace. Each workspace spreads its requests
+// unevenly over the nodes and retries through another node where a retry is allowed.
 #pragma once
 
 #include "FakeNode.h"
@@ -15,18 +15,19 @@
 
 struct CallerOptions
 {
-    /// Requests per second over all workspaces, as a multiple of what the engines can serve.
+    /// Rate of engine requests over all workspaces, as a multiple of what the engines can serve.
     double engineLoad = 1.2;
-    double meanCost = 2.0; ///< Slot seconds of an engine request; log-normal.
+    double meanCost = 2.0; ///< Slot seconds per engine request; log-normal distribution.
     double costSigma = 0.8;
     double lookupsPerSecond = 20;
     double purchasesPerSecond = 8;
-    double keylessRatio = 0.1;   ///< Share of purchases that carry no idempotency key.
-    double duplicateRatio = 0.0; ///< Share of purchases that are sent through two nodes at once.
-    /// Load of each workspace relative to the others; all equal where empty.
+    double keylessRatio = 0.1; ///< Share of purchases without an idempotency key.
+    /// Share of keyed purchases that are sent through two nodes at once.
+    double duplicateRatio = 0.0;
+    /// Load of each workspace relative to the others. All workspaces are equal if it is empty.
     std::vector<double> demandWeights;
     std::uint32_t maxAttempts = 4;
-    Duration callerTimeout = std::chrono::seconds(25); ///< Then the caller closes its connection.
+    Duration callerTimeout = std::chrono::seconds(25); ///< Afterwards the caller disconnects.
 };
 
 class Callers
@@ -34,13 +35,15 @@
 public:
     Callers(Rig &rig, CallerOptions options);
 
+    /// Starts to send requests of all workspaces.
     void start();
     void stop() { m_isRunning = false; }
-    /// A request that crashes each target that runs it; its caller sends it again and again.
+    /// Sends a request that crashes each target that executes it, that many times, two seconds
+    /// apart.
     void sendQueryOfDeath(std::size_t workspace, std::size_t times);
-    /// Multiplies one workspace's load.
+    /// Multiplies the load of one workspace by the factor; 1 restores it.
     void setLoadFactor(std::size_t workspace, double factor) { m_loadFactors[workspace] = factor; }
-    /// One request now; for tests that tell a story step by step.
+    /// Sends one request now.
     CallerRequest &send(CallerRequest request, std::size_t node);
     CallerRequest makePurchase(std::size_t workspace, bool hasKey);
     CallerRequest makeGeneration(std::size_t workspace);
@@ -49,7 +52,7 @@
     enum class RequestKind : std::uint8_t { Generation, Lookup, Purchase };
 
     double arrivalRate(RequestKind kind, std::size_t workspace) const;
-    void arrive(RequestKind kind, std::size_t workspace);
+    void scheduleNextArrival(RequestKind kind, std::size_t workspace);
     CallerRequest makeLookup(std::size_t workspace);
     std::size_t chooseNode(std::size_t workspace, std::size_t excludedNode);
     void submit(CallerRequest &request, std::size_t node);
@@ -61,7 +64,7 @@
     CallerOptions m_options;
     bool m_isRunning = false;
     std::vector<double> m_loadFactors;
-    std::vector<std::vector<double>> m_nodeWeights; ///< Per workspace, weight of each node.
+    std::vector<std::vector<double>> m_nodeWeights; ///< The weight of each node, per workspace.
     std::uint64_t m_nextBodyHash = 1;
 };
 
--- a/test/rig/EventQueue.h
+++ b/test/rig/EventQueue.h
@@ -1,4 +1,5 @@
-// One paused clock and one queue of what happens when: the only source of time of a test run.
+// A discrete event simulation: a manual clock and a queue of scheduled functions. Both are the only
+// source of time in a simulation.
 #pragma once
 
 #include "berylridge/Support/Time.h"
@@ -19,17 +20,22 @@
     TimePoint now() const { return m_clock.now(); }
     WallTime wallNow() const { return m_clock.wallNow(); }
 
-    void at(TimePoint when, Function function)
+    /// Runs the function at that time, or at the current time where that has passed.
+    void scheduleAt(TimePoint when, Function function)
     {
         m_entries.push({std::max(when, now()), m_sequence++, std::move(function)});
     }
-    void after(Duration wait, Function function) { at(now() + wait, std::move(function)); }
+    void scheduleAfter(Duration wait, Function function)
+    {
+        scheduleAt(now() + wait, std::move(function));
+    }
 
-    /// Runs everything that is due up to then, in order of time and, within one instant, of entry.
+    /// Runs all functions that are due up to the end, and sets the clock to it. The order is that
+    /// of time; functions of the same instant run in the order in which they were scheduled.
     void runUntil(TimePoint end)
     {
         while (!m_entries.empty() && m_entries.top().when <= end) {
-            Entry entry = std::move(const_cast<Entry &>(m_entries.top())); // NOLINT: popped at once
+            Entry entry = std::move(const_cast<Entry &>(m_entries.top())); // NOLINT: popped next
             m_entries.pop();
             m_clock.advance(entry.when - now());
             entry.function();
--- a/test/rig/FairnessMeter.cpp
+++ b/test/rig/FairnessMeter.cpp
@@ -47,7 +47,7 @@
         m_availableSlotSeconds += slots * stepSeconds;
     }
     sampleSecond(used, slots);
-    m_rig.simulation.queue.after(samplePeriod, [this] { sample(); });
+    m_rig.simulation.queue.scheduleAfter(samplePeriod, [this] { sample(); });
 }
 
 void FairnessMeter::sampleFlows(double stepSeconds)
@@ -70,8 +70,9 @@
         m_largestInFlightCost = std::max(m_largestInFlightCost, inFlight[i] / shares[i].weight);
 }
 
-/// The gap of a pair over all intervals in which both stayed backlogged is the range of the
-/// difference of their services since both became so.
+/// Updates the service gap of each pair of workspaces. The largest gap over all intervals in which
+/// both stayed backlogged is the range (highest less lowest value) of the difference of their
+/// services since both became backlogged.
 void FairnessMeter::sampleGap()
 {
     for (std::size_t i = 0; i < m_normalizedService.size(); ++i) {
--- a/test/rig/FairnessMeter.h
+++ b/test/rig/FairnessMeter.h
@@ -1,5 +1,5 @@
-// Samples a test run: the service gap between backlogged workspaces, starvation, and how much of
-// the capacity is used while work waits.
+// Samples a simulation: the service gap between backlogged workspaces, starvation, and the share of
+// the capacity that is used while requests wait.
 #pragma once
 
 #include "berylridge/Support/Time.h"
@@ -12,11 +12,11 @@
 
 class Rig;
 
-/// One second of a run.
+/// Figures of one simulated second. Requests are counted, all else is averaged.
 struct SecondSample
 {
     double usedSlots = 0;
-    double slots = 0; ///< That targets in service could bear.
+    double slots = 0; ///< Concurrency limits of the targets in service, in sum.
     std::uint64_t answered = 0;
     std::uint64_t refused = 0;
     std::uint64_t lost = 0;
@@ -28,20 +28,21 @@
 public:
     explicit FairnessMeter(Rig &rig);
 
-    /// Begins to measure; what came before is left out.
+    /// Starts to sample. Earlier requests don't count.
     void start();
 
-    /// Largest service gap between two workspaces that were both backlogged, in slot seconds over
-    /// weight.
+    /// Returns the largest service gap between two workspaces that were both backlogged, in slot
+    /// seconds over weight.
     double gap() const { return m_gap; }
-    /// The largest cost that one workspace had in flight, over weight: what no rule could avoid.
+    /// Returns the largest cost that one workspace had in flight, in slot seconds over weight. No
+    /// scheduling policy can guarantee a smaller gap.
     double largestInFlightCost() const { return m_largestInFlightCost; }
-    /// Of the engine slots, while engine requests waited.
+    /// Returns the used share of the engine slots while engine requests waited.
     double utilisation() const
     {
         return m_availableSlotSeconds > 0 ? m_usedSlotSeconds / m_availableSlotSeconds : 1.0;
     }
-    /// The longest time that a backlogged workspace got nothing at all.
+    /// Returns the longest time that a backlogged workspace received no service at all.
     double longestStarvationSeconds() const { return m_longestStarvationSeconds; }
     const std::vector<SecondSample> &seconds() const { return m_seconds; }
 
@@ -54,7 +55,7 @@
 
     Rig &m_rig;
     TimePoint m_since {};
-    std::vector<double> m_normalizedService; ///< Slot seconds over weight, per workspace.
+    std::vector<double> m_normalizedService; ///< Received slot seconds over weight, per workspace.
     std::vector<double> m_starvationSeconds;
     std::vector<bool> m_isBacklogged;
     struct Range
--- a/test/rig/FakeNetwork.cpp
+++ b/test/rig/FakeNetwork.cpp
@@ -53,7 +53,7 @@
     return fromSeconds(toSeconds(base) * factor);
 }
 
-void FakeNetwork::datagram(HostId from, HostId to, const EventQueue::Function &onArrival)
+void FakeNetwork::sendDatagram(HostId from, HostId to, const EventQueue::Function &onArrival)
 {
     if (!isConnected(from, to) || uniform(m_random) < options.lossProbability)
         return;
@@ -62,20 +62,20 @@
         Duration wait = delay(from, to);
         if (uniform(m_random) < options.delaySpikeProbability)
             wait += fromSeconds(maxDelaySpikeSeconds * uniform(m_random));
-        m_queue.after(wait, [this, from, to, onArrival] {
+        m_queue.scheduleAfter(wait, [this, from, to, onArrival] {
             if (isConnected(from, to))
                 onArrival();
         });
     }
 }
 
-void FakeNetwork::stream(HostId from, HostId to, EventQueue::Function onArrival)
+void FakeNetwork::sendOnStream(HostId from, HostId to, EventQueue::Function onArrival)
 {
     const TimePoint deadline = m_queue.now() + retransmitTimeout;
-    m_queue.after(delay(from, to),
-                  [this, from, to, deadline, onArrival = std::move(onArrival)]() mutable {
-                      retryStream(from, to, std::move(onArrival), deadline);
-                  });
+    m_queue.scheduleAfter(delay(from, to),
+                          [this, from, to, deadline, onArrival = std::move(onArrival)]() mutable {
+                              retryStream(from, to, std::move(onArrival), deadline);
+                          });
 }
 
 void FakeNetwork::retryStream(HostId from, HostId to, EventQueue::Function onArrival,
@@ -87,10 +87,10 @@
     }
     if (m_queue.now() >= deadline)
         return;
-    m_queue.after(retransmitPeriod,
-                  [this, from, to, deadline, onArrival = std::move(onArrival)]() mutable {
-                      retryStream(from, to, std::move(onArrival), deadline);
-                  });
+    m_queue.scheduleAfter(retransmitPeriod,
+                          [this, from, to, deadline, onArrival = std::move(onArrival)]() mutable {
+                              retryStream(from, to, std::move(onArrival), deadline);
+                          });
 }
 
 } // namespace berylridge::rig
--- a/test/rig/FakeNetwork.h
+++ b/test/rig/FakeNetwork.h
@@ -1,4 +1,4 @@
-// The network of a test run: who reaches whom, after which delay, and what is lost or doubled.
+// A simulated network: reachability, delays, loss and duplication.
 #pragma once
 
 #include "EventQueue.h"
@@ -14,18 +14,20 @@
 
 namespace berylridge::rig {
 
+/// Index of an endpoint of the network: a node, a target or the platform.
 using HostId = std::size_t;
 
-/// How datagrams fare. Streams (connections) share the delay alone.
+/// Properties of datagram delivery. Streams (connections) use the delays only, without
+/// spikes.
 struct NetworkOptions
 {
     Duration sameZoneDelay = std::chrono::microseconds(200);
     Duration crossZoneDelay = std::chrono::microseconds(1500);
-    double jitterRatio = 0.3; ///< Share of the delay that is drawn anew each time.
+    double jitterRatio = 0.3; ///< Width of the random part of each delay, relative to the delay.
     double lossProbability = 0.002;
     double duplicationProbability = 0.001;
-    double delaySpikeProbability
-        = 0.002; ///< Chance of a delay of up to 80 ms, which also reorders.
+    /// Probability of an added delay of up to 80 ms, which also reorders.
+    double delaySpikeProbability = 0.002;
 };
 
 class FakeNetwork
@@ -38,21 +40,22 @@
     }
 
     HostId add(const ZoneId &zone, const Endpoint &endpoint);
-    /// The host at an endpoint; past the end where nothing is.
+    /// Returns the host at an endpoint, or the number of hosts if the endpoint is unknown.
     HostId find(const Endpoint &endpoint) const;
     const ZoneId &zone(HostId host) const { return m_zones[host]; }
 
-    /// Separates the hosts from all others until the returned partition is healed.
+    /// Separates the hosts from all others. Returns the partition's id for healPartition().
     std::size_t partition(const std::vector<HostId> &isolatedHosts);
     void healPartition(std::size_t partition);
     bool isConnected(HostId a, HostId b) const;
     bool isFullyConnected() const { return m_partitions.empty(); }
 
     Duration delay(HostId a, HostId b);
-    /// Sends a datagram: it may come late, twice or never.
-    void datagram(HostId from, HostId to, const EventQueue::Function &onArrival);
-    /// Sends on a connection: bytes wait while the link is partition, up to a limit.
-    void stream(HostId from, HostId to, EventQueue::Function onArrival);
+    /// Sends a datagram, which may be delayed, duplicated or lost.
+    void sendDatagram(HostId from, HostId to, const EventQueue::Function &onArrival);
+    /// Sends data on a connection. While the hosts are partitioned, the data is retransmitted until
+    /// a timeout, and then dropped.
+    void sendOnStream(HostId from, HostId to, EventQueue::Function onArrival);
 
     NetworkOptions options;
 
@@ -63,8 +66,8 @@
     RandomEngine &m_random;
     std::vector<ZoneId> m_zones;
     std::map<Endpoint, HostId> m_hosts;
-    std::map<std::size_t, std::vector<bool>>
-        m_partitions; ///< Which hosts are on the partition isolatedHosts.
+    /// Which hosts are isolated, by partition id.
+    std::map<std::size_t, std::vector<bool>> m_partitions;
     std::size_t m_nextPartition = 0;
 };
 
--- a/test/rig/FakeNode.cpp
+++ b/test/rig/FakeNode.cpp
@@ -14,7 +14,7 @@
 
 const std::string fleetKey = "a-fleet-key-of-the-test-rig-0000";
 constexpr Duration connectTimeout = std::chrono::seconds(1);
-constexpr std::size_t headerBytes = 28; // IP and UDP
+constexpr std::size_t headerBytes = 28; // IP and UDP headers
 constexpr int maxTimersPerInstant = 100;
 constexpr std::size_t maxDeferredCallbacks = 4000;
 
@@ -31,12 +31,13 @@
 
 void FakeNode::start()
 {
-    assert(!isUp() && "the node already runs");
+    assert(!isUp() && "the node is already running");
     ++m_incarnationNumber;
     m_options.incarnation
         = static_cast<Incarnation>(m_simulation.queue.wallNow().time_since_epoch().count()) * 1000;
     m_options.seed = m_simulation.random();
-    // Each process has a clock epoch of its own; a core that compares two nodes' clocks shows here.
+    // Each process has a monotonic clock with an epoch of its own, which reveals a core that
+    // compares the clocks of two nodes.
     m_clockOffset = std::chrono::seconds(1 + m_simulation.random() % 100000);
     auto core = RouterCore::create(m_options, localNow(), m_simulation.queue.wallNow());
     if (!core) {
@@ -47,7 +48,8 @@
     m_isPaused = m_isReady = m_isLeaving = m_isVmGone = false;
     m_timerAt = TimePoint::max();
     m_deferredCallbacks.clear();
-    // A node without memory may have lost what it publishTime, and can't hear while it is cut off.
+    // A new incarnation lacks the updates of the previous one, and receives none while the node is
+    // partitioned.
     TimePoint until = m_simulation.queue.now();
     for (const auto &[from, end] : m_outages)
         until = std::max(until, end);
@@ -69,7 +71,7 @@
         if (request.attempt)
             close(request.attempt);
         if (!request.isCallerDisconnected)
-            m_simulation.journal.end(*request.callerAttempt, AttemptOutcome::NodeLost);
+            m_simulation.journal.endAttempt(*request.callerAttempt, AttemptOutcome::NodeLost);
     }
     m_simulation.platform->stopWatch(*this);
     m_outbox.clear();
@@ -92,7 +94,7 @@
     auto waiting = std::move(m_deferredCallbacks);
     m_deferredCallbacks.clear();
     const std::uint64_t incarnationNumber = m_incarnationNumber;
-    // A late process may see its timer or its sockets first.
+    // A resumed process may handle its due timer or its pending socket data first.
     if (uniform(m_simulation.random) < 0.5)
         handle(TimerDue {});
     for (const auto &function : waiting) {
@@ -131,7 +133,7 @@
     return publishTime;
 }
 
-bool FakeNode::arrive(CallerAttempt &callerAttempt, const RequestArrived &request)
+bool FakeNode::acceptRequest(CallerAttempt &callerAttempt, const RequestArrived &request)
 {
     if (!isUp())
         return false;
@@ -149,7 +151,7 @@
         if (open.callerAttempt != &callerAttempt || open.isCallerDisconnected)
             continue;
         open.isCallerDisconnected = true;
-        m_simulation.journal.end(*open.callerAttempt, AttemptOutcome::CallerClosed);
+        m_simulation.journal.endAttempt(*open.callerAttempt, AttemptOutcome::CallerClosed);
         runWhenResumed([this, requestHandle = openHandle] { releaseCaller(requestHandle); });
         return;
     }
@@ -164,8 +166,10 @@
     const OpenRequest &open = found->second;
     const bool isRunning = open.attempt && !open.attempt->isFinished;
     if (isRunning && open.callerAttempt->request->isIdempotent)
-        m_simulation.journal.recordViolation("core", "an attempt goes on without its caller");
-    // What may not be repeated goes on to its end, so that a repeat of its key finds the answer.
+        m_simulation.journal.recordViolation("core",
+                                             "an idempotent attempt goes on without its caller");
+    // A non-idempotent request runs to completion, so that a retry with its key receives the stored
+    // response.
     if (!isRunning)
         m_openRequests.erase(found);
 }
@@ -179,7 +183,7 @@
 {
     if (!isUp())
         return;
-    assert(!m_isPaused && "a paused process handles nothing");
+    assert(!m_isPaused && "a paused process can't handle events");
     if (eventObserver)
         eventObserver(event, localNow(), m_simulation.queue.wallNow());
     Actions actions;
@@ -205,10 +209,10 @@
     if (when >= m_timerAt)
         return;
     m_timerAt = when;
-    m_simulation.queue.at(when, bindToIncarnation([this, when] {
-                              if (m_timerAt == when)
-                                  onTimer();
-                          }));
+    m_simulation.queue.scheduleAt(when, bindToIncarnation([this, when] {
+                                      if (m_timerAt == when)
+                                          onTimer();
+                                  }));
 }
 
 void FakeNode::onTimer()
@@ -218,7 +222,8 @@
         setTimer();
         return;
     }
-    // A core that is never satisfied would keep a processor busy without end.
+    // Detects a core that always requests a timer that is due already: it would keep a processor
+    // busy.
     m_timersAtInstant = m_lastTimer == m_simulation.queue.now() ? m_timersAtInstant + 1 : 0;
     m_lastTimer = m_simulation.queue.now();
     if (m_timersAtInstant < maxTimersPerInstant) {
@@ -226,7 +231,7 @@
         return;
     }
     m_simulation.journal.recordViolation(
-        "core", m_options.node.str() + " asks for a timer again and again");
+        "core", m_options.node.str() + " keeps requesting a timer that is due already");
     runLater(std::chrono::milliseconds(1), [this] { handle(TimerDue {}); });
 }
 
@@ -241,11 +246,11 @@
                 sendStoredResponse(storedResponse);
             },
             [](const RelayHeldResponse &) {
-                assert(false && "only the balancer passes failures on");
+                assert(false && "only the balancer passes on held responses");
             },
             [this](const SendToNode &message) { enqueueMessage(message); },
             [this](const ProbeNode &probeAction) { probeNode(probeAction); },
-            [this](const PollTarget &target) { poll(target); },
+            [this](const PollTarget &target) { pollTarget(target); },
             [this](const WatchPlatform &watch) { m_simulation.platform->watch(*this, watch.isOn); },
             [this](const Readiness &readiness) { m_isReady = readiness.isReady; },
             [this](const Stopped &) { onStopped(); },
@@ -298,11 +303,11 @@
     m_traffic.sentBytes += encoded->size() + headerBytes;
     ++m_traffic.sentDatagrams;
     FakeNode *receiver = m_simulation.nodes.at(to);
-    const auto arrive = [receiver, encoded] { receiver->receiveDatagram(*encoded); };
+    const auto onArrival = [receiver, encoded] { receiver->receiveDatagram(*encoded); };
     if (encoded->size() <= maxDatagramBytes)
-        m_simulation.network.datagram(m_host, to, arrive);
+        m_simulation.network.sendDatagram(m_host, to, onArrival);
     else if (m_simulation.network.isConnected(m_host, to))
-        m_simulation.network.stream(m_host, to, arrive);
+        m_simulation.network.sendOnStream(m_host, to, onArrival);
 }
 
 void FakeNode::receiveDatagram(const std::string &encoded)
@@ -316,7 +321,7 @@
         return;
     }
     if (m_isPaused && m_deferredCallbacks.size() > maxDeferredCallbacks)
-        return; // the socket's buffer is full
+        return; // simulates a full socket buffer
     for (const PeerMessage &message : datagram->messages) {
         runWhenResumed(
             [this, event = NodeMessage {datagram->from, datagram->incarnation, message}] {
@@ -331,11 +336,11 @@
     const auto found = m_openRequests.find(handle);
     if (found == m_openRequests.end()) {
         m_simulation.journal.recordViolation(
-            "own answer", "a request was answered that had ended: " + problemType);
+            "own answer", "a request was answered after it had ended: " + problemType);
         return;
     }
     if (!found->second.isCallerDisconnected)
-        m_simulation.journal.end(*found->second.callerAttempt, outcome, problemType);
+        m_simulation.journal.endAttempt(*found->second.callerAttempt, outcome, problemType);
     m_openRequests.erase(found);
 }
 
@@ -380,7 +385,7 @@
     });
 }
 
-void FakeNode::poll(const PollTarget &action)
+void FakeNode::pollTarget(const PollTarget &action)
 {
     const HostId host = m_simulation.network.find(action.endpoint);
     if (!m_simulation.targets.contains(host))
@@ -399,7 +404,7 @@
         }
         const auto &load = target.load();
         handle(TargetLoadReport {action.target, load.bootId, load.running, load.completed,
-                                 m_simulation.queue.now() - load.at, action.poll});
+                                 m_simulation.queue.now() - load.sampledAt, action.poll});
     });
 }
 
@@ -416,7 +421,7 @@
 
 void FakeNode::runLater(Duration wait, const EventQueue::Function &function)
 {
-    m_simulation.queue.after(wait, bindToIncarnation(function));
+    m_simulation.queue.scheduleAfter(wait, bindToIncarnation(function));
 }
 
 EventQueue::Function FakeNode::bindToIncarnation(const EventQueue::Function &function)
--- a/test/rig/FakeNode.h
+++ b/test/rig/FakeNode.h
@@ -1,5 +1,5 @@
-// One entry VM of a test run: a real decision core, with a shell that turns its actions into
-// messages on the fake network and attempts at fake targets.
+// A simulated router VM: a real router core whose actions become messages on the simulated network
+// and attempts at simulated targets.
 #pragma once
 
 #include "FakeNetwork.h"
@@ -18,7 +18,7 @@
 
 class FakeNode;
 
-/// What all parts of a test run share.
+/// The state that all parts of a simulation share.
 struct Simulation
 {
     explicit Simulation(std::uint64_t seed, std::size_t services, std::size_t workspaces)
@@ -35,11 +35,11 @@
     std::map<HostId, FakeTarget *> targets;
     std::map<HostId, FakeNode *> nodes;
     FakePlatform *platform = nullptr;
-    /// Told of each attempt that reaches a target.
+    /// Called for each attempt that reaches a target, before the target receives it.
     std::function<void(const FakeNode &, const FakeTarget &)> onRequestAtTarget;
 };
 
-/// Bytes and datagrams that a node sent and received for control.
+/// Counts the messages between nodes, including the IP and UDP headers of datagrams.
 struct ControlTraffic
 {
     std::uint64_t sentBytes = 0;
@@ -53,19 +53,22 @@
     FakeNode(Simulation &simulation, HostId host, CoreOptions options);
     ~FakeNode();
 
-    /// Starts a new incarnation that knows nothing.
+    /// Starts a new incarnation without state.
     void start();
-    /// Ends without a word. With isVmGone nothing answers for it: no refused connection.
+    /// Terminates the process without notice to other nodes. With isVmGone, connections to the node
+    /// time out instead of being refused.
     void kill(bool isVmGone = false);
+    /// Suspends the process; events that arrive are deferred until resume().
     void pause();
     void resume();
+    /// Starts a planned stop.
     void leave();
 
     bool isUp() const { return m_core != nullptr; }
     bool isPaused() const { return m_isPaused; }
     bool isVmGone() const { return m_isVmGone; }
     bool isLeaving() const { return m_isLeaving; }
-    /// What the balancer's health check would see.
+    /// Returns what the load balancer's health check would report.
     bool isReady() const { return isUp() && !m_isPaused && m_isReady; }
     HostId host() const { return m_host; }
     const CoreOptions &options() const { return m_options; }
@@ -73,25 +76,25 @@
     std::size_t openRequests() const { return m_openRequests.size(); }
     NodeStatus status() const { return m_core->status(); }
     std::vector<std::string> explain(const std::string &id) const { return m_core->explain(id); }
-    /// Says that from and until then the node may not have publishTime what was published.
+    /// Records an interval in which the node may miss published updates.
     void addOutage(TimePoint from, TimePoint until) { m_outages.emplace_back(from, until); }
-    /// Whether anything storedResponse the node from working or hearing since then.
+    /// Returns whether the node is paused or had an outage that ended since then.
     bool hadOutageSince(TimePoint since) const;
-    /// When the node could have publishTime of something published then, if hearing takes up to a
-    /// limit.
+    /// Returns the time from which the node has the limit to receive an update published then: the
+    /// publication itself, or the end of the outages that overlap the limit.
     TimePoint effectivePublishTime(TimePoint published, Duration limit) const;
 
-    /// A caller's request; false when the connection is refused.
-    bool arrive(CallerAttempt &callerAttempt, const RequestArrived &request);
+    /// Accepts a caller's request. Returns false if the connection is refused.
+    bool acceptRequest(CallerAttempt &callerAttempt, const RequestArrived &request);
     void onCallerDisconnected(const CallerAttempt &callerAttempt);
     void receiveDatagram(const std::string &encoded);
     void handle(const Event &event);
-    /// Runs the function runLater, unless this incarnation has ended by then.
+    /// Runs the function after the wait, unless this incarnation has ended by then.
     void runLater(Duration wait, const EventQueue::Function &function);
 
-    /// Every event is shown to it, with the node's own times, before it is handled.
+    /// Receives every event with the node's own times, before the core handles it.
     std::function<void(const Event &, TimePoint, WallTime)> eventObserver;
-    /// Every action is shown to it before it is carried out.
+    /// Receives every action before the node executes it.
     std::function<void(const Action &)> actionObserver;
 
 private:
@@ -122,10 +125,10 @@
     void refuseRequest(const Refuse &action);
     void sendStoredResponse(const SendStoredResponse &action);
     void probeNode(const ProbeNode &action);
-    void poll(const PollTarget &action);
+    void pollTarget(const PollTarget &action);
     void onStopped();
     EventQueue::Function bindToIncarnation(const EventQueue::Function &function);
-    /// At once, or at the end of a pause.
+    /// Runs the function at once, or at the end of the current pause.
     void runWhenResumed(const EventQueue::Function &function);
     void releaseCaller(RequestHandle requestHandle);
 
@@ -133,22 +136,23 @@
     HostId m_host;
     CoreOptions m_options;
     std::unique_ptr<RouterCore> m_core;
-    std::uint64_t m_incarnationNumber = 0; ///< Counts incarnations.
+    std::uint64_t m_incarnationNumber = 0; ///< Changes at each start and termination.
     Duration m_clockOffset {0};
     bool m_isPaused = false;
     bool m_isReady = false;
     bool m_isLeaving = false;
     bool m_isVmGone = false;
-    std::vector<EventQueue::Function> m_deferredCallbacks; ///< What came during a pause.
+    /// Functions that became due during a pause.
+    std::vector<EventQueue::Function> m_deferredCallbacks;
     TimePoint m_timerAt = TimePoint::max();
     TimePoint m_lastTimer {};
-    int m_timersAtInstant = 0; ///< Timers that were due at that same instant.
+    int m_timersAtInstant = 0; ///< Consecutive timers at m_lastTimer.
     RequestHandle m_nextHandle = 1;
     std::map<RequestHandle, OpenRequest> m_openRequests;
-    /// A storedResponse connection.
+    /// A reusable connection to a target.
     struct IdleConnection
     {
-        std::string boot; ///< To which it leads.
+        std::string boot; ///< Boot id of the target when the connection was last used.
         TimePoint since;
     };
     std::map<const FakeTarget *, IdleConnection> m_idleConnections;
--- a/test/rig/FakeNodeAttempts.cpp
+++ b/test/rig/FakeNodeAttempts.cpp
@@ -1,4 +1,4 @@
-// The part of a fake node that stands for the traffic threads: attempts at targets.
+// The part of a simulated node that replaces the traffic threads: attempts at targets.
 #include "FakeNode.h"
 
 #include "FakeNodeRequests.h"
@@ -19,15 +19,16 @@
 {
     const auto found = m_openRequests.find(action.handle);
     if (found == m_openRequests.end()) {
-        m_simulation.journal.fail("core", "a request was dispatched that had ended");
+        m_simulation.journal.recordViolation("core", "a request was dispatched after it had ended");
         return;
     }
     OpenRequest &open = found->second;
     const HostId host = m_simulation.network.find(action.endpoint);
     if (open.attempt && !open.attempt->isFinished)
-        m_simulation.journal.fail("core", "a request has two attempts at once");
+        m_simulation.journal.recordViolation("core", "a request has two attempts at once");
     if (!m_simulation.targets.contains(host)) {
-        m_simulation.journal.fail("core", "a request was sent to a place without target");
+        m_simulation.journal.recordViolation("core",
+                                             "a request was sent to an endpoint without a target");
         return;
     }
     auto attempt = std::make_shared<Attempt>();
@@ -40,11 +41,11 @@
         = {open.callerAttempt, action.isResumed ? cost - open.streamedCost : cost, 0.1 * cost};
     open.attempt = attempt;
     const auto idle = m_idleConnections.find(attempt->target);
-    // As the shell does where targets tell no limit of their own: a request that may run once goes
-    // on a connection for a moment alone.
-    constexpr Duration maxIdleTimeWithoutResend = std::chrono::milliseconds(250);
+    // Matches the traffic threads' behavior for targets that announce no idle timeout: a request
+    // that must not be resent reuses a connection only shortly after the connection's last use.
+    constexpr Duration nonIdempotentIdleLimit = std::chrono::milliseconds(250);
     const bool isRecentlyUsed = idle != m_idleConnections.end()
-        && m_simulation.queue.now() - idle->second.since <= maxIdleTimeWithoutResend;
+        && m_simulation.queue.now() - idle->second.since <= nonIdempotentIdleLimit;
     if (idle != m_idleConnections.end()
         && (isRecentlyUsed || action.resendPolicy == ResendPolicy::Allowed)) {
         attempt->reusedBootId = idle->second.boot;
@@ -61,7 +62,7 @@
         return;
     const HostId host = attempt->target->host();
     if (waited >= connectTimeout) {
-        fail(attempt, AttemptFailure::ConnectTimeout, false);
+        failAttempt(attempt, AttemptFailure::ConnectTimeout, false);
         return;
     }
     if (!m_simulation.network.isConnected(m_host, host)) {
@@ -75,19 +76,20 @@
         if (attempt->target->isUp())
             sendRequest(attempt);
         else
-            fail(attempt, AttemptFailure::ConnectRefused, false);
+            failAttempt(attempt, AttemptFailure::ConnectRefused, false);
     });
 }
 
 void FakeNode::sendRequest(const AttemptPtr &attempt)
 {
     if (localNow() >= attempt->action.notAfter) {
-        fail(attempt, AttemptFailure::ConnectTimeout, false);
+        failAttempt(attempt, AttemptFailure::ConnectTimeout, false);
         return;
     }
-    // Bytes that left reach the target even if this node dies or gives up meanwhile.
-    m_simulation.network.stream(m_host, attempt->target->host(),
-                                [this, attempt] { deliverToTarget(attempt); });
+    // Data that was sent reaches the target even if this node terminates or abandons the attempt
+    // meanwhile.
+    m_simulation.network.sendOnStream(m_host, attempt->target->host(),
+                                      [this, attempt] { deliverToTarget(attempt); });
     watchTimeouts(attempt);
 }
 
@@ -98,7 +100,7 @@
         = !attempt->reusedBootId.empty() && attempt->reusedBootId != target.bootId();
     if (!target.isUp() || isDifferentBoot) {
         runLater(m_simulation.network.delay(m_host, target.host()),
-                 [this, attempt] { fail(attempt, AttemptFailure::Reset, true); });
+                 [this, attempt] { failAttempt(attempt, AttemptFailure::Reset, true); });
         return;
     }
     if (m_simulation.onRequestAtTarget)
@@ -111,7 +113,8 @@
 ResponseSink FakeNode::makeResponseSink(const AttemptPtr &attempt)
 {
     const auto sendToNode = [this, attempt](const EventQueue::Function &function) {
-        m_simulation.network.stream(attempt->target->host(), m_host, bindToIncarnation(function));
+        m_simulation.network.sendOnStream(attempt->target->host(), m_host,
+                                          bindToIncarnation(function));
     };
     return {[=, this](const std::string &boot) {
                 sendToNode([=, this] { onResponseHead(attempt, boot); });
@@ -119,11 +122,13 @@
             [=, this](const std::string &boot) {
                 sendToNode([=, this] { onResponseDone(attempt, boot); });
             },
-            [=, this] { sendToNode([=, this] { fail(attempt, AttemptFailure::Reset, true); }); }};
+            [=, this] {
+                sendToNode([=, this] { failAttempt(attempt, AttemptFailure::Reset, true); });
+            }};
 }
 
-/// The shell's timeouts, as the startAttempt asks: none may pass without a byte, nor the whole
-/// attempt.
+/// Simulates the timeouts of the traffic threads, as the action sets them: idleTimeout without a
+/// byte, and attemptTimeout for the whole attempt.
 void FakeNode::watchTimeouts(const AttemptPtr &attempt)
 {
     runLater(attempt->action.idleTimeout, [this, attempt] {
@@ -136,7 +141,7 @@
         if (isFlowing && age < attempt->action.attemptTimeout)
             watchTimeouts(attempt);
         else
-            fail(attempt, AttemptFailure::Timeout, true);
+            failAttempt(attempt, AttemptFailure::Timeout, true);
     });
 }
 
@@ -165,7 +170,7 @@
     handle(done);
 }
 
-void FakeNode::fail(const AttemptPtr &attempt, AttemptFailure failure, bool sentAny)
+void FakeNode::failAttempt(const AttemptPtr &attempt, AttemptFailure failure, bool sentAny)
 {
     if (attempt->isFinished)
         return;
@@ -184,8 +189,9 @@
         return;
     attempt->isFinished = true;
     if (attempt->executionId != 0) {
-        m_simulation.network.stream(m_host, attempt->target->host(),
-                                    [attempt] { attempt->target->cancel(attempt->executionId); });
+        m_simulation.network.sendOnStream(m_host, attempt->target->host(), [attempt] {
+            attempt->target->cancel(attempt->executionId);
+        });
     }
 }
 
--- a/test/rig/FakeNodeRequests.h
+++ b/test/rig/FakeNodeRequests.h
@@ -1,4 +1,4 @@
-// What a fake node remembers of open requests and of its attempts at targets.
+// A simulated node's records of its open requests and of its attempts at targets.
 #pragma once
 
 #include "FakeNode.h"
@@ -11,9 +11,9 @@
     FakeTarget *target = nullptr;
     CallerAttempt *callerAttempt = nullptr;
     TargetRequest targetRequest;
-    std::string
-        reusedBootId; ///< Of the storedResponse connection it goes out on; empty for a new one.
-    std::uint64_t executionId = 0; ///< The target's number, once it has the request.
+    /// Boot to which the reused connection leads; empty for a new connection.
+    std::string reusedBootId;
+    std::uint64_t executionId = 0; ///< From the target, once it has received the request; 0 before.
     bool isFinished = false;
     bool hasHead = false;
     TimePoint headAt {};
@@ -24,9 +24,9 @@
 {
     CallerAttempt *callerAttempt = nullptr;
     AttemptPtr attempt;
-    double streamedCost = 0; ///< Slot seconds of the answer that the caller already has.
+    double streamedCost = 0; ///< Slot seconds of the response that the caller has already received.
     bool answerBegun = false;
-    bool isCallerDisconnected = false; ///< Its caller left; the core may not know yet.
+    bool isCallerDisconnected = false; ///< The core may not have been informed yet.
 };
 
 } // namespace berylridge::rig
--- a/test/rig/FakePlatform.cpp
+++ b/test/rig/FakePlatform.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr Duration watchPollPeriod = std::chrono::seconds(5); ///< Of a watch that sees no change.
+constexpr Duration watchPollPeriod = std::chrono::seconds(5); ///< Of a watch without changes.
 constexpr Duration watchRetryPeriod = std::chrono::seconds(1);
 
 } // namespace
@@ -26,7 +26,7 @@
 
 void FakePlatform::setVms(std::vector<VmEntry> vms)
 {
-    m_simulation.queue.after(vmListDelay, [this, vms = std::move(vms)] {
+    m_simulation.queue.scheduleAfter(vmListDelay, [this, vms = std::move(vms)] {
         ++m_current.vms.revision;
         m_current.vms.vms = vms;
         notifyWatchers();
@@ -62,7 +62,8 @@
     return m_mode != Mode::Down && m_simulation.network.isConnected(m_host, node.host());
 }
 
-/// One waiting call of a watch: answered now where there is news, else after its period.
+/// Simulates one long poll of a watch: sends pending changes at once and polls again after the
+/// period. notifyWatchers() sends changes that occur in between.
 void FakePlatform::pollWatch(FakeNode &node, std::uint64_t watchId)
 {
     const auto found = m_watchers.find(node.host());
--- a/test/rig/FakePlatform.h
+++ b/test/rig/FakePlatform.h
@@ -1,5 +1,5 @@
-// The platform of a test run: documents to read and watch and a VM list that lags; it can be stale
-// or down, and nothing can be written to it by nodes.
+// A simulated platform: nodes read and watch its documents and its VM list, which is delayed. It
+// can be stale or down. Nodes can't write to it.
 #pragma once
 
 #include "FakeNetwork.h"
@@ -23,17 +23,17 @@
 
     FakePlatform(Simulation &simulation, HostId host);
 
-    /// Operators put a document into the platform.
+    /// Stores a document, as operators do.
     void publish(DocumentText document);
-    /// What is live or leaving; nodes see it after the lag.
+    /// Sets the list of live and leaving VMs, which nodes receive after vmListDelay.
     void setVms(std::vector<VmEntry> vms);
-    /// While stale it serves what it held at its first publication round.
+    /// Sets the mode. A stale platform serves the snapshot of saveStaleSnapshot().
     void setMode(Mode mode);
     Mode mode() const { return m_mode; }
-    /// Makes what is published so far the state that a stale platform falls back to.
+    /// Saves the current state as the one that the platform serves while it is stale.
     void saveStaleSnapshot() { m_stale = m_current; }
 
-    /// A node begins or ceases to watch.
+    /// Starts or ends the watch of a node.
     void watch(FakeNode &node, bool isOn);
     void stopWatch(const FakeNode &node);
 
@@ -67,7 +67,8 @@
     Mode m_mode = Mode::Up;
     Snapshot m_current;
     Snapshot m_stale;
-    std::map<HostId, Watcher> m_watchers; ///< By node, so that a run repeats.
+    /// Ordered by host, so that a seed's run is reproducible.
+    std::map<HostId, Watcher> m_watchers;
     std::uint64_t m_nextWatchId = 1;
     std::uint64_t m_callCount = 0;
 };
--- a/test/rig/FakeTarget.cpp
+++ b/test/rig/FakeTarget.cpp
@@ -26,7 +26,8 @@
     sampleLoad();
 }
 
-/// The strictest reading of the document: coldSlots until warmAfter answers, then all slots.
+/// Applies the strictest interpretation of the service document: coldSlots until warmAfter
+/// responses are completed, then all slots.
 std::uint32_t FakeTarget::concurrencyLimit() const
 {
     return m_completed < m_warmAfter ? m_coldSlots : m_slots;
@@ -34,79 +35,82 @@
 
 std::uint64_t FakeTarget::receive(const TargetRequest &targetRequest, ResponseSink responseSink)
 {
-    const std::uint64_t number = m_nextExecutionId++;
+    const std::uint64_t executionId = m_nextExecutionId++;
     m_journal.onExecutionStarted(*targetRequest.callerAttempt, m_spec.target);
-    m_running.emplace(number, Execution {targetRequest, std::move(responseSink), m_queue.now()});
-    // A warm target gets slower under more, and doesn't fall over; three times its slots is more
-    // than two owners.
+    m_running.emplace(executionId,
+                      Execution {targetRequest, std::move(responseSink), m_queue.now()});
+    // A cold target crashes above its limit. A warm target would only get slower, so it reports a
+    // violation above three times its slots, which is more than two owners of its pool can grant.
     const bool isCold = m_completed < m_warmAfter;
     m_peakRunning = std::max(m_peakRunning, m_running.size());
     if (m_running.size() > (isCold ? m_coldSlots : 3 * m_slots)) {
         m_journal.recordViolation(
             "cold target",
-            m_spec.target.str() + " bears " + std::to_string(concurrencyLimit()) + " and got "
-                + std::to_string(m_running.size()) + " after " + std::to_string(m_completed)
-                + " answers of " + m_bootId + describeRunning());
+            m_spec.target.str() + " accepts " + std::to_string(concurrencyLimit())
+                + " requests and received " + std::to_string(m_running.size()) + " after "
+                + std::to_string(m_completed) + " responses of " + m_bootId + describeRunning());
         if (isCold) {
             crash(std::chrono::seconds(2));
-            return number;
+            return executionId;
         }
     }
     if (targetRequest.callerAttempt->request->isQueryOfDeath) {
-        m_queue.after(std::chrono::milliseconds(50), [this, number] {
-            if (!m_running.contains(number))
+        m_queue.scheduleAfter(std::chrono::milliseconds(50), [this, executionId] {
+            if (!m_running.contains(executionId))
                 return;
-            m_journal.onTargetCrashed(*m_running.at(number).targetRequest.callerAttempt->request);
+            m_journal.onTargetCrashed(
+                *m_running.at(executionId).targetRequest.callerAttempt->request);
             crash(std::chrono::seconds(1));
         });
-        return number;
+        return executionId;
     }
-    m_queue.after(fromSeconds(std::min(targetRequest.headAfter, targetRequest.cost)),
-                  [this, number] {
-                      const auto found = m_running.find(number);
-                      if (found != m_running.end() && !found->second.isHung)
-                          found->second.responseSink.head(m_bootId);
-                  });
-    m_queue.after(fromSeconds(targetRequest.cost), [this, number] { finish(number); });
-    return number;
+    m_queue.scheduleAfter(fromSeconds(std::min(targetRequest.headAfter, targetRequest.cost)),
+                          [this, executionId] {
+                              const auto found = m_running.find(executionId);
+                              if (found != m_running.end() && !found->second.isHung)
+                                  found->second.responseSink.head(m_bootId);
+                          });
+    m_queue.scheduleAfter(fromSeconds(targetRequest.cost),
+                          [this, executionId] { finish(executionId); });
+    return executionId;
 }
 
-/// Who put what runs here, and when.
+/// Lists the current executions with the nodes that sent them and their start times.
 std::string FakeTarget::describeRunning() const
 {
     std::string text;
-    for (const auto &[number, work] : m_running) {
-        text += "; " + work.targetRequest.callerAttempt->id + " of node "
-            + std::to_string(work.targetRequest.callerAttempt->node) + " since "
-            + std::to_string(toSeconds(work.since.time_since_epoch())) + " s";
+    for (const auto &[executionId, execution] : m_running) {
+        text += "; " + execution.targetRequest.callerAttempt->id + " of node "
+            + std::to_string(execution.targetRequest.callerAttempt->node) + " since "
+            + std::to_string(toSeconds(execution.since.time_since_epoch())) + " s";
     }
     return text;
 }
 
-void FakeTarget::finish(std::uint64_t work)
+void FakeTarget::finish(std::uint64_t executionId)
 {
-    const auto found = m_running.find(work);
+    const auto found = m_running.find(executionId);
     if (found == m_running.end() || found->second.isHung)
         return;
-    Execution ended = std::move(found->second);
+    Execution finished = std::move(found->second);
     m_running.erase(found);
     ++m_completed;
-    m_journal.onExecutionEnded(*ended.targetRequest.callerAttempt);
-    ended.responseSink.done(m_bootId);
+    m_journal.onExecutionEnded(*finished.targetRequest.callerAttempt);
+    finished.responseSink.done(m_bootId);
 }
 
-void FakeTarget::cancel(std::uint64_t work)
+void FakeTarget::cancel(std::uint64_t executionId)
 {
-    const auto found = m_running.find(work);
+    const auto found = m_running.find(executionId);
     if (found == m_running.end())
         return;
     m_journal.onExecutionEnded(*found->second.targetRequest.callerAttempt);
     m_running.erase(found);
 }
 
-bool FakeTarget::isStreaming(std::uint64_t work) const
+bool FakeTarget::isStreaming(std::uint64_t executionId) const
 {
-    const auto found = m_running.find(work);
+    const auto found = m_running.find(executionId);
     return found != m_running.end() && !found->second.isHung;
 }
 
@@ -115,11 +119,11 @@
     auto interrupted = std::move(m_running);
     m_running.clear();
     m_isUp = false;
-    for (auto &[number, work] : interrupted) {
-        m_journal.onExecutionEnded(*work.targetRequest.callerAttempt);
-        work.responseSink.reset();
+    for (auto &[executionId, execution] : interrupted) {
+        m_journal.onExecutionEnded(*execution.targetRequest.callerAttempt);
+        execution.responseSink.reset();
     }
-    m_queue.after(downtime, [this, bootCount = m_bootCount] {
+    m_queue.scheduleAfter(downtime, [this, bootCount = m_bootCount] {
         if (!m_isUp && m_bootCount == bootCount)
             boot();
     });
@@ -127,14 +131,15 @@
 
 void FakeTarget::hang()
 {
-    for (auto &[number, work] : m_running)
-        work.isHung = true;
+    for (auto &[executionId, execution] : m_running)
+        execution.isHung = true;
 }
 
 void FakeTarget::addRunningCosts(std::vector<double> &costs) const
 {
-    for (const auto &[number, work] : m_running)
-        costs[work.targetRequest.callerAttempt->request->workspace] += work.targetRequest.cost;
+    for (const auto &[executionId, execution] : m_running)
+        costs[execution.targetRequest.callerAttempt->request->workspace]
+            += execution.targetRequest.cost;
 }
 
 void FakeTarget::sampleLoad()
--- a/test/rig/FakeTarget.h
+++ b/test/rig/FakeTarget.h
@@ -1,5 +1,6 @@
-// A target of a test run: bears few requests after a start, falls over when it gets more, and keeps
-// count of what it onExecutionStarted. It is the judge of verdicts and of at-most-once.
+// A simulated target. It accepts few concurrent requests after a boot, crashes when it receives
+// more, and reports each execution to the journal, which checks verdicts and at-most-once
+// execution.
 #pragma once
 
 #include "FakeNetwork.h"
@@ -16,15 +17,16 @@
 
 namespace berylridge::rig {
 
-/// What a target is sent, with the truth about it that no router knows.
+/// A request as a target receives it, with its cost, which no router knows.
 struct TargetRequest
 {
     CallerAttempt *callerAttempt = nullptr;
-    double cost = 1;        ///< Slot seconds that it takes; less where a stream is resumed.
-    double headAfter = 0.1; ///< Seconds until the answer head.
+    double cost = 1;        ///< Slot seconds of the execution; less if a stream is resumed.
+    double headAfter = 0.1; ///< Seconds until the response head.
 };
 
-/// Where the answer goes. Each function is called at the target's own instant; the node adds delay.
+/// Receives the response of a target. Each function is called without network delay; the node that
+/// provides the functions adds it.
 struct ResponseSink
 {
     std::function<void(const std::string &bootId)> head;
@@ -44,22 +46,22 @@
     bool isUp() const { return m_isUp; }
     const std::string &bootId() const { return m_bootId; }
     std::size_t running() const { return m_running.size(); }
-    /// Requests that it bears now.
+    /// Returns the number of concurrent requests that the target accepts in its current state.
     std::uint32_t concurrencyLimit() const;
     std::uint32_t slots() const { return m_slots; }
     std::size_t peakRunning() const { return m_peakRunning; }
 
-    /// Begins to execute. Returns a number for cancel() and isStreaming().
+    /// Starts an execution. Returns its id for cancel() and isStreaming().
     std::uint64_t receive(const TargetRequest &targetRequest, ResponseSink responseSink);
-    void cancel(std::uint64_t work);
-    bool isStreaming(std::uint64_t work) const;
+    void cancel(std::uint64_t executionId);
+    bool isStreaming(std::uint64_t executionId) const;
 
-    /// Loses everything, is down for a while and comes back cold under a new boot id.
+    /// Resets all executions. The target is down for a while and then cold, with a new boot id.
     void crash(Duration downtime);
-    /// Executes on but never answers what runs now.
+    /// Keeps the current executions running without ever completing them.
     void hang();
 
-    /// Adds the cost of what runs here to each workspace's sum.
+    /// Adds the costs of the current executions to the sums of their workspaces.
     void addRunningCosts(std::vector<double> &costs) const;
 
     struct Load
@@ -67,9 +69,9 @@
         std::string bootId;
         std::uint32_t running = 0;
         std::uint64_t completed = 0;
-        TimePoint at {};
+        TimePoint sampledAt {};
     };
-    /// The load as it was some time ago.
+    /// Returns the load as of the last sampleLoad().
     const Load &load() const { return m_load; }
     void sampleLoad();
 
@@ -82,7 +84,7 @@
         bool isHung = false;
     };
 
-    void finish(std::uint64_t work);
+    void finish(std::uint64_t executionId);
     std::string describeRunning() const;
     void boot();
 
--- a/test/rig/FaultInjector.cpp
+++ b/test/rig/FaultInjector.cpp
@@ -51,7 +51,8 @@
     case Fault::PauseNode:
         logFault(fault, duration, m_rig.nodes[node]->options().node.str());
         m_rig.nodes[node]->pause();
-        m_rig.simulation.queue.after(duration, [this, node] { m_rig.nodes[node]->resume(); });
+        m_rig.simulation.queue.scheduleAfter(duration,
+                                             [this, node] { m_rig.nodes[node]->resume(); });
         break;
     case Fault::CrashTarget:
     case Fault::ReplaceTarget:
@@ -77,8 +78,8 @@
     case Fault::TargetLeaves:
         logFault(fault, duration, m_rig.targets[target]->spec().target.str());
         m_rig.setTargetLeaving(target, true);
-        m_rig.simulation.queue.after(duration,
-                                     [this, target] { m_rig.setTargetLeaving(target, false); });
+        m_rig.simulation.queue.scheduleAfter(
+            duration, [this, target] { m_rig.setTargetLeaving(target, false); });
         break;
     case Fault::PlannedStop:
         logFault(fault, duration, m_rig.nodes[node]->options().node.str());
@@ -90,7 +91,7 @@
         const std::size_t workspace = victim % m_rig.options.workspaces;
         logFault(fault, duration, "w" + std::to_string(workspace));
         m_rig.callers->setLoadFactor(workspace, floodLoadFactor);
-        m_rig.simulation.queue.after(
+        m_rig.simulation.queue.scheduleAfter(
             duration, [this, workspace] { m_rig.callers->setLoadFactor(workspace, 1); });
         break;
     }
@@ -112,7 +113,8 @@
             = fromSeconds(toSeconds(window) * 0.5 * uniform(m_rig.simulation.random));
         const Duration duration
             = fromSeconds(toSeconds(window) * (0.1 + 0.9 * uniform(m_rig.simulation.random)));
-        m_rig.simulation.queue.after(when, [this, fault, duration] { inject(fault, duration); });
+        m_rig.simulation.queue.scheduleAfter(when,
+                                             [this, fault, duration] { inject(fault, duration); });
     }
 }
 
@@ -131,14 +133,16 @@
     auto &network = m_rig.simulation.network;
     m_rig.simulation.journal.setPartitioned(true);
     const std::size_t number = network.partition(isolatedHosts);
-    // Whoever is on the far isolatedHosts of the platform, or of a node that knows, may not hear.
+    // Nodes that are separated from the platform, or from the nodes that have read an update, may
+    // miss it.
     m_rig.addFleetOutage(duration);
-    m_rig.simulation.queue.after(duration, [&network, number] { network.healPartition(number); });
+    m_rig.simulation.queue.scheduleAfter(duration,
+                                         [&network, number] { network.healPartition(number); });
 }
 
 void FaultInjector::scheduleRestart(std::size_t node, Duration duration)
 {
-    m_rig.simulation.queue.after(duration, [this, node, duration] {
+    m_rig.simulation.queue.scheduleAfter(duration, [this, node, duration] {
         FakeNode &restarted = *m_rig.nodes[node];
         if (restarted.isUp() && restarted.isLeaving()) {
             scheduleRestart(node, duration);
@@ -155,7 +159,7 @@
     m_rig.platform->setMode(mode);
     m_rig.addFleetOutage(duration);
     ++m_activeModeFaults;
-    m_rig.simulation.queue.after(duration, [this] {
+    m_rig.simulation.queue.scheduleAfter(duration, [this] {
         if (--m_activeModeFaults == 0)
             m_rig.platform->setMode(FakePlatform::Mode::Up);
     });
@@ -164,7 +168,7 @@
 void FaultInjector::evacuateZone(std::size_t victim, Duration duration)
 {
     m_rig.setEvacuatedZones({ZoneId(m_rig.options.zones[victim % m_rig.options.zones.size()])});
-    m_rig.simulation.queue.after(duration, [this] { m_rig.setEvacuatedZones({}); });
+    m_rig.simulation.queue.scheduleAfter(duration, [this] { m_rig.setEvacuatedZones({}); });
 }
 
 void FaultInjector::degradeNetwork(Duration duration)
@@ -174,7 +178,7 @@
     network.lossProbability = 0.1;
     network.duplicationProbability = 0.05;
     network.delaySpikeProbability = 0.1;
-    m_rig.simulation.queue.after(duration, [&network, original] { network = original; });
+    m_rig.simulation.queue.scheduleAfter(duration, [&network, original] { network = original; });
 }
 
 void FaultInjector::logFault(Fault fault, Duration duration, const std::string &victim)
--- a/test/rig/FaultInjector.h
+++ b/test/rig/FaultInjector.h
@@ -1,5 +1,5 @@
-// FaultInjector of a test run, alone or mixed by a seed: each happens to something, lasts a while
-// and heals.
+// Injects faults into a simulation, single ones or a mix that a seed determines. A fault affects
+// one victim or the whole deployment, and ends after a duration.
 #pragma once
 
 #include "Rig.h"
@@ -11,22 +11,22 @@
 namespace berylridge::rig {
 
 enum class Fault : std::uint8_t {
-    PartitionZone, ///< An availability zone is separated from allFaults else.
-    PartitionNode, ///< One entry VM is.
-    KillNode,      ///< A process dies and starts again with no memory.
-    LoseVm,        ///< A VM vanishes; nothing refuses connections for it.
-    PauseNode,     ///< A process stands still and wakes late.
-    CrashTarget,   ///< Loses what runs, is down, comes back cold.
-    ReplaceTarget, ///< The same without being seen down.
-    HangTarget,    ///< What runs there never ends.
+    PartitionZone, ///< Separates an availability zone from all other hosts.
+    PartitionNode, ///< Separates one router VM from all other hosts.
+    KillNode,      ///< Terminates a process, which later restarts without state.
+    LoseVm,      ///< Removes a VM for a while: connections to it time out instead of being refused.
+    PauseNode,   ///< Suspends a process.
+    CrashTarget, ///< Resets the executions; the target is down and then cold.
+    ReplaceTarget, ///< Like CrashTarget, with a downtime too short to be observed.
+    HangTarget,    ///< The target's current executions never complete.
     PlatformDown,
     PlatformStale,
-    EvacuateZone, ///< Operators take a zone out and back.
-    TargetLeaves, ///< Operators let a target leave and come back.
-    PlannedStop,  ///< A node is stopped by plan and started again.
-    Flood,        ///< One workspace sends twenty times as much.
-    QueryOfDeath, ///< A request crashes each target that runs it and is sent again and again.
-    LossyNetwork, ///< A tenth of the datagrams is lost and many come late.
+    EvacuateZone, ///< Operators evacuate a zone and return it to service.
+    TargetLeaves, ///< Operators mark a target as leaving, then as back.
+    PlannedStop,  ///< Operators stop a node gracefully and start it again.
+    Flood,        ///< One workspace sends 20 times its normal load.
+    QueryOfDeath, ///< A request that crashes each target that executes it is repeated.
+    LossyNetwork, ///< Loses 10 % of the datagrams and delays as many.
 };
 
 inline constexpr std::size_t faultCount = 16;
@@ -40,15 +40,15 @@
     {
     }
 
-    /// Lets a fault happen now to something that the run's seed chooses.
+    /// Injects a fault now, with a victim that the run's seed chooses.
     void inject(Fault fault, Duration duration);
     void inject(Fault fault, Duration duration, std::size_t victim);
-    /// Lets several faults overlap.
+    /// Schedules the faults at random times in the window, so that they can overlap.
     void injectMix(const std::vector<Fault> &faults, Duration window);
-    /// So many different faults, chosen by the run's seed.
+    /// Returns that many different faults, chosen by the run's seed.
     std::vector<Fault> chooseFaults(std::size_t count);
 
-    /// What happened, for people.
+    /// Returns a readable list of the faults injected so far, one per line.
     const std::string &faultLog() const { return m_faultLog; }
 
 private:
--- a/test/rig/Journal.cpp
+++ b/test/rig/Journal.cpp
@@ -7,7 +7,8 @@
 namespace {
 
 constexpr std::size_t maxViolations = 20;
-/// A query of death may crash so many targets, and so many while the fleet is split.
+/// The number of targets that a query of death may crash, without and with a partition of the
+/// fleet.
 constexpr std::uint32_t maxCrashes = 2;
 constexpr std::uint32_t maxCrashesWhenPartitioned = 6;
 
@@ -30,7 +31,7 @@
              << callerAttempt->executions << " executions";
         if (callerAttempt->startedAt)
             text << " from " << toSeconds(callerAttempt->startedAt->time_since_epoch()) << " s";
-        text << ", ending " << static_cast<int>(callerAttempt->outcome) << ' '
+        text << ", outcome " << static_cast<int>(callerAttempt->outcome) << ' '
              << callerAttempt->problemType << " at "
              << toSeconds(callerAttempt->endedAt.time_since_epoch()) << " s";
     }
@@ -54,7 +55,7 @@
     return *m_requests.back();
 }
 
-CallerAttempt &Journal::begin(CallerRequest &request, std::size_t node)
+CallerAttempt &Journal::beginAttempt(CallerRequest &request, std::size_t node)
 {
     request.attempts.push_back(std::make_unique<CallerAttempt>());
     CallerAttempt &callerAttempt = *request.attempts.back();
@@ -67,8 +68,8 @@
     return callerAttempt;
 }
 
-void Journal::end(CallerAttempt &callerAttempt, AttemptOutcome outcome,
-                  const std::string &problemType)
+void Journal::endAttempt(CallerAttempt &callerAttempt, AttemptOutcome outcome,
+                         const std::string &problemType)
 {
     if (callerAttempt.outcome != AttemptOutcome::Pending) {
         recordViolation("own answer",
@@ -85,10 +86,11 @@
     if (outcome == AttemptOutcome::NotRun)
         checkNotRun(callerAttempt);
     if (outcome == AttemptOutcome::Answered && callerAttempt.request->executions() == 0)
-        recordViolation("own answer", callerAttempt.id + " was answered and no target ran it");
+        recordViolation("own answer", callerAttempt.id + " was answered but no target ran it");
 }
 
-/// With a key the verdict speaks of the operation: no try that was sent before it may have run.
+/// Checks a verdict of not-run. With an idempotency key it covers the whole operation, so no
+/// earlier attempt may have been executed.
 void Journal::checkNotRun(const CallerAttempt &callerAttempt)
 {
     const CallerRequest &request = *callerAttempt.request;
@@ -96,7 +98,7 @@
         = request.key ? request.executions() : callerAttempt.executions;
     if (executionCount > 0) {
         recordViolation("not run",
-                        callerAttempt.id + " was told not-run after it ran ("
+                        callerAttempt.id + " received not-run after it ran ("
                             + callerAttempt.problemType + ")");
     }
 }
@@ -127,7 +129,7 @@
             && other->endedAt >= callerAttempt.sentAt) {
             recordViolation("not run",
                             callerAttempt.id + " ran at " + target.str() + " after " + other->id
-                                + " was told not-run (" + other->problemType + ")");
+                                + " received not-run (" + other->problemType + ")");
         }
     }
 }
@@ -144,8 +146,8 @@
     ++request.crashes;
     if (request.crashes > (m_wasPartitioned ? maxCrashesWhenPartitioned : maxCrashes)) {
         recordViolation("query of death",
-                        "request crashed target number " + std::to_string(request.crashes)
-                            + formatHistory(request));
+                        "a request crashed a target, number of its crashes: "
+                            + std::to_string(request.crashes) + formatHistory(request));
     }
 }
 
@@ -153,7 +155,8 @@
 {
     if (body != responseText(*callerAttempt.request))
         recordViolation("own answer",
-                        callerAttempt.id + " got the kept answer of another operation");
+                        callerAttempt.id
+                            + " received the response that was kept for another operation");
 }
 
 void Journal::recordViolation(const std::string &invariant, const std::string &description)
--- a/test/rig/Journal.h
+++ b/test/rig/Journal.h
@@ -1,5 +1,5 @@
-// The truth of a test run: description callers sent and were told, description targets
-// onExecutionStarted, and every broken invariant that shows from these two.
+// The record of a simulation: the requests and outcomes of callers, the executions at targets, and
+// each violation of an invariant that follows from comparing the two.
 #pragma once
 
 #include "EventQueue.h"
@@ -15,20 +15,20 @@
 
 namespace berylridge::rig {
 
-/// How a caller's try ended.
+/// How a caller's attempt ended.
 enum class AttemptOutcome : std::uint8_t {
     Pending,
-    Answered,     ///< A whole answer.
-    NotRun,       ///< Refused with that verdict.
-    MayHaveRun,   ///< Refused with that verdict.
-    Truncated,    ///< The answer broke off so that the caller sees it.
-    NodeLost,     ///< The router died.
+    Answered,     ///< The caller received the complete response.
+    NotRun,       ///< The router refused the request with the verdict not-run.
+    MayHaveRun,   ///< The router refused the request with the verdict may-have-run.
+    Truncated,    ///< The response ended early, visibly for the caller.
+    NodeLost,     ///< The router process terminated.
     CallerClosed, ///< The caller closed its connection.
 };
 
 struct CallerRequest;
 
-/// One sending of a request to one router.
+/// One attempt of a caller to send its request, through one router.
 struct CallerAttempt
 {
     CallerRequest *request = nullptr;
@@ -37,13 +37,13 @@
     std::size_t node = 0;
     AttemptOutcome outcome = AttemptOutcome::Pending;
     TimePoint endedAt {};
-    std::string problemType; ///< Type of the refusal.
+    std::string problemType; ///< Problem type of the refusal.
     std::uint32_t executions = 0;
-    std::uint32_t running = 0; ///< Executing now.
+    std::uint32_t running = 0; ///< Current executions.
     std::optional<TimePoint> startedAt;
 };
 
-/// What a caller wants done; with an idempotency key all its attempts name one operation.
+/// A caller's request. With an idempotency key, all its attempts belong to one operation.
 struct CallerRequest
 {
     std::size_t workspace = 0;
@@ -53,7 +53,7 @@
     std::optional<std::string> key;
     bool isIdempotent = true;
     bool isQueryOfDeath = false;
-    double cost = 1;
+    double cost = 1; ///< Slot seconds.
     std::uint64_t bodyHash = 0;
     std::uint32_t crashes = 0;
     std::vector<std::unique_ptr<CallerAttempt>> attempts;
@@ -61,7 +61,7 @@
     std::uint32_t executions() const;
 };
 
-/// Requests of one workspace sentAt one service, now.
+/// Current numbers of requests of one workspace at one service.
 struct FlowCount
 {
     std::uint32_t waiting = 0;
@@ -74,20 +74,21 @@
     Journal(EventQueue &queue, std::size_t services, std::size_t workspaces);
 
     CallerRequest &add(CallerRequest request);
-    CallerAttempt &begin(CallerRequest &request, std::size_t node);
-    void end(CallerAttempt &callerAttempt, AttemptOutcome outcome,
-             const std::string &problemType = {});
+    CallerAttempt &beginAttempt(CallerRequest &request, std::size_t node);
+    void endAttempt(CallerAttempt &callerAttempt, AttemptOutcome outcome,
+                    const std::string &problemType = {});
     void onExecutionStarted(CallerAttempt &callerAttempt, const TargetId &target);
     void onExecutionEnded(CallerAttempt &callerAttempt);
     void onTargetCrashed(CallerRequest &request);
     void checkStoredResponse(const CallerAttempt &callerAttempt, const std::string &body);
 
-    /// Set while the fleet is split: each side may have to learn by itself.
+    /// Records that the fleet was partitioned. Both sides may then have to detect a query of death
+    /// independently, so more crashes are allowed for the rest of the run.
     void setPartitioned(bool isPartitioned)
     {
         m_wasPartitioned = m_wasPartitioned || isPartitioned;
     }
-    /// Records a broken invariant.
+    /// Records the violation of an invariant. Only the first violations are kept.
     void recordViolation(const std::string &invariant, const std::string &description);
     const std::vector<std::string> &violations() const { return m_violations; }
 
@@ -113,10 +114,10 @@
     std::size_t m_nextAttemptNumber = 1;
 };
 
-/// The attempts of a request, for people.
+/// Returns a readable list of the attempts of a request.
 std::string formatHistory(const CallerRequest &request);
 
-/// What a kept answer of an operation says.
+/// Returns the body of the response to a request, which routers store for its key.
 std::string responseText(const CallerRequest &request);
 
 } // namespace berylridge::rig
--- a/test/rig/Rig.cpp
+++ b/test/rig/Rig.cpp
@@ -13,13 +13,14 @@
 constexpr std::uint16_t targetPort = 8000;
 constexpr Duration loadSamplePeriod = std::chrono::milliseconds(400);
 constexpr Duration versionCheckPeriod = std::chrono::milliseconds(500);
-/// Until the VM list has come through its lag and the nodes have agreed on witnesses.
+/// Covers the delay of the VM list and the nodes' agreement on witnesses.
 constexpr Duration minStartTime = std::chrono::seconds(8);
 constexpr Duration maxStartTime = std::chrono::seconds(20);
 constexpr Duration startPollPeriod = std::chrono::milliseconds(500);
-/// "A few seconds" of the brief, for new work at a zone or target that was taken out.
+/// Nodes must stop sending new work to an evacuated zone or leaving target within "a few seconds",
+/// which the check takes as 3 s.
 constexpr Duration maxExclusionDelay = std::chrono::seconds(3);
-/// "Within seconds" for a configuration.
+/// A published configuration must be active "within seconds", which the check takes as 5 s.
 constexpr Duration maxConfigurationDelay = std::chrono::seconds(5);
 
 std::string addressOf(std::size_t zone, std::size_t index)
@@ -209,7 +210,7 @@
     if (simulation.journal.openAttempts() > 0) {
         simulation.journal.recordViolation("own answer",
                                            std::to_string(simulation.journal.openAttempts())
-                                               + " requests got no answer at all");
+                                               + " requests received no response at all");
     }
 }
 
@@ -295,10 +296,11 @@
 {
     for (auto &target : targets)
         target->sampleLoad();
-    simulation.queue.after(loadSamplePeriod, [this] { sampleLoads(); });
+    simulation.queue.scheduleAfter(loadSamplePeriod, [this] { sampleLoads(); });
 }
 
-/// Nothing new goes to what operators have taken out, but from a node that can't know it yet.
+/// Checks that evacuated zones and leaving targets receive no new work, except from nodes that
+/// can't have received the update yet.
 void Rig::checkDispatch(const FakeNode &node, const FakeTarget &target)
 {
     for (const std::string &name : {target.spec().zone.str(), target.spec().target.str()}) {
@@ -309,13 +311,14 @@
         if (simulation.queue.now() - since > maxExclusionDelay) {
             simulation.journal.recordViolation("out of service",
                                                node.options().node.str() + " sent new work to "
-                                                   + target.spec().target.str() + " though " + name
-                                                   + " is out");
+                                                   + target.spec().target.str() + " although "
+                                                   + name + " is evacuated or leaving");
         }
     }
 }
 
-/// Versions never fall, and a node whose view was not disturbed has what was published.
+/// Checks that no node's document versions decrease within an incarnation, and that a node without
+/// outages has the published versions.
 void Rig::checkVersions()
 {
     for (const auto &node : nodes) {
@@ -329,7 +332,8 @@
         for (const auto &head : status.documents) {
             if (head.version < seen[head.name]) {
                 simulation.journal.recordViolation(
-                    "configuration", status.node.str() + " went back on " + head.name);
+                    "configuration",
+                    status.node.str() + " is on an older version than before of " + head.name);
             }
             seen[head.name] = head.version;
         }
@@ -346,7 +350,7 @@
             }
         }
     }
-    simulation.queue.after(versionCheckPeriod, [this] { checkVersions(); });
+    simulation.queue.scheduleAfter(versionCheckPeriod, [this] { checkVersions(); });
 }
 
 } // namespace berylridge::rig
--- a/test/rig/Rig.h
+++ b/test/rig/Rig.h
@@ -1,5 +1,5 @@
-// A whole small deployment under one paused clock: nodes with real cores, fake targets, a fake
-// platform and fake callers.
+// A small deployment simulated under one manual clock: nodes with real router cores, and simulated
+// targets, platform and callers.
 #pragma once
 
 #include "Callers.h"
@@ -14,7 +14,7 @@
 
 namespace berylridge::rig {
 
-/// Sizes of a deployment.
+/// Sizes and settings of a deployment.
 struct DeploymentOptions
 {
     std::vector<std::string> zones {"a", "b", "c"};
@@ -31,9 +31,12 @@
     CallerOptions callers;
 };
 
+/// Returns the sizes of the deployment men-gom: 10 engines.
 DeploymentOptions menGom();
+/// Returns the sizes of the deployment riviere-bells: 20 engines.
 DeploymentOptions riviereBells();
-/// Every workspace always has engine work waiting; three of them send several times their share.
+/// Returns the options with an overload of engine requests, under which every workspace always has
+/// requests waiting. The first three workspaces send six times as much as each of the others.
 DeploymentOptions alwaysBacklogged(DeploymentOptions options);
 
 class Rig
@@ -45,23 +48,24 @@
     Rig(std::uint64_t seed, DeploymentOptions options);
     ~Rig();
 
-    /// Starts all nodes and waits until the balancer would send callers.
+    /// Starts all nodes and runs until they are ready.
     void start();
+    /// Advances the clock by that time and runs all events that are due.
     void run(Duration time) { simulation.queue.runUntil(simulation.queue.now() + time); }
-    /// Callers stop; everything heals; what was open must end by itself.
+    /// Stops the callers and checks that all open attempts end within the limit.
     void drain(Duration limit);
 
-    /// Operators publish the fleet document with these zones out.
+    /// Publishes a fleet document with these zones evacuated, and no others.
     void setEvacuatedZones(const std::vector<ZoneId> &zones);
-    /// Operators publish a service's document anew.
+    /// Publishes a service's document under a new version.
     void publishService(std::size_t service);
-    /// Operators mark a target as leaving or back.
+    /// Publishes a target's state as leaving or as back in service.
     void setTargetLeaving(std::size_t target, bool isLeaving);
-    /// Tells the platform which VMs live; a leaving one is still listed.
+    /// Updates the platform's VM list. It contains leaving VMs too.
     void publishVms();
-    /// All hosts of a zone, for cutting it off.
+    /// Returns all nodes and targets of a zone.
     std::vector<HostId> hostsIn(const ZoneId &zone) const;
-    /// No node's view is sure to be fresh for so long.
+    /// Records for all nodes that they may miss updates for that time from now on.
     void addFleetOutage(Duration time);
 
     bool isZoneEvacuated(const ZoneId &zone) const;
@@ -86,14 +90,14 @@
 
     DocumentVersion m_version = 1;
     std::vector<ZoneId> m_evacuatedZones;
-    std::map<std::string, TimePoint>
-        m_excludedSince; ///< Zone or target: new work is forbidden since.
+    /// The time since when a zone or target must receive no new work, by its name.
+    std::map<std::string, TimePoint> m_excludedSince;
     std::map<const FakeNode *, std::map<std::string, DocumentVersion>> m_seenVersions;
     std::map<const FakeNode *, Incarnation> m_seenIncarnations;
     std::map<std::string, std::pair<DocumentVersion, TimePoint>> m_published;
 };
 
-/// The JSON text of a service's document, as the publishing step would write it.
+/// Returns the JSON text of a service's document, as the publishing step would write it.
 std::string documentText(const ServiceDocument &service);
 
 } // namespace berylridge::rig
