--- a/test/process/StandInsTest.cpp
+++ b/test/process/StandInsTest.cpp
@@ -54,10 +54,9 @@
     {
         std::ostringstream text;
         text << std::ifstream(m_log).rdbuf();
-        const std::string expectedBody = text.str();
+        const std::string logText = text.str();
         std::smatch match;
-        if (!std::regex_search(expectedBody, match,
-                               std::regex("listening on ([0-9.]+):([0-9]+)\n")))
+        if (!std::regex_search(logText, match, std::regex("listening on ([0-9.]+):([0-9]+)\n")))
             return false;
         m_endpoint = {match[1], static_cast<std::uint16_t>(std::stoi(match[2]))};
         return true;
--- a/unittests/Net/FuzzTest.cpp
+++ b/unittests/Net/FuzzTest.cpp
@@ -40,7 +40,7 @@
     return text;
 }
 
-std::string appendAuthenticator(std::string body)
+std::string withAuthenticator(std::string body)
 {
     std::array<std::byte, authenticatorSize> tag {};
     computeAuthenticator(TestNode::fleetKey, std::as_bytes(std::span(body)), tag);
@@ -74,7 +74,7 @@
     int readCount = 0;
     for (int i = 0; i < datagramRounds; ++i) {
         const std::string bytes
-            = appendAuthenticator(mutated(samples[random() % samples.size()], random));
+            = withAuthenticator(mutated(samples[random() % samples.size()], random));
         readCount += decodeDatagram(TestNode::fleetKey, std::as_bytes(std::span(bytes))) ? 1 : 0;
     }
     EXPECT_GT(readCount, 0);
