--- a/test/rig/Callers.cpp
+++ b/test/rig/Callers.cpp
@@ -41,8 +41,8 @@
 double Callers::arrivalRate(RequestKind kind, std::size_t workspace) const
 {
     double sum = 0;
-    for (const double demandWeights : m_options.demandWeights)
-        sum += demandWeights;
+    for (const double weight : m_options.demandWeights)
+        sum += weight;
     const double share = m_loadFactors[workspace] * m_options.demandWeights[workspace] / sum;
     const double slots = m_rig.options.engineSlots * static_cast<double>(m_rig.options.engines);
     switch (kind) {
--- a/test/rig/FakeNetwork.h
+++ b/test/rig/FakeNetwork.h
@@ -17,8 +17,7 @@
 /// Index of an endpoint of the network: a node, a target or the platform.
 using HostId = std::size_t;
 
-/// Properties of datagram delivery. Streams (connections) use the delays only, without
-/// spikes.
+/// Properties of datagram delivery. Streams (connections) use the delays only, without spikes.
 struct NetworkOptions
 {
     Duration sameZoneDelay = std::chrono::microseconds(200);
--- a/test/rig/FaultInjector.h
+++ b/test/rig/FaultInjector.h
@@ -14,9 +14,9 @@
     PartitionZone, ///< Separates an availability zone from all other hosts.
     PartitionNode, ///< Separates one router VM from all other hosts.
     KillNode,      ///< Terminates a process, which later restarts without state.
-    LoseVm,      ///< Removes a VM for a while: connections to it time out instead of being refused.
-    PauseNode,   ///< Suspends a process.
-    CrashTarget, ///< Resets the executions; the target is down and then cold.
+    LoseVm,        ///< Removes a VM for a while: connections to it time out.
+    PauseNode,     ///< Suspends a process.
+    CrashTarget,   ///< Resets the executions; the target is down and then cold.
     ReplaceTarget, ///< Like CrashTarget, with a downtime too short to be observed.
     HangTarget,    ///< The target's current executions never complete.
     PlatformDown,
--- a/test/rig/Journal.h
+++ b/test/rig/Journal.h
@@ -88,7 +88,7 @@
     {
         m_wasPartitioned = m_wasPartitioned || isPartitioned;
     }
-    /// Records the violation of an invariant. Only the first violations are kept.
+    /// Records the violation of an invariant. Drops it after the first 20.
     void recordViolation(const std::string &invariant, const std::string &description);
     const std::vector<std::string> &violations() const { return m_violations; }
 
