--- a/benchmarks/fairness/FairnessBench.cpp
+++ b/benchmarks/fairness/FairnessBench.cpp
@@ -131,11 +131,12 @@
     }
     std::uint64_t lateStarts = 0;
     for (const auto &request : rig.simulation.journal.requests()) {
-        for (const auto &callerAttempt : request->attempts)
+        for (const auto &callerAttempt : request->attempts) {
             lateStarts += callerAttempt->startedAt
                     && *callerAttempt->startedAt - callerAttempt->sentAt > 2s
                 ? 1
                 : 0;
+        }
     }
     std::cout << std::left << std::setw(16) << deployment.name << std::right << std::setw(10)
               << answered << std::setw(10) << refused << std::setw(10) << lost << std::setw(10)
--- a/lib/Balancer/GossipExchange.cpp
+++ b/lib/Balancer/GossipExchange.cpp
@@ -119,10 +119,11 @@
         loads.push_back({entry.target, {entry.running, entry.tokens}});
     m_targetSelector.loads().onDigest(from, std::move(loads), m_context.now);
     WorkspaceShares::RemoteDigest update;
-    for (const WorkspaceFlowEntry &entry : digest.flows)
+    for (const WorkspaceFlowEntry &entry : digest.flows) {
         update.flows.push_back({entry.workspace,
                                 static_cast<double>(entry.requestedTokensPerSecond),
                                 static_cast<double>(entry.admittedTokensPerSecond)});
+    }
     update.servedPerSecond = digest.servedPerSecond;
     update.rejectedPerSecond = digest.rejectedPerSecond;
     m_requests.shares().onDigest(from, std::move(update), m_context.now);
--- a/lib/Balancer/RequestProcessor.cpp
+++ b/lib/Balancer/RequestProcessor.cpp
@@ -165,10 +165,11 @@
     step.choice = *choice;
     std::optional<Refusal> refusal
         = isFirst ? checkAdmission(request, *choice, step) : std::nullopt;
-    if (!refusal && !m_targetSelector.reserve(*choice, *request.service, chain))
+    if (!refusal && !m_targetSelector.reserve(*choice, *request.service, chain)) {
         refusal
             = Refusal {503, "target-cold", "the cold targets have reached their request rate limit",
                        addRetryJitter(noTargetRetryAfter, m_random)};
+    }
     step.isAccepted = !refusal;
     request.trace.add(at, std::move(step));
     if (refusal)
--- a/lib/Chart/StateChartParser.cpp
+++ b/lib/Chart/StateChartParser.cpp
@@ -237,10 +237,11 @@
         const Json::Value &at = root["states"][static_cast<Json::ArrayIndex>(i)];
         if (m_chart.m_final[i] && hasOutgoingTransition(i))
             addError(at, "final state '" + m_chart.m_states[i] + "' has a transition out of it");
-        if (!m_chart.m_final[i] && !hasOutgoingTransition(i))
+        if (!m_chart.m_final[i] && !hasOutgoingTransition(i)) {
             addError(at,
                      "state '" + m_chart.m_states[i]
                          + "' has no transition out of it and is not final");
+        }
     }
 }
 
--- a/test/rig/Journal.cpp
+++ b/test/rig/Journal.cpp
@@ -153,10 +153,11 @@
 
 void Journal::checkStoredResponse(const CallerAttempt &callerAttempt, const std::string &body)
 {
-    if (body != responseText(*callerAttempt.request))
+    if (body != responseText(*callerAttempt.request)) {
         recordViolation("own answer",
                         callerAttempt.id
                             + " received the response that was kept for another operation");
+    }
 }
 
 void Journal::recordViolation(const std::string &invariant, const std::string &description)
