--- a/include/berylridge/Idempotency/KeyRegistry.h
+++ b/include/berylridge/Idempotency/KeyRegistry.h
@@ -114,12 +114,12 @@
     {
         std::uint64_t number = 0;
         RosterId roster = 0;
-        std::vector<NodeRun> witnesses;
+        std::vector<NodeIncarnation> witnesses;
         std::size_t quorum = 0;
-        std::set<NodeRun> yes;
-        std::set<NodeRun> no;
+        std::set<NodeIncarnation> yes;
+        std::set<NodeIncarnation> no;
         /// The run that holds the key according to a witness.
-        std::optional<NodeRun> holder;
+        std::optional<NodeIncarnation> holder;
         TimePoint deadline;
         TimePoint resendAt;
     };
@@ -150,7 +150,7 @@
         Verdict verdict = Verdict::MayHaveRun;
     };
 
-    NodeRun self() const { return {m_options.node, m_options.incarnation}; }
+    NodeIncarnation self() const { return {m_options.node, m_options.incarnation}; }
     void advanceClocks(TimePoint now, WallTime wall);
     std::optional<Refusal> refusalForAge(const ParsedKey &parsedKey) const;
     void handleRepeat(KeyRequestId request, const std::string &key, std::uint64_t bodyHash,
@@ -168,22 +168,22 @@
     bool isCurrent(const std::string &key, const Claim &claim) const;
     void sendClaims(const std::string &key, Held &held, KeyOutput &out);
     void releaseClaim(const std::string &key, const Claim &claim, KeyOutput &out);
-    void countVote(const std::string &key, const NodeRun &from, const VoteResult &result,
+    void countVote(const std::string &key, const NodeIncarnation &from, const VoteResult &result,
                    KeyOutput &out);
     void evaluateClaim(const std::string &key, KeyOutput &out);
     void abandonClaim(const std::string &key, const Refusal &refusal, KeyOutput &out);
     void resendClaims(KeyOutput &out);
     std::optional<Refusal> refusalForClaim(const Claim &claim) const;
 
-    void handle(const NodeRun &from, const KeyClaim &claim, KeyOutput &out);
-    void handle(const NodeRun &from, const KeyVote &vote, KeyOutput &out);
-    void handle(const NodeRun &from, const KeyRelease &release, KeyOutput &out);
-    void handle(const NodeRun &from, const KeyQuery &query, KeyOutput &out);
-    void handle(const NodeRun &from, const KeyState &state, KeyOutput &out);
-    void handle(const NodeRun &from, const RosterUpdate &update, KeyOutput &out);
-    void handle(const NodeRun &from, const RosterProposal &proposal, KeyOutput &out);
-    void handle(const NodeRun &from, const RosterProposalReply &reply, KeyOutput &out);
-    void handle(const NodeRun &from, const RosterDecision &decision, KeyOutput &out);
+    void handle(const NodeIncarnation &from, const KeyClaim &claim, KeyOutput &out);
+    void handle(const NodeIncarnation &from, const KeyVote &vote, KeyOutput &out);
+    void handle(const NodeIncarnation &from, const KeyRelease &release, KeyOutput &out);
+    void handle(const NodeIncarnation &from, const KeyQuery &query, KeyOutput &out);
+    void handle(const NodeIncarnation &from, const KeyState &state, KeyOutput &out);
+    void handle(const NodeIncarnation &from, const RosterUpdate &update, KeyOutput &out);
+    void handle(const NodeIncarnation &from, const RosterProposal &proposal, KeyOutput &out);
+    void handle(const NodeIncarnation &from, const RosterProposalReply &reply, KeyOutput &out);
+    void handle(const NodeIncarnation &from, const RosterDecision &decision, KeyOutput &out);
 
     KeyOptions m_options;
     TimePoint m_now;
--- a/include/berylridge/Idempotency/LivenessView.h
+++ b/include/berylridge/Idempotency/LivenessView.h
@@ -1,5 +1,5 @@
-// What a node knows about the liveness of other nodes, as far as rosters need it: which runs are
-// alive, and which are proven to have terminated.
+// What a node knows about the liveness of other nodes, as far as rosters need it: which
+// nodeIncarnations are alive, and which are proven to have terminated.
 #pragma once
 
 #include "berylridge/Config/Vms.h"
@@ -31,33 +31,36 @@
 class LivenessView
 {
 public:
-    LivenessView(const NodeRun &self, Duration livenessTimeout);
+    LivenessView(const NodeIncarnation &self, Duration livenessTimeout);
 
     /// Sets the time that the queries below refer to.
     void setNow(TimePoint now) { m_now = now; }
-    /// Records a key message from the run. Returns whether the run was not alive before.
-    bool recordMessage(const NodeRun &run);
+    /// Records a key message from the nodeIncarnation. Returns whether the nodeIncarnation was not
+    /// alive before.
+    bool recordMessage(const NodeIncarnation &nodeIncarnation);
     /// Replaces the membership's view. Returns whether anything changed.
     bool setMembers(std::span<const KeyMember> members);
-    /// Records that another node has proof that the run has terminated.
-    void addTerminated(const NodeRun &run);
+    /// Records that another node has proof that the nodeIncarnation has terminated.
+    void addTerminated(const NodeIncarnation &nodeIncarnation);
     /// Ignores a list that is not newer. Returns whether anything changed.
     bool setList(const VmList &list);
 
-    /// Returns whether the run has terminated: a later run of the node has sent a message, its port
-    /// has refused a connection, or no message arrives from it and a VM list newer than the given
-    /// revision omits it.
-    bool isTerminated(const NodeRun &run, std::uint64_t listRevision) const;
+    /// Returns whether the nodeIncarnation has terminated: a later nodeIncarnation of the node has
+    /// sent a message, its port has refused a connection, or no message arrives from it and a VM
+    /// list newer than the given revision omits it.
+    bool isTerminated(const NodeIncarnation &nodeIncarnation, std::uint64_t listRevision) const;
     /// Like isTerminated(), but ignores the VM list, of which other nodes may hold another
     /// revision.
-    bool isProvenTerminated(const NodeRun &run) const;
-    bool isAlive(const NodeRun &run) const;
-    /// Returns the run of the node that is alive now; its incarnation is 0 if there is none.
-    NodeRun aliveRun(const NodeId &node) const;
-    /// Returns whether a listed node has no run that is alive and no proof of its termination.
+    bool isProvenTerminated(const NodeIncarnation &nodeIncarnation) const;
+    bool isAlive(const NodeIncarnation &nodeIncarnation) const;
+    /// Returns the nodeIncarnation of the node that is alive now; its incarnation is 0 if there is
+    /// none.
+    NodeIncarnation aliveIncarnation(const NodeId &node) const;
+    /// Returns whether a listed node has no nodeIncarnation that is alive and no proof of its
+    /// termination.
     bool isUnresponsive(const NodeId &node) const;
-    /// Returns all runs that are alive.
-    std::vector<NodeRun> aliveRuns() const;
+    /// Returns all nodeIncarnations that are alive.
+    std::vector<NodeIncarnation> aliveIncarnations() const;
     bool isLeaving(const NodeId &node) const;
 
     const VmList &list() const { return m_list; }
@@ -73,7 +76,7 @@
     };
 
     Incarnation latestIncarnation(const NodeId &node) const;
-    bool isRunAlive(const NodeId &node, Incarnation incarnation) const;
+    bool isIncarnationAlive(const NodeId &node, Incarnation incarnation) const;
     Duration m_livenessTimeout;
     TimePoint m_now;
     std::map<NodeId, KeyMember> m_members;
--- a/include/berylridge/Idempotency/Roster.h
+++ b/include/berylridge/Idempotency/Roster.h
@@ -18,31 +18,31 @@
 /// A hash of the roster's content; 0 means no roster.
 using RosterId = std::uint64_t;
 
-/// One process run of a node. After a restart the node counts as another member because it has lost
-/// the votes that it gave.
-struct NodeRun
+/// One process nodeIncarnation of a node. After a restart the node counts as another member because
+/// it has lost the votes that it gave.
+struct NodeIncarnation
 {
     NodeId node;
     Incarnation incarnation = 0;
 
     // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 takes the operator for a null pointer
-    auto operator<=>(const NodeRun &) const = default;
-    bool operator==(const NodeRun &) const = default;
+    auto operator<=>(const NodeIncarnation &) const = default;
+    bool operator==(const NodeIncarnation &) const = default;
 };
 
 /// The witnesses of the keys with startsAt < creation time <= startsAt of the next roster.
 struct Roster
 {
     RosterId id = 0;
-    NodeRun proposer;
+    NodeIncarnation proposer;
     std::uint64_t sequence = 0;
     WallTime startsAt;
     bool isActive = false;
-    std::vector<NodeRun> members; ///< Sorted.
+    std::vector<NodeIncarnation> members; ///< Sorted.
     std::uint64_t listRevision = 0;
 
     std::size_t quorum() const { return members.size() / 2 + 1; }
-    bool contains(const NodeRun &run) const;
+    bool contains(const NodeIncarnation &nodeIncarnation) const;
 };
 
 /// Converts the message to a roster and computes its id.
--- a/include/berylridge/Idempotency/RosterCoordinator.h
+++ b/include/berylridge/Idempotency/RosterCoordinator.h
@@ -1,6 +1,6 @@
 // Agrees with other nodes on the next roster. The proposer alone decides on its proposal, once
-// every run that could still vote in the previous rosters has consented or is proven to have
-// terminated.
+// every nodeIncarnation that could still vote in the previous rosters has consented or is proven to
+// have terminated.
 #pragma once
 
 #include "berylridge/Idempotency/KeyOutput.h"
@@ -19,7 +19,7 @@
 
 struct RosterCoordinatorOptions
 {
-    NodeRun self;
+    NodeIncarnation self;
     Duration lifetime {0};
     Duration futureTolerance {0};
     Duration maxClockSkew {0};
@@ -27,7 +27,7 @@
     Duration consentTimeout {0};
     /// How long the set of members must be unchanged before a proposal.
     Duration membershipStablePeriod {0};
-    /// How long a run counts as alive after its last message.
+    /// How long a nodeIncarnation counts as alive after its last message.
     Duration livenessTimeout {0};
     Duration gossipPeriod = std::chrono::seconds(1);
     Duration resendPeriod {0};
@@ -44,15 +44,15 @@
 
     /// Records that a message arrived. Must be called for each message before the message is
     /// handled.
-    void onMessageFrom(const NodeRun &from, TimePoint now, KeyOutput &out);
+    void onMessageFrom(const NodeIncarnation &from, TimePoint now, KeyOutput &out);
     void onMembers(std::span<const KeyMember> members, TimePoint now, KeyOutput &out);
     void onVmList(const VmList &list, TimePoint now);
-    void onProposal(const NodeRun &from, const RosterProposal &proposal, TimePoint now,
+    void onProposal(const NodeIncarnation &from, const RosterProposal &proposal, TimePoint now,
                     WallTime wall, KeyOutput &out);
-    void onProposalReply(const NodeRun &from, const RosterProposalReply &reply, TimePoint now,
-                         KeyOutput &out);
-    void onDecision(const NodeRun &from, const RosterDecision &decision);
-    void onRosterUpdate(const NodeRun &from, const RosterUpdate &update, KeyOutput &out);
+    void onProposalReply(const NodeIncarnation &from, const RosterProposalReply &reply,
+                         TimePoint now, KeyOutput &out);
+    void onDecision(const NodeIncarnation &from, const RosterDecision &decision);
+    void onRosterUpdate(const NodeIncarnation &from, const RosterUpdate &update, KeyOutput &out);
     void tick(TimePoint now, WallTime wall, KeyOutput &out);
     TimePoint nextTimer() const;
 
@@ -66,26 +66,28 @@
     {
         Roster roster;
         std::vector<RosterId> baseRosters;
-        std::set<NodeRun> recipients;
-        std::set<NodeRun> consented;
+        std::set<NodeIncarnation> recipients;
+        std::set<NodeIncarnation> consented;
         TimePoint deadline;
         TimePoint resendAt;
     };
 
-    std::vector<NodeRun> candidates(bool onlyAlive) const;
-    std::vector<NodeRun> wantedMembers() const { return candidates(true); }
-    bool isChangeWanted(const std::vector<NodeRun> &wanted) const;
+    std::vector<NodeIncarnation> candidates(bool onlyAlive) const;
+    std::vector<NodeIncarnation> wantedMembers() const { return candidates(true); }
+    bool isChangeWanted(const std::vector<NodeIncarnation> &wanted) const;
     bool isProposer() const;
     bool hasSuccessionRight() const;
-    std::optional<std::set<NodeRun>> proposalRecipients(const std::vector<NodeRun> &wanted) const;
-    bool addListedRecipients(std::set<NodeRun> &runs) const;
+    std::optional<std::set<NodeIncarnation>> proposalRecipients(
+        const std::vector<NodeIncarnation> &wanted) const;
+    bool addListedRecipients(std::set<NodeIncarnation> &nodeIncarnations) const;
     void propose(TimePoint now, WallTime wall, KeyOutput &out);
     void sendProposal(TimePoint now, KeyOutput &out);
     void tryToDecide(TimePoint now, KeyOutput &out);
     void activate(KeyOutput &out);
     void abandonProposal(TimePoint now, KeyOutput &out);
     bool hasAllConsents() const;
-    bool includesMemberOf(const Roster &roster, const std::set<NodeRun> &runs) const;
+    bool includesMemberOf(const Roster &roster,
+                          const std::set<NodeIncarnation> &nodeIncarnations) const;
     bool consent(const Roster &roster, std::span<const RosterId> baseRosters, WallTime wall);
     std::vector<RosterMemberMessage> terminatedMembers() const;
     void sendGossip(TimePoint now, KeyOutput &out);
@@ -95,7 +97,7 @@
     LivenessView m_view;
     RosterChain m_chain;
     std::optional<Proposal> m_proposal;
-    std::set<RosterId> m_activated; ///< The proposals of this run that became active.
+    std::set<RosterId> m_activated; ///< The proposals of this nodeIncarnation that became active.
     std::uint64_t m_sequence = 0;
     TimePoint m_nextProposalAt;
     TimePoint m_nextGossipAt;
--- a/include/berylridge/Idempotency/Witness.h
+++ b/include/berylridge/Idempotency/Witness.h
@@ -36,7 +36,7 @@
 /// The content of a claim that a witness received.
 struct ReceivedClaim
 {
-    NodeRun claimant;
+    NodeIncarnation claimant;
     RosterId roster = 0;
     std::uint64_t claim = 0;
 };
@@ -44,7 +44,7 @@
 struct VoteResult
 {
     Vote vote = Vote::Abstain;
-    NodeRun holder; ///< Set if the vote is Held.
+    NodeIncarnation holder; ///< Set if the vote is Held.
 };
 
 /// The roster id in claims for issued keys. The issuer is the only witness of such a key.
@@ -53,14 +53,14 @@
 class Witness
 {
 public:
-    Witness(NodeRun self, KeyTimeLimits limits, std::size_t maxRecords);
+    Witness(NodeIncarnation self, KeyTimeLimits limits, std::size_t maxRecords);
 
     /// Votes on a claim. The wall-clock time must not decrease between calls.
     VoteResult vote(const std::string &key, const ReceivedClaim &claim, const RosterChain &chain,
                     WallTime wall);
     /// Drops the claimant's record. The claimant has not run the key under any of its claims up to
     /// this one.
-    void release(const std::string &key, const NodeRun &claimant, std::uint64_t claim);
+    void release(const std::string &key, const NodeIncarnation &claimant, std::uint64_t claim);
 
     /// Creates a key that only this run admits.
     std::string issueKey(WallTime wall);
@@ -74,7 +74,7 @@
 private:
     struct Record
     {
-        NodeRun holder;
+        NodeIncarnation holder;
         std::uint64_t claim = 0;
         WallTime expiresAt;
     };
@@ -86,7 +86,7 @@
     Vote memberEligibility(const Roster *roster, RosterId claimedRoster) const;
     WallTime expiryOf(const ParsedKey &parsedKey, WallTime wall) const;
 
-    NodeRun m_self;
+    NodeIncarnation m_self;
     KeyTimeLimits m_limits;
     std::size_t m_maxRecords;
     std::uint64_t m_issuedCount = 0;
--- a/lib/Idempotency/KeyClaims.cpp
+++ b/lib/Idempotency/KeyClaims.cpp
@@ -39,10 +39,11 @@
     claim.roster = roster->id;
     claim.witnesses = roster->members;
     claim.quorum = roster->quorum();
-    const auto reachable
-        = std::count_if(claim.witnesses.begin(), claim.witnesses.end(), [&](const NodeRun &run) {
-              return run == self() || m_rosterCoordinator.view().isAlive(run);
-          });
+    const auto reachable = std::count_if(
+        claim.witnesses.begin(), claim.witnesses.end(),
+        [&](const NodeIncarnation &nodeIncarnation) {
+            return nodeIncarnation == self() || m_rosterCoordinator.view().isAlive(nodeIncarnation);
+        });
     if (static_cast<std::size_t>(reachable) < claim.quorum)
         return Refusal {503, "witnesses-unreachable", "too few witnesses can be reached",
                         defaultRetryAfter};
@@ -80,7 +81,7 @@
     claim.no.clear();
     const std::uint64_t number = claim.number;
     bool isSelfWitness = false;
-    for (const NodeRun &witness : claim.witnesses) {
+    for (const NodeIncarnation &witness : claim.witnesses) {
         if (witness == self())
             isSelfWitness = true;
         else if (!claim.yes.contains(witness))
@@ -97,14 +98,14 @@
 void KeyRegistry::releaseClaim(const std::string &key, const Claim &claim, KeyOutput &out)
 {
     m_witness.release(key, self(), claim.number);
-    for (const NodeRun &witness : claim.witnesses) {
+    for (const NodeIncarnation &witness : claim.witnesses) {
         if (witness != self())
             out.sends.push_back({witness.node, KeyRelease {key, claim.number}});
     }
 }
 
-void KeyRegistry::countVote(const std::string &key, const NodeRun &from, const VoteResult &result,
-                            KeyOutput &out)
+void KeyRegistry::countVote(const std::string &key, const NodeIncarnation &from,
+                            const VoteResult &result, KeyOutput &out)
 {
     Claim &claim = *m_heldKeys.at(key).claim;
     switch (result.vote) {
@@ -188,7 +189,7 @@
     }
 }
 
-void KeyRegistry::handle(const NodeRun &from, const KeyClaim &claim, KeyOutput &out)
+void KeyRegistry::handle(const NodeIncarnation &from, const KeyClaim &claim, KeyOutput &out)
 {
     const VoteResult result = m_witness.vote(claim.key, {from, claim.roster, claim.claim},
                                              m_rosterCoordinator.chain(), m_wall);
@@ -202,7 +203,7 @@
                   result.holder.node.str(), result.holder.incarnation, from.incarnation}});
 }
 
-void KeyRegistry::handle(const NodeRun &from, const KeyVote &vote, KeyOutput &out)
+void KeyRegistry::handle(const NodeIncarnation &from, const KeyVote &vote, KeyOutput &out)
 {
     const auto it = m_heldKeys.find(vote.key);
     if (it == m_heldKeys.end() || it->second.phase != KeyPhase::Claiming)
@@ -210,8 +211,8 @@
     const Claim &claim = *it->second.claim;
     const bool isWitness
         = std::find(claim.witnesses.begin(), claim.witnesses.end(), from) != claim.witnesses.end();
-    // Ignores a vote for an earlier run of this node. That run may have dispatched the key, and the
-    // witness recorded the key for that run only.
+    // Ignores a vote for an earlier nodeIncarnation of this node. That nodeIncarnation may have
+    // dispatched the key, and the witness recorded the key for that nodeIncarnation only.
     if (vote.requesterIncarnation != m_options.incarnation)
         return;
     // Ignores votes for another roster or an earlier claim, and votes of a witness that has
@@ -222,13 +223,13 @@
               {static_cast<Vote>(vote.vote), {NodeId(vote.holder), vote.holderIncarnation}}, out);
 }
 
-void KeyRegistry::handle(const NodeRun &from, const KeyRelease &release, KeyOutput &out)
+void KeyRegistry::handle(const NodeIncarnation &from, const KeyRelease &release, KeyOutput &out)
 {
     static_cast<void>(out);
     m_witness.release(release.key, from, release.claim);
 }
 
-void KeyRegistry::handle(const NodeRun &from, const KeyQuery &query, KeyOutput &out)
+void KeyRegistry::handle(const NodeIncarnation &from, const KeyQuery &query, KeyOutput &out)
 {
     KeyState state;
     state.key = query.key;
@@ -247,9 +248,9 @@
             state.state = static_cast<std::uint8_t>(KeyPhase::Failed);
         state.bodyHash = held.bodyHash;
     } else {
-        // The witness still has the record of a claim that this run abandoned: the release was lost
-        // or arrived before the claim. Without another release the key would be refused for the
-        // rest of its lifetime.
+        // The witness still has the record of a claim that this nodeIncarnation abandoned: the
+        // release was lost or arrived before the claim. Without another release the key would be
+        // refused for the rest of its lifetime.
         Claim claim;
         claim.number = m_claimCount;
         static_cast<void>(chooseWitnesses(parseKey(query.key), claim));
@@ -258,7 +259,7 @@
     out.sends.push_back({from.node, std::move(state)});
 }
 
-void KeyRegistry::handle(const NodeRun &from, const KeyState &state, KeyOutput &out)
+void KeyRegistry::handle(const NodeIncarnation &from, const KeyState &state, KeyOutput &out)
 {
     const auto it = m_heldKeys.find(state.key);
     if (it == m_heldKeys.end() || it->second.phase != KeyPhase::Claiming)
@@ -293,22 +294,25 @@
     }
 }
 
-void KeyRegistry::handle(const NodeRun &from, const RosterUpdate &update, KeyOutput &out)
+void KeyRegistry::handle(const NodeIncarnation &from, const RosterUpdate &update, KeyOutput &out)
 {
     m_rosterCoordinator.onRosterUpdate(from, update, out);
 }
 
-void KeyRegistry::handle(const NodeRun &from, const RosterProposal &proposal, KeyOutput &out)
+void KeyRegistry::handle(const NodeIncarnation &from, const RosterProposal &proposal,
+                         KeyOutput &out)
 {
     m_rosterCoordinator.onProposal(from, proposal, m_now, m_wall, out);
 }
 
-void KeyRegistry::handle(const NodeRun &from, const RosterProposalReply &reply, KeyOutput &out)
+void KeyRegistry::handle(const NodeIncarnation &from, const RosterProposalReply &reply,
+                         KeyOutput &out)
 {
     m_rosterCoordinator.onProposalReply(from, reply, m_now, out);
 }
 
-void KeyRegistry::handle(const NodeRun &from, const RosterDecision &decision, KeyOutput &out)
+void KeyRegistry::handle(const NodeIncarnation &from, const RosterDecision &decision,
+                         KeyOutput &out)
 {
     static_cast<void>(out);
     m_rosterCoordinator.onDecision(from, decision);
--- a/lib/Idempotency/KeyRegistry.cpp
+++ b/lib/Idempotency/KeyRegistry.cpp
@@ -92,7 +92,8 @@
         return;
     }
     if (m_heldKeys.size() >= m_options.maxKeys) {
-        // Evicting an old key instead would let a repeated request run its operation again.
+        // Evicting an old key instead would let a repeated request nodeIncarnation its operation
+        // again.
         refuse(request, key,
                {503, "too-many-keys", "no capacity for another key", defaultRetryAfter}, out);
         return;
@@ -139,8 +140,8 @@
     const auto margin
         = 2 * milliseconds(m_options.maxClockSkew) + milliseconds(m_options.futureTolerance);
     // When another node queries a key that this node does not hold, this node replies that it has
-    // not run the key. It must therefore remember a key until the key is expired by every other
-    // clock in the fleet.
+    // not nodeIncarnation the key. It must therefore remember a key until the key is expired by
+    // every other clock in the fleet.
     if (parsedKey.kind == KeyKind::Opaque)
         return m_wall + 2 * lifetime + margin;
     return parsedKey.createdAt + lifetime + margin;
@@ -185,7 +186,8 @@
     const auto it = m_heldKeys.find(key);
     if (it == m_heldKeys.end() || it->second.phase > KeyPhase::Admitted)
         return Verdict::MayHaveRun;
-    // Before a quorum has voted for this node, another router may hold the key and have run it.
+    // Before a quorum has voted for this node, another router may hold the key and have
+    // nodeIncarnation it.
     const bool isHolder = it->second.phase == KeyPhase::Admitted;
     if (it->second.claim)
         releaseClaim(key, *it->second.claim, out);
@@ -216,7 +218,7 @@
     held.body = std::move(body);
     m_storedResponseKeys.push_back(key);
     while (m_storedResponseBytes > m_options.maxStoredResponseBytes) {
-        // Drops only the response; the fact that the key was run is retained.
+        // Drops only the response; the fact that the key was nodeIncarnation is retained.
         const auto oldest = m_heldKeys.find(m_storedResponseKeys.front());
         m_storedResponseKeys.pop_front();
         if (oldest == m_heldKeys.end() || !oldest->second.body)
@@ -264,9 +266,9 @@
                             TimePoint now, WallTime wall, KeyOutput &out)
 {
     advanceClocks(now, wall);
-    const NodeRun run {from, incarnation};
-    m_rosterCoordinator.onMessageFrom(run, m_now, out);
-    std::visit([&](const auto &body) { handle(run, body, out); }, message);
+    const NodeIncarnation nodeIncarnation {from, incarnation};
+    m_rosterCoordinator.onMessageFrom(nodeIncarnation, m_now, out);
+    std::visit([&](const auto &body) { handle(nodeIncarnation, body, out); }, message);
 }
 
 void KeyRegistry::onMembers(std::span<const KeyMember> members, TimePoint now, WallTime wall,
@@ -318,10 +320,10 @@
             continue;
         text += '#' + std::to_string(held.claim->number) + '@' + std::to_string(held.claim->roster);
         text += '!' + std::to_string(held.claim->deadline.time_since_epoch().count());
-        for (const NodeRun &run : held.claim->yes)
-            text += " +" + run.node.str() + std::to_string(run.incarnation);
-        for (const NodeRun &run : held.claim->no)
-            text += " -" + run.node.str() + std::to_string(run.incarnation);
+        for (const NodeIncarnation &nodeIncarnation : held.claim->yes)
+            text += " +" + nodeIncarnation.node.str() + std::to_string(nodeIncarnation.incarnation);
+        for (const NodeIncarnation &nodeIncarnation : held.claim->no)
+            text += " -" + nodeIncarnation.node.str() + std::to_string(nodeIncarnation.incarnation);
         if (held.claim->holder)
             text += " ?" + held.claim->holder->node.str();
     }
--- a/lib/Idempotency/LivenessView.cpp
+++ b/lib/Idempotency/LivenessView.cpp
@@ -15,10 +15,11 @@
 
 } // namespace
 
-LivenessView::LivenessView(const NodeRun &self, Duration livenessTimeout)
+LivenessView::LivenessView(const NodeIncarnation &self, Duration livenessTimeout)
     : m_livenessTimeout(livenessTimeout)
 {
-    // The start of this run proves that the node's earlier runs have terminated.
+    // The start of this nodeIncarnation proves that the node's earlier nodeIncarnations have
+    // terminated.
     if (self.incarnation != 0)
         m_terminatedUpTo[self.node] = self.incarnation - 1;
 }
@@ -43,10 +44,10 @@
     return isChanged;
 }
 
-void LivenessView::addTerminated(const NodeRun &run)
+void LivenessView::addTerminated(const NodeIncarnation &nodeIncarnation)
 {
-    Incarnation &terminatedUpTo = m_terminatedUpTo[run.node];
-    terminatedUpTo = std::max(terminatedUpTo, run.incarnation);
+    Incarnation &terminatedUpTo = m_terminatedUpTo[nodeIncarnation.node];
+    terminatedUpTo = std::max(terminatedUpTo, nodeIncarnation.incarnation);
 }
 
 bool LivenessView::setList(const VmList &list)
@@ -57,14 +58,15 @@
     return true;
 }
 
-bool LivenessView::recordMessage(const NodeRun &run)
+bool LivenessView::recordMessage(const NodeIncarnation &nodeIncarnation)
 {
-    if (run.incarnation < latestIncarnation(run.node) || isProvenTerminated(run))
-        return false; // A delayed datagram of a run that has terminated.
-    const bool isNew = aliveRun(run.node) != run;
-    m_lastMessages[run.node] = {run.incarnation, m_now};
-    Incarnation &terminatedUpTo = m_terminatedUpTo[run.node];
-    terminatedUpTo = std::max(terminatedUpTo, run.incarnation - 1);
+    if (nodeIncarnation.incarnation < latestIncarnation(nodeIncarnation.node)
+        || isProvenTerminated(nodeIncarnation))
+        return false; // A delayed datagram of a nodeIncarnation that has terminated.
+    const bool isNew = aliveIncarnation(nodeIncarnation.node) != nodeIncarnation;
+    m_lastMessages[nodeIncarnation.node] = {nodeIncarnation.incarnation, m_now};
+    Incarnation &terminatedUpTo = m_terminatedUpTo[nodeIncarnation.node];
+    terminatedUpTo = std::max(terminatedUpTo, nodeIncarnation.incarnation - 1);
     return isNew;
 }
 
@@ -78,7 +80,7 @@
     return latest;
 }
 
-bool LivenessView::isRunAlive(const NodeId &node, Incarnation incarnation) const
+bool LivenessView::isIncarnationAlive(const NodeId &node, Incarnation incarnation) const
 {
     const auto member = m_members.find(node);
     if (member != m_members.end() && member->second.incarnation == incarnation
@@ -90,34 +92,37 @@
         && m_now - lastMessage->second.at < m_livenessTimeout;
 }
 
-bool LivenessView::isProvenTerminated(const NodeRun &run) const
+bool LivenessView::isProvenTerminated(const NodeIncarnation &nodeIncarnation) const
 {
-    const auto proven = m_terminatedUpTo.find(run.node);
-    return proven != m_terminatedUpTo.end() && run.incarnation <= proven->second;
+    const auto proven = m_terminatedUpTo.find(nodeIncarnation.node);
+    return proven != m_terminatedUpTo.end() && nodeIncarnation.incarnation <= proven->second;
 }
 
-bool LivenessView::isTerminated(const NodeRun &run, std::uint64_t listRevision) const
+bool LivenessView::isTerminated(const NodeIncarnation &nodeIncarnation,
+                                std::uint64_t listRevision) const
 {
-    if (isProvenTerminated(run))
+    if (isProvenTerminated(nodeIncarnation))
         return true;
-    return m_list.revision > listRevision && !listed(run.node) && !isAlive(run);
+    return m_list.revision > listRevision && !listed(nodeIncarnation.node)
+        && !isAlive(nodeIncarnation);
 }
 
-bool LivenessView::isAlive(const NodeRun &run) const
+bool LivenessView::isAlive(const NodeIncarnation &nodeIncarnation) const
 {
-    return run.incarnation != 0 && aliveRun(run.node) == run;
+    return nodeIncarnation.incarnation != 0
+        && aliveIncarnation(nodeIncarnation.node) == nodeIncarnation;
 }
 
-NodeRun LivenessView::aliveRun(const NodeId &node) const
+NodeIncarnation LivenessView::aliveIncarnation(const NodeId &node) const
 {
     const Incarnation latest = latestIncarnation(node);
-    const bool isAlive = isRunAlive(node, latest) && !isProvenTerminated({node, latest});
+    const bool isAlive = isIncarnationAlive(node, latest) && !isProvenTerminated({node, latest});
     return {node, isAlive ? latest : 0};
 }
 
 bool LivenessView::isUnresponsive(const NodeId &node) const
 {
-    if (aliveRun(node).incarnation != 0)
+    if (aliveIncarnation(node).incarnation != 0)
         return false;
     const Incarnation latest = latestIncarnation(node);
     if (latest != 0)
@@ -126,15 +131,17 @@
     return it == m_members.end() || !it->second.isTerminated;
 }
 
-std::vector<NodeRun> LivenessView::aliveRuns() const
+std::vector<NodeIncarnation> LivenessView::aliveIncarnations() const
 {
-    std::set<NodeRun> runs;
+    std::set<NodeIncarnation> nodeIncarnations;
     for (const auto &[node, member] : m_members)
-        runs.insert(aliveRun(node));
+        nodeIncarnations.insert(aliveIncarnation(node));
     for (const auto &[node, lastMessage] : m_lastMessages)
-        runs.insert(aliveRun(node));
-    std::erase_if(runs, [](const NodeRun &run) { return run.incarnation == 0; });
-    return {runs.begin(), runs.end()};
+        nodeIncarnations.insert(aliveIncarnation(node));
+    std::erase_if(nodeIncarnations, [](const NodeIncarnation &nodeIncarnation) {
+        return nodeIncarnation.incarnation == 0;
+    });
+    return {nodeIncarnations.begin(), nodeIncarnations.end()};
 }
 
 bool LivenessView::isLeaving(const NodeId &node) const
@@ -158,8 +165,8 @@
         text += node.str() + std::to_string(member.incarnation) + (member.isAlive ? 'h' : '-')
             + (member.isTerminated ? 'g' : '-') + ' ';
     }
-    for (const NodeRun &run : aliveRuns())
-        text += run.node.str() + std::to_string(run.incarnation) + ' ';
+    for (const NodeIncarnation &nodeIncarnation : aliveIncarnations())
+        text += nodeIncarnation.node.str() + std::to_string(nodeIncarnation.incarnation) + ' ';
     for (const auto &[node, incarnation] : m_terminatedUpTo)
         text += node.str() + std::to_string(incarnation) + ' ';
     return text;
--- a/lib/Idempotency/Roster.cpp
+++ b/lib/Idempotency/Roster.cpp
@@ -18,16 +18,16 @@
     std::string text = roster.proposer.node.str() + ' '
         + std::to_string(roster.proposer.incarnation) + ' ' + std::to_string(roster.sequence) + ' '
         + std::to_string(roster.startsAt.time_since_epoch().count());
-    for (const NodeRun &member : roster.members)
+    for (const NodeIncarnation &member : roster.members)
         text += ' ' + member.node.str() + ' ' + std::to_string(member.incarnation);
     return hash64(text) | 1; // Avoids 0, which means no roster.
 }
 
 } // namespace
 
-bool Roster::contains(const NodeRun &run) const
+bool Roster::contains(const NodeIncarnation &nodeIncarnation) const
 {
-    return std::binary_search(members.begin(), members.end(), run);
+    return std::binary_search(members.begin(), members.end(), nodeIncarnation);
 }
 
 Roster makeRoster(const RosterMessage &message)
@@ -54,7 +54,7 @@
     message.startsAt = roster.startsAt.time_since_epoch().count();
     message.isActive = roster.isActive;
     message.listRevision = roster.listRevision;
-    for (const NodeRun &member : roster.members)
+    for (const NodeIncarnation &member : roster.members)
         message.members.push_back({member.node.str(), member.incarnation});
     return message;
 }
--- a/lib/Idempotency/RosterCoordinator.cpp
+++ b/lib/Idempotency/RosterCoordinator.cpp
@@ -28,7 +28,7 @@
 {
 }
 
-void RosterCoordinator::onMessageFrom(const NodeRun &from, TimePoint now, KeyOutput &out)
+void RosterCoordinator::onMessageFrom(const NodeIncarnation &from, TimePoint now, KeyOutput &out)
 {
     m_view.setNow(now);
     if (!m_view.recordMessage(from))
@@ -40,13 +40,13 @@
 void RosterCoordinator::onMembers(std::span<const KeyMember> members, TimePoint now, KeyOutput &out)
 {
     m_view.setNow(now);
-    const std::vector<NodeRun> before = m_view.aliveRuns();
+    const std::vector<NodeIncarnation> before = m_view.aliveIncarnations();
     if (!m_view.setMembers(members))
         return;
     m_nextProposalAt = now + m_options.membershipStablePeriod;
-    for (const NodeRun &run : m_view.aliveRuns()) {
-        if (!std::binary_search(before.begin(), before.end(), run))
-            sendRosterUpdate(run.node, out);
+    for (const NodeIncarnation &nodeIncarnation : m_view.aliveIncarnations()) {
+        if (!std::binary_search(before.begin(), before.end(), nodeIncarnation))
+            sendRosterUpdate(nodeIncarnation.node, out);
     }
 }
 
@@ -59,28 +59,30 @@
     }
 }
 
-std::vector<NodeRun> RosterCoordinator::candidates(bool onlyAlive) const
+std::vector<NodeIncarnation> RosterCoordinator::candidates(bool onlyAlive) const
 {
     // Picks nodes from the zones in turn, so that the loss of a zone removes as few witnesses as
     // possible.
-    std::map<ZoneId, std::vector<std::pair<std::uint64_t, NodeRun>>> zones;
+    std::map<ZoneId, std::vector<std::pair<std::uint64_t, NodeIncarnation>>> zones;
     for (const VmEntry &entry : m_view.list().vms) {
         const bool isSelf = entry.node == m_options.self.node;
-        const NodeRun run = isSelf ? m_options.self : m_view.aliveRun(entry.node);
-        if (onlyAlive && (run.incarnation == 0 || m_view.isLeaving(entry.node)))
+        const NodeIncarnation nodeIncarnation
+            = isSelf ? m_options.self : m_view.aliveIncarnation(entry.node);
+        if (onlyAlive && (nodeIncarnation.incarnation == 0 || m_view.isLeaving(entry.node)))
             continue;
-        zones[entry.zone].emplace_back(rendezvousWeight("roster", entry.node.str()), run);
+        zones[entry.zone].emplace_back(rendezvousWeight("roster", entry.node.str()),
+                                       nodeIncarnation);
     }
-    for (auto &[zone, runs] : zones)
-        std::sort(runs.begin(), runs.end());
-    std::vector<NodeRun> wanted;
+    for (auto &[zone, nodeIncarnations] : zones)
+        std::sort(nodeIncarnations.begin(), nodeIncarnations.end());
+    std::vector<NodeIncarnation> wanted;
     for (bool isAnyAdded = true; isAnyAdded && wanted.size() < m_options.maxRosterMembers;) {
         isAnyAdded = false;
-        for (auto &[zone, runs] : zones) {
-            if (runs.empty() || wanted.size() >= m_options.maxRosterMembers)
+        for (auto &[zone, nodeIncarnations] : zones) {
+            if (nodeIncarnations.empty() || wanted.size() >= m_options.maxRosterMembers)
                 continue;
-            wanted.push_back(runs.back().second);
-            runs.pop_back();
+            wanted.push_back(nodeIncarnations.back().second);
+            nodeIncarnations.pop_back();
             isAnyAdded = true;
         }
     }
@@ -88,7 +90,7 @@
     return wanted;
 }
 
-bool RosterCoordinator::isChangeWanted(const std::vector<NodeRun> &wanted) const
+bool RosterCoordinator::isChangeWanted(const std::vector<NodeIncarnation> &wanted) const
 {
     if (wanted.empty())
         return false;
@@ -102,20 +104,22 @@
 {
     // Any node may propose safely. Only the node with the lowest name does, so that proposals
     // rarely conflict.
-    const auto alive = m_view.aliveRuns();
-    return std::all_of(alive.begin(), alive.end(), [&](const NodeRun &run) {
-        return m_options.self.node <= run.node || m_view.isLeaving(run.node)
-            || !m_view.listed(run.node);
+    const auto alive = m_view.aliveIncarnations();
+    return std::all_of(alive.begin(), alive.end(), [&](const NodeIncarnation &nodeIncarnation) {
+        return m_options.self.node <= nodeIncarnation.node || m_view.isLeaving(nodeIncarnation.node)
+            || !m_view.listed(nodeIncarnation.node);
     });
 }
 
-bool RosterCoordinator::includesMemberOf(const Roster &roster, const std::set<NodeRun> &runs) const
+bool RosterCoordinator::includesMemberOf(const Roster &roster,
+                                         const std::set<NodeIncarnation> &nodeIncarnations) const
 {
-    return std::any_of(roster.members.begin(), roster.members.end(),
-                       [&](const NodeRun &member) { return runs.contains(member); });
+    return std::any_of(
+        roster.members.begin(), roster.members.end(),
+        [&](const NodeIncarnation &member) { return nodeIncarnations.contains(member); });
 }
 
-bool RosterCoordinator::addListedRecipients(std::set<NodeRun> &runs) const
+bool RosterCoordinator::addListedRecipients(std::set<NodeIncarnation> &nodeIncarnations) const
 {
     // A list that does not name this node is older than this node, and may omit all members of a
     // current roster.
@@ -124,45 +128,47 @@
     std::size_t listed = 0;
     for (const VmEntry &entry : m_view.list().vms) {
         const bool isSelf = entry.node == m_options.self.node;
-        const NodeRun run = isSelf ? m_options.self : m_view.aliveRun(entry.node);
-        if (run.incarnation != 0) {
-            runs.insert(run);
+        const NodeIncarnation nodeIncarnation
+            = isSelf ? m_options.self : m_view.aliveIncarnation(entry.node);
+        if (nodeIncarnation.incarnation != 0) {
+            nodeIncarnations.insert(nodeIncarnation);
             ++listed;
         } else if (m_view.isUnresponsive(entry.node)) {
             return false; // The node may be a member of a roster that no node here knows.
         }
     }
-    for (const NodeRun &run : m_view.aliveRuns())
-        runs.insert(run);
+    for (const NodeIncarnation &nodeIncarnation : m_view.aliveIncarnations())
+        nodeIncarnations.insert(nodeIncarnation);
     return listed > m_view.list().vms.size() / 2;
 }
 
-std::optional<std::set<NodeRun>> RosterCoordinator::proposalRecipients(
-    const std::vector<NodeRun> &wanted) const
+std::optional<std::set<NodeIncarnation>> RosterCoordinator::proposalRecipients(
+    const std::vector<NodeIncarnation> &wanted) const
 {
-    std::set<NodeRun> runs(wanted.begin(), wanted.end());
-    runs.insert(m_options.self);
+    std::set<NodeIncarnation> nodeIncarnations(wanted.begin(), wanted.end());
+    nodeIncarnations.insert(m_options.self);
     for (const Roster &roster : m_chain.live()) {
-        for (const NodeRun &member : roster.members) {
+        for (const NodeIncarnation &member : roster.members) {
             if (member != m_options.self && m_view.isTerminated(member, roster.listRevision))
                 continue;
             // An unresponsive member may still vote, and may have consented to a roster that no
             // node here knows.
             if (member != m_options.self && !m_view.isAlive(member))
                 return std::nullopt;
-            runs.insert(member);
+            nodeIncarnations.insert(member);
         }
     }
     const auto live = m_chain.live();
-    const bool hasMemberOfEachRoster = !live.empty()
-        && std::all_of(live.begin(), live.end(),
-                       [&](const Roster &roster) { return includesMemberOf(roster, runs); });
+    const bool hasMemberOfEachRoster
+        = !live.empty() && std::all_of(live.begin(), live.end(), [&](const Roster &roster) {
+              return includesMemberOf(roster, nodeIncarnations);
+          });
     // If no member of a known roster remains, its members may have agreed on another roster before
     // they terminated. The members of that roster are in the VM list or alive, so all of these
     // nodes are asked for consent.
-    if (!hasMemberOfEachRoster && !addListedRecipients(runs))
+    if (!hasMemberOfEachRoster && !addListedRecipients(nodeIncarnations))
         return std::nullopt;
-    return runs;
+    return nodeIncarnations;
 }
 
 std::chrono::milliseconds RosterCoordinator::minStartDelay() const
@@ -183,7 +189,7 @@
     proposal.roster.sequence = ++m_sequence;
     // A member that has terminated has voted only for keys created up to its own clock plus the
     // tolerance, and two clocks differ by at most two skews. The consent timeout is added for the
-    // runs that are asked for consent.
+    // nodeIncarnations that are asked for consent.
     proposal.roster.startsAt = wall + minStartDelay() + milliseconds(m_options.consentTimeout);
     proposal.roster.listRevision = m_view.list().revision;
     proposal.roster.members = wanted;
@@ -202,10 +208,10 @@
 
 void RosterCoordinator::sendProposal(TimePoint now, KeyOutput &out)
 {
-    for (const NodeRun &run : m_proposal->recipients) {
-        if (!m_proposal->consented.contains(run)) {
+    for (const NodeIncarnation &nodeIncarnation : m_proposal->recipients) {
+        if (!m_proposal->consented.contains(nodeIncarnation)) {
             out.sends.push_back(
-                {run.node,
+                {nodeIncarnation.node,
                  RosterProposal {rosterMessage(m_proposal->roster), m_proposal->baseRosters}});
         }
     }
@@ -217,9 +223,9 @@
 {
     if (m_chain.find(roster.id))
         return true;
-    // This run may have voted for any key created up to its clock plus the tolerance. Those keys
-    // must remain with the roster in which it voted because the members of the new roster do not
-    // know them.
+    // This nodeIncarnation may have voted for any key created up to its clock plus the tolerance.
+    // Those keys must remain with the roster in which it voted because the members of the new
+    // roster do not know them.
     if (roster.startsAt <= wall + milliseconds(m_options.futureTolerance))
         return false;
     const auto all = m_chain.all();
@@ -234,7 +240,7 @@
     return m_chain.add(roster);
 }
 
-void RosterCoordinator::onProposal(const NodeRun &from, const RosterProposal &proposal,
+void RosterCoordinator::onProposal(const NodeIncarnation &from, const RosterProposal &proposal,
                                    TimePoint now, WallTime wall, KeyOutput &out)
 {
     Roster roster = makeRoster(proposal.roster);
@@ -258,8 +264,9 @@
     out.sends.push_back({from.node, std::move(reply)});
 }
 
-void RosterCoordinator::onProposalReply(const NodeRun &from, const RosterProposalReply &reply,
-                                        TimePoint now, KeyOutput &out)
+void RosterCoordinator::onProposalReply(const NodeIncarnation &from,
+                                        const RosterProposalReply &reply, TimePoint now,
+                                        KeyOutput &out)
 {
     const bool isCurrentProposal = m_proposal && m_proposal->roster.id == reply.roster;
     if (!isCurrentProposal)
@@ -279,12 +286,14 @@
 bool RosterCoordinator::hasAllConsents() const
 {
     const auto &proposal = *m_proposal;
-    for (const NodeRun &run : proposal.roster.members) {
-        if (!proposal.consented.contains(run))
+    for (const NodeIncarnation &nodeIncarnation : proposal.roster.members) {
+        if (!proposal.consented.contains(nodeIncarnation))
             return false;
     }
     return std::all_of(proposal.recipients.begin(), proposal.recipients.end(),
-                       [&](const NodeRun &run) { return proposal.consented.contains(run); });
+                       [&](const NodeIncarnation &nodeIncarnation) {
+                           return proposal.consented.contains(nodeIncarnation);
+                       });
 }
 
 void RosterCoordinator::tryToDecide(TimePoint now, KeyOutput &out)
@@ -303,24 +312,25 @@
     roster.isActive = true;
     m_chain.add(roster);
     m_activated.insert(roster.id);
-    for (const NodeRun &run : m_proposal->recipients)
-        out.sends.push_back({run.node, RosterDecision {roster.id, true}});
+    for (const NodeIncarnation &nodeIncarnation : m_proposal->recipients)
+        out.sends.push_back({nodeIncarnation.node, RosterDecision {roster.id, true}});
     m_proposal.reset();
-    for (const NodeRun &run : m_view.aliveRuns())
-        sendRosterUpdate(run.node, out);
+    for (const NodeIncarnation &nodeIncarnation : m_view.aliveIncarnations())
+        sendRosterUpdate(nodeIncarnation.node, out);
 }
 
 void RosterCoordinator::abandonProposal(TimePoint now, KeyOutput &out)
 {
-    // Only this run could have activated the roster, so the consents given for it may be dropped.
+    // Only this nodeIncarnation could have activated the roster, so the consents given for it may
+    // be dropped.
     m_chain.remove(m_proposal->roster.id);
-    for (const NodeRun &run : m_proposal->recipients)
-        out.sends.push_back({run.node, RosterDecision {m_proposal->roster.id, false}});
+    for (const NodeIncarnation &nodeIncarnation : m_proposal->recipients)
+        out.sends.push_back({nodeIncarnation.node, RosterDecision {m_proposal->roster.id, false}});
     m_proposal.reset();
     m_nextProposalAt = now + proposalBackoffFactor * m_options.membershipStablePeriod;
 }
 
-void RosterCoordinator::onDecision(const NodeRun &from, const RosterDecision &decision)
+void RosterCoordinator::onDecision(const NodeIncarnation &from, const RosterDecision &decision)
 {
     const Roster *roster = m_chain.find(decision.roster);
     if (!roster || roster->proposer != from)
@@ -334,7 +344,7 @@
     m_chain.add(active);
 }
 
-void RosterCoordinator::onRosterUpdate(const NodeRun &from, const RosterUpdate &update,
+void RosterCoordinator::onRosterUpdate(const NodeIncarnation &from, const RosterUpdate &update,
                                        KeyOutput &out)
 {
     for (const RosterMessage &message : update.rosters) {
@@ -351,8 +361,8 @@
                 {from.node, RosterDecision {roster.id, m_activated.contains(roster.id)}});
     }
     // Nodes probe only the nodes of their own zone, but the proposer may be in another zone.
-    for (const RosterMemberMessage &run : update.terminated)
-        m_view.addTerminated({NodeId(run.node), run.incarnation});
+    for (const RosterMemberMessage &nodeIncarnation : update.terminated)
+        m_view.addTerminated({NodeId(nodeIncarnation.node), nodeIncarnation.incarnation});
     const Roster *latest = m_chain.lastActive();
     if (latest && latest->id != update.latest)
         sendRosterUpdate(from.node, out);
@@ -379,7 +389,7 @@
 {
     std::vector<RosterMemberMessage> terminated;
     for (const Roster &roster : m_chain.live()) {
-        for (const NodeRun &member : roster.members) {
+        for (const NodeIncarnation &member : roster.members) {
             if (m_view.isProvenTerminated(member))
                 terminated.push_back({member.node.str(), member.incarnation});
         }
@@ -391,10 +401,10 @@
 {
     m_nextGossipAt = now + m_options.gossipPeriod;
     std::set<NodeId> peers;
-    for (const NodeRun &run : candidates(false))
-        peers.insert(run.node);
+    for (const NodeIncarnation &nodeIncarnation : candidates(false))
+        peers.insert(nodeIncarnation.node);
     const Roster *latest = m_chain.lastActive();
-    for (const NodeRun &member : latest ? latest->members : std::vector<NodeRun>())
+    for (const NodeIncarnation &member : latest ? latest->members : std::vector<NodeIncarnation>())
         peers.insert(member.node);
     peers.erase(m_options.self.node);
     for (const NodeId &peer : peers)
@@ -440,8 +450,8 @@
         return text;
     text += '!' + std::to_string(m_proposal->roster.id) + ' '
         + std::to_string(m_proposal->deadline.time_since_epoch().count());
-    for (const NodeRun &run : m_proposal->consented)
-        text += ' ' + run.node.str() + std::to_string(run.incarnation);
+    for (const NodeIncarnation &nodeIncarnation : m_proposal->consented)
+        text += ' ' + nodeIncarnation.node.str() + std::to_string(nodeIncarnation.incarnation);
     return text;
 }
 
--- a/lib/Idempotency/Witness.cpp
+++ b/lib/Idempotency/Witness.cpp
@@ -13,7 +13,7 @@
 
 } // namespace
 
-Witness::Witness(NodeRun self, KeyTimeLimits limits, std::size_t maxRecords)
+Witness::Witness(NodeIncarnation self, KeyTimeLimits limits, std::size_t maxRecords)
     : m_self(std::move(self))
     , m_limits(limits)
     , m_maxRecords(maxRecords)
@@ -44,7 +44,7 @@
     return {Vote::Yes, {}};
 }
 
-void Witness::release(const std::string &key, const NodeRun &claimant, std::uint64_t claim)
+void Witness::release(const std::string &key, const NodeIncarnation &claimant, std::uint64_t claim)
 {
     const auto it = m_records.find(key);
     if (it == m_records.end() || it->second.holder != claimant)
@@ -84,7 +84,7 @@
 
 Vote Witness::issuedEligibility(const ParsedKey &parsedKey, RosterId claimedRoster) const
 {
-    const bool isOwn = NodeRun {parsedKey.issuer, parsedKey.issuerIncarnation} == m_self;
+    const bool isOwn = NodeIncarnation {parsedKey.issuer, parsedKey.issuerIncarnation} == m_self;
     // A key that this run did not issue may have been issued by an earlier run, which may have
     // admitted it. A node that restarts loses its record of admitted keys.
     if (claimedRoster != issuerRosterId || !isOwn || parsedKey.sequence == 0
--- a/lib/Net/CallerSession.cpp
+++ b/lib/Net/CallerSession.cpp
@@ -97,14 +97,14 @@
     if (error == asio::error::operation_aborted)
         return;
     if (m_state == State::Idle && m_thread.isShedding())
-        readAndScreen();
+        readAndTryEarlyShed();
     else if (m_state == State::Idle)
         readHead();
     else if (m_state == State::Waiting)
         checkForDisconnect();
 }
 
-void CallerSession::readAndScreen()
+void CallerSession::readAndTryEarlyShed()
 {
     const asio::mutable_buffer scratch = m_thread.scratch();
     error_code error;
@@ -118,32 +118,33 @@
         return;
     }
     const std::string_view bytes(static_cast<const char *>(scratch.data()), size);
-    const Screening screening = m_thread.screen(bytes, m_thread.allowsKeepAlive());
-    if (screening.immediateResponse) {
-        writeImmediateResponse(screening);
+    const EarlyShedResult shedResult = m_thread.tryEarlyShed(bytes, m_thread.allowsKeepAlive());
+    if (shedResult.immediateResponse) {
+        writeImmediateResponse(shedResult);
         return;
     }
-    m_shedDecision = screening.decision;
+    m_shedDecision = shedResult.decision;
     m_buffer.commit(asio::buffer_copy(m_buffer.prepare(size), asio::buffer(bytes)));
     awaitRequest();
 }
 
-void CallerSession::writeImmediateResponse(const Screening &screening)
+void CallerSession::writeImmediateResponse(const EarlyShedResult &shedResult)
 {
     error_code error;
-    const std::size_t size = m_socket.write_some(asio::buffer(*screening.immediateResponse), error);
+    const std::size_t size
+        = m_socket.write_some(asio::buffer(*shedResult.immediateResponse), error);
     if (error && error != asio::error::would_block) {
         close();
         return;
     }
-    const bool keepAlive = screening.isKeepAlive;
-    if (size == screening.immediateResponse->size() && keepAlive) {
+    const bool keepAlive = shedResult.isKeepAlive;
+    if (size == shedResult.immediateResponse->size() && keepAlive) {
         waitIdle();
         return;
     }
     m_state = State::Waiting;
     m_isRequestComplete = true;
-    write(screening.immediateResponse->substr(size),
+    write(shedResult.immediateResponse->substr(size),
           [self = shared_from_this(), keepAlive] { self->endExchange(keepAlive); });
 }
 
--- a/lib/Net/CallerSession.h
+++ b/lib/Net/CallerSession.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "Deadline.h"
-#include "Screening.h"
+#include "EarlyShedding.h"
 #include "berylridge/Net/Asio.h"
 #include "berylridge/Net/Problem.h"
 
@@ -60,8 +60,8 @@
     void waitReadable();
     void onReadable(error_code error);
     /// Reads the first bytes of a request and rejects the request if it is shed.
-    void readAndScreen();
-    void writeImmediateResponse(const Screening &screening);
+    void readAndTryEarlyShed();
+    void writeImmediateResponse(const EarlyShedResult &shedResult);
     void waitIdle();
     void checkForDisconnect();
     void readHead();
--- a/lib/Net/Screening.cpp
+++ b/lib/Net/EarlyShedding.cpp
@@ -1,4 +1,4 @@
-#include "Screening.h"
+#include "EarlyShedding.h"
 
 #include "HttpSerialization.h"
 
@@ -6,7 +6,7 @@
 
 namespace berylridge {
 
-Screening screenRequest(std::string_view bytes, const ScreeningOptions &options)
+EarlyShedResult decideEarlyShed(std::string_view bytes, const EarlyShedOptions &options)
 {
     http::request_parser<http::string_body> parser;
     error_code error;
@@ -19,20 +19,20 @@
     const CallerIdentity caller = options.protocol.readCaller(request);
     if (!options.sheds(caller.credential))
         return {ShedDecision::Admitted};
-    Screening screening {ShedDecision::Shed};
+    EarlyShedResult shedResult {ShedDecision::Shed};
     const std::uint64_t bodySize = parser.content_length().value_or(0);
     // Additional bytes belong to the next request. If bytes are missing, the reset that they cause
     // on a closed connection would destroy the response.
     if (bytes.size() - headSize != bodySize)
-        return screening;
-    screening.isKeepAlive = options.isKeepAliveAllowed && request.keep_alive();
+        return shedResult;
+    shedResult.isKeepAlive = options.isKeepAliveAllowed && request.keep_alive();
     StringResponse response = options.protocol.buildProblemResponse(
         options.problem(),
         caller.requestId.empty() ? options.placeholderRequestId
                                  : std::string_view(caller.requestId));
-    response.keep_alive(screening.isKeepAlive);
-    screening.immediateResponse = serializeHttp(response);
-    return screening;
+    response.keep_alive(shedResult.isKeepAlive);
+    shedResult.immediateResponse = serializeHttp(response);
+    return shedResult;
 }
 
 } // namespace berylridge
--- a/lib/Net/Screening.h
+++ b/lib/Net/EarlyShedding.h
@@ -1,9 +1,9 @@
 // Decides whether an overloaded thread sheds a request, from the bytes that are available when its
 // connection becomes readable.
 //
-// Screening serves the case of a node that receives ten times the load that it can handle. If the
-// requests that it can't serve passed through a session, a parser and several event loop iterations
-// before they are rejected, they would use all of the thread's processor time.
+// EarlyShedResult serves the case of a node that receives ten times the load that it can handle. If
+// the requests that it can't serve passed through a session, a parser and several event loop
+// iterations before they are rejected, they would use all of the thread's processor time.
 #pragma once
 
 #include "berylridge/Net/WireProtocol.h"
@@ -22,7 +22,7 @@
     Shed,
 };
 
-struct Screening
+struct EarlyShedResult
 {
     ShedDecision decision = ShedDecision::Undecided;
     /// The complete response; set only if the request is shed and has arrived completely with no
@@ -31,7 +31,7 @@
     bool isKeepAlive = false; ///< Whether the connection stays open after the response.
 };
 
-struct ScreeningOptions
+struct EarlyShedOptions
 {
     const WireProtocolHandle &protocol;
     /// Counts a request with the credential and returns whether to shed it.
@@ -41,6 +41,6 @@
     bool isKeepAliveAllowed = false;       ///< Applies only if the caller requests keep-alive too.
 };
 
-Screening screenRequest(std::string_view bytes, const ScreeningOptions &options);
+EarlyShedResult decideEarlyShed(std::string_view bytes, const EarlyShedOptions &options);
 
 } // namespace berylridge
--- a/lib/Net/TrafficThread.cpp
+++ b/lib/Net/TrafficThread.cpp
@@ -107,13 +107,13 @@
     if (size == 0)
         return;
     const std::string_view bytes(m_scratch.data(), std::max<ssize_t>(size, 0));
-    Screening screening;
+    EarlyShedResult shedResult;
     if (isShedding() && !bytes.empty())
-        screening = screen(bytes, false);
-    if (screening.immediateResponse) {
+        shedResult = tryEarlyShed(bytes, false);
+    if (shedResult.immediateResponse) {
         // A rejected connection is never registered with the event loop. Its send buffer is empty
         // and holds the complete response.
-        const std::string &immediateResponse = *screening.immediateResponse;
+        const std::string &immediateResponse = *shedResult.immediateResponse;
         ::send(connection.number(), immediateResponse.data(), immediateResponse.size(),
                MSG_NOSIGNAL);
         return;
@@ -126,7 +126,7 @@
     connection.release();
     const auto session = std::make_shared<CallerSession>(*this, std::move(socket));
     m_sessions.insert(session.get());
-    session->start(bytes, screening.decision);
+    session->start(bytes, shedResult.decision);
 }
 
 RequestHandle TrafficThread::nextHandle()
@@ -217,18 +217,18 @@
     return m_loadShedder.sheds(hash32(credential), m_options.now());
 }
 
-Screening TrafficThread::screen(std::string_view bytes, bool isKeepAliveAllowed)
+EarlyShedResult TrafficThread::tryEarlyShed(std::string_view bytes, bool isKeepAliveAllowed)
 {
     const std::string placeholderRequestId = m_options.placeholderRequestId();
-    Screening screening = screenRequest(
+    EarlyShedResult shedResult = decideEarlyShed(
         bytes,
         {m_options.protocol, [this](std::string_view key) { return sheds(key); },
          [this] { return overloadProblem(); }, placeholderRequestId, isKeepAliveAllowed});
-    if (screening.immediateResponse) {
+    if (shedResult.immediateResponse) {
         ++m_metrics.requestsByVerdict[static_cast<std::size_t>(Verdict::NotRun)];
         m_metrics.countRejectedRequest(overloadProblemType);
     }
-    return screening;
+    return shedResult;
 }
 
 Problem TrafficThread::overloadProblem()
--- a/lib/Net/TrafficThread.h
+++ b/lib/Net/TrafficThread.h
@@ -2,9 +2,9 @@
 #pragma once
 
 #include "ConnectionPool.h"
+#include "EarlyShedding.h"
 #include "FileDescriptor.h"
 #include "Mailbox.h"
-#include "Screening.h"
 #include "berylridge/Net/Asio.h"
 
 #include "berylridge/Net/Metrics.h"
@@ -104,7 +104,7 @@
     bool isShedding() const { return m_loadShedder.isLimited(); }
     /// Decides on a request from its first bytes. If the request can be rejected immediately, the
     /// result contains the response, and the rejection is counted in the metrics.
-    Screening screen(std::string_view bytes, bool isKeepAliveAllowed);
+    EarlyShedResult tryEarlyShed(std::string_view bytes, bool isKeepAliveAllowed);
     /// Returns the problem with which shed requests are rejected.
     Problem overloadProblem();
     /// Buffer for bytes that are discarded or copied immediately.
--- a/unittests/Idempotency/KeyFleet.h
+++ b/unittests/Idempotency/KeyFleet.h
@@ -27,7 +27,7 @@
 
 struct FakeMessage
 {
-    NodeRun from;
+    NodeIncarnation from;
     NodeId to;
     KeyMessage message;
 };
@@ -37,7 +37,7 @@
 public:
     struct Node
     {
-        NodeRun run;
+        NodeIncarnation run;
         ZoneId zone;
         KeyRegistry registry;
         bool isPaused = false;
@@ -51,7 +51,7 @@
     TimePoint now() const { return m_clock.now(); }
     WallTime wall() const { return m_clock.wallNow(); }
 
-    static KeyOptions options(const NodeRun &run)
+    static KeyOptions options(const NodeIncarnation &run)
     {
         KeyOptions options;
         options.node = run.node;
@@ -62,7 +62,7 @@
     /// Starts a process with empty state as the next run of the node.
     void start(const std::string &name, const std::string &zone)
     {
-        const NodeRun run {NodeId(name), ++m_incarnation};
+        const NodeIncarnation run {NodeId(name), ++m_incarnation};
         nodes[run.node] = Node {run, ZoneId(zone), KeyRegistry(options(run))};
         if (m_list.revision != 0)
             setList(name);
@@ -73,7 +73,7 @@
     void kill(const std::string &name)
     {
         const NodeId node(name);
-        m_terminatedRuns[node] = nodes[node]->run.incarnation;
+        m_terminatedIncarnations[node] = nodes[node]->run.incarnation;
         nodes[node].reset();
     }
 
@@ -126,7 +126,7 @@
     void reportTerminated(const std::string &name)
     {
         std::vector<KeyMember> members;
-        for (const auto &[node, incarnation] : m_terminatedRuns)
+        for (const auto &[node, incarnation] : m_terminatedIncarnations)
             members.push_back({node, incarnation, false, false, true});
         KeyOutput out;
         at(name).onMembers(members, now(), wall(), out);
@@ -135,7 +135,7 @@
 
     void collect(const NodeId &from, KeyOutput &out)
     {
-        const NodeRun run = nodes.at(from)->run;
+        const NodeIncarnation run = nodes.at(from)->run;
         for (OutgoingKeyMessage &send : out.sends)
             network.push_back({run, send.to, std::move(send.message)});
         for (KeyDecision &decision : out.decisions)
@@ -200,7 +200,7 @@
     ManualClock m_clock;
     VmList m_list;
     Incarnation m_incarnation = 100;
-    std::map<NodeId, Incarnation> m_terminatedRuns;
+    std::map<NodeId, Incarnation> m_terminatedIncarnations;
 };
 
 /// Returns three zones with three nodes each, a1 to c3, that have agreed on witnesses.
--- a/unittests/Idempotency/KeySearch.cpp
+++ b/unittests/Idempotency/KeySearch.cpp
@@ -60,7 +60,7 @@
     return digestOf(values);
 }
 
-KeyOptions options(const NodeRun &run)
+KeyOptions options(const NodeIncarnation &run)
 {
     KeyOptions options;
     options.node = run.node;
@@ -131,7 +131,7 @@
 NodePointer makeStartedNode(const SearchSetup &setup, std::size_t index, const SearchState &state,
                             Incarnation incarnation)
 {
-    const NodeRun run {setup.names[index], incarnation};
+    const NodeIncarnation run {setup.names[index], incarnation};
     SearchNode node {run, KeyRegistry(options(run)), 0, true};
     KeyOutput out;
     node.registry.onVmList(setup.lists[index], state.now, wallTimeOf(setup, state, index), out);
@@ -140,9 +140,9 @@
 }
 
 /// Terminates the node's run in the state and reports the termination to the other nodes.
-void terminateRun(const SearchSetup &setup, SearchState &state, std::size_t index)
+void terminateIncarnation(const SearchSetup &setup, SearchState &state, std::size_t index)
 {
-    const NodeRun terminated = state.nodes[index]->run;
+    const NodeIncarnation terminated = state.nodes[index]->run;
     state.nodes[index] = nullptr;
     const KeyMember gone {terminated.node, terminated.incarnation, false, false, true};
     for (std::size_t i = 0; i < state.nodes.size(); ++i) {
@@ -416,7 +416,7 @@
             return;
         SearchState next = state;
         ++next.kills;
-        terminateRun(m_setup, next, index);
+        terminateIncarnation(m_setup, next, index);
         enqueue(state, "kill " + m_setup.names[index].str(), std::move(next));
     }
 
@@ -541,7 +541,7 @@
 
 void kill(SearchSetup &setup, std::size_t index)
 {
-    terminateRun(setup, setup.start, index);
+    terminateIncarnation(setup, setup.start, index);
 }
 
 SearchResult search(const SearchSetup &setup, const SearchLimits &limits)
--- a/unittests/Idempotency/KeySearch.h
+++ b/unittests/Idempotency/KeySearch.h
@@ -15,7 +15,7 @@
 /// One process in the search, shared between the states in which it is the same.
 struct SearchNode
 {
-    NodeRun run;
+    NodeIncarnation run;
     KeyRegistry registry;
     std::uint64_t digest = 0;
     /// Set if the process was started in the search; other nodes learn of it by its liveness
@@ -25,7 +25,7 @@
 
 struct SearchMessage
 {
-    NodeRun from;
+    NodeIncarnation from;
     std::size_t to = 0; ///< The index of the receiving node.
     KeyMessage message;
     std::uint64_t digest = 0;
