--- a/include/berylridge/Idempotency/KeyRegistry.h
+++ b/include/berylridge/Idempotency/KeyRegistry.h
@@ -34,7 +34,7 @@
     Duration consentTimeout = std::chrono::milliseconds(500);
     /// How long the set of members must be unchanged before a node proposes a roster.
     Duration membershipStablePeriod = std::chrono::seconds(1);
-    /// How long a run counts as alive after its last message.
+    /// How long an incarnation counts as alive after its last message.
     Duration livenessTimeout = std::chrono::milliseconds(2500);
     /// The longest wait for the votes of witnesses.
     Duration claimTimeout = std::chrono::milliseconds(1500);
@@ -118,7 +118,7 @@
         std::size_t quorum = 0;
         std::set<NodeIncarnation> yes;
         std::set<NodeIncarnation> no;
-        /// The run that holds the key according to a witness.
+        /// The incarnation that holds the key according to a witness.
         std::optional<NodeIncarnation> holder;
         TimePoint deadline;
         TimePoint resendAt;
--- a/include/berylridge/Idempotency/LivenessView.h
+++ b/include/berylridge/Idempotency/LivenessView.h
@@ -1,5 +1,5 @@
-// What a node knows about the liveness of other nodes, as far as rosters need it: which
-// nodeIncarnations are alive, and which are proven to have terminated.
+// Tracks, as far as rosters need it, which incarnations of other nodes are alive and which are
+// proven to have terminated.
 #pragma once
 
 #include "berylridge/Config/Vms.h"
@@ -14,7 +14,7 @@
 
 namespace berylridge {
 
-/// What the membership knows about one node.
+/// The state of one node according to the membership.
 struct KeyMember
 {
     NodeId node;
@@ -35,31 +35,30 @@
 
     /// Sets the time that the queries below refer to.
     void setNow(TimePoint now) { m_now = now; }
-    /// Records a key message from the nodeIncarnation. Returns whether the nodeIncarnation was not
-    /// alive before.
+    /// Records that a key message from the incarnation arrived. Returns whether the incarnation was
+    /// not alive before.
     bool recordMessage(const NodeIncarnation &nodeIncarnation);
     /// Replaces the membership's view. Returns whether anything changed.
     bool setMembers(std::span<const KeyMember> members);
-    /// Records that another node has proof that the nodeIncarnation has terminated.
+    /// Records that another node has proof that the incarnation has terminated.
     void addTerminated(const NodeIncarnation &nodeIncarnation);
     /// Ignores a list that is not newer. Returns whether anything changed.
     bool setList(const VmList &list);
 
-    /// Returns whether the nodeIncarnation has terminated: a later nodeIncarnation of the node has
-    /// sent a message, its port has refused a connection, or no message arrives from it and a VM
-    /// list newer than the given revision omits it.
+    /// Returns whether the incarnation has terminated: a later incarnation of the node has sent a
+    /// message, its port has refused a connection, or no message arrives from it and a VM list
+    /// newer than the given revision omits it.
     bool isTerminated(const NodeIncarnation &nodeIncarnation, std::uint64_t listRevision) const;
     /// Like isTerminated(), but ignores the VM list, of which other nodes may hold another
     /// revision.
     bool isProvenTerminated(const NodeIncarnation &nodeIncarnation) const;
     bool isAlive(const NodeIncarnation &nodeIncarnation) const;
-    /// Returns the nodeIncarnation of the node that is alive now; its incarnation is 0 if there is
-    /// none.
+    /// Returns the node's incarnation that is alive now; its number is 0 if there is none.
     NodeIncarnation aliveIncarnation(const NodeId &node) const;
-    /// Returns whether a listed node has no nodeIncarnation that is alive and no proof of its
+    /// Returns whether a listed node has no incarnation that is alive and no proof of its
     /// termination.
     bool isUnresponsive(const NodeId &node) const;
-    /// Returns all nodeIncarnations that are alive.
+    /// Returns all incarnations that are alive.
     std::vector<NodeIncarnation> aliveIncarnations() const;
     bool isLeaving(const NodeId &node) const;
 
--- a/include/berylridge/Idempotency/Messages.h
+++ b/include/berylridge/Idempotency/Messages.h
@@ -28,7 +28,7 @@
     std::uint8_t vote = 0; ///< A value of Vote in Idempotency/Witness.h.
     std::string holder;    ///< The node that holds the key, if it is not the claimant.
     std::uint64_t holderIncarnation = 0;
-    /// The claimant's run to which this vote replies.
+    /// The claimant's incarnation to which this vote replies.
     std::uint64_t requesterIncarnation = 0;
     MSGPACK_DEFINE(key, roster, claim, vote, holder, holderIncarnation, requesterIncarnation)
 };
@@ -68,7 +68,7 @@
     std::string body;
     /// The hash of the request body that the holder received.
     std::uint64_t bodyHash = 0;
-    /// The requester's run to which this message replies.
+    /// The requester's incarnation to which this message replies.
     std::uint64_t requesterIncarnation = 0;
     MSGPACK_DEFINE(key, query, state, status, headers, body, bodyHash, requesterIncarnation)
 };
--- a/include/berylridge/Idempotency/Roster.h
+++ b/include/berylridge/Idempotency/Roster.h
@@ -18,8 +18,8 @@
 /// A hash of the roster's content; 0 means no roster.
 using RosterId = std::uint64_t;
 
-/// One process nodeIncarnation of a node. After a restart the node counts as another member because
-/// it has lost the votes that it gave.
+/// One process of a node, from its start to its end. After a restart the node counts as another
+/// member because it has lost the votes that it gave.
 struct NodeIncarnation
 {
     NodeId node;
--- a/include/berylridge/Idempotency/RosterCoordinator.h
+++ b/include/berylridge/Idempotency/RosterCoordinator.h
@@ -1,5 +1,5 @@
 // Agrees with other nodes on the next roster. The proposer alone decides on its proposal, once
-// every nodeIncarnation that could still vote in the previous rosters has consented or is proven to
+// every incarnation that could still vote in the previous rosters has consented or is proven to
 // have terminated.
 #pragma once
 
@@ -27,7 +27,7 @@
     Duration consentTimeout {0};
     /// How long the set of members must be unchanged before a proposal.
     Duration membershipStablePeriod {0};
-    /// How long a nodeIncarnation counts as alive after its last message.
+    /// How long an incarnation counts as alive after its last message.
     Duration livenessTimeout {0};
     Duration gossipPeriod = std::chrono::seconds(1);
     Duration resendPeriod {0};
@@ -72,14 +72,21 @@
         TimePoint resendAt;
     };
 
+    /// Returns the members of the roster that the VM list calls for, at most maxRosterMembers.
+    /// Unless onlyAlive is set, they may include nodes that are leaving and, with incarnation 0,
+    /// nodes that are not alive.
     std::vector<NodeIncarnation> candidates(bool onlyAlive) const;
     std::vector<NodeIncarnation> wantedMembers() const { return candidates(true); }
     bool isChangeWanted(const std::vector<NodeIncarnation> &wanted) const;
     bool isProposer() const;
     bool hasSuccessionRight() const;
+    /// Returns the incarnations that a proposal must ask for consent, or nothing if no proposal is
+    /// safe now.
     std::optional<std::set<NodeIncarnation>> proposalRecipients(
         const std::vector<NodeIncarnation> &wanted) const;
-    bool addListedRecipients(std::set<NodeIncarnation> &nodeIncarnations) const;
+    /// Adds the alive nodes, listed or not. Returns whether the VM list names this node, a majority
+    /// of the listed nodes is alive and all other listed nodes have terminated.
+    bool addListedRecipients(std::set<NodeIncarnation> &recipients) const;
     void propose(TimePoint now, WallTime wall, KeyOutput &out);
     void sendProposal(TimePoint now, KeyOutput &out);
     void tryToDecide(TimePoint now, KeyOutput &out);
@@ -97,7 +104,7 @@
     LivenessView m_view;
     RosterChain m_chain;
     std::optional<Proposal> m_proposal;
-    std::set<RosterId> m_activated; ///< The proposals of this nodeIncarnation that became active.
+    std::set<RosterId> m_activated; ///< The proposals of this incarnation that became active.
     std::uint64_t m_sequence = 0;
     TimePoint m_nextProposalAt;
     TimePoint m_nextGossipAt;
--- a/include/berylridge/Idempotency/Witness.h
+++ b/include/berylridge/Idempotency/Witness.h
@@ -1,5 +1,5 @@
-// The witness role: records which process run claimed a key first, and rejects the claims of other
-// runs.
+// The witness role: records which incarnation of which node claimed a key first, and rejects the
+// claims of all others.
 #pragma once
 
 #include "berylridge/Idempotency/KeyFormat.h"
@@ -15,7 +15,7 @@
 
 enum class Vote : std::uint8_t {
     Yes,
-    Held,        ///< Another run holds the key.
+    Held,        ///< Another incarnation holds the key.
     Abstain,     ///< This witness cannot know whether the key has been run before.
     OtherRoster, ///< The key belongs to another roster than the one that the claim names.
     /// The key's lifetime has ended, or its creation time is too far in the future.
@@ -47,7 +47,8 @@
     NodeIncarnation holder; ///< Set if the vote is Held.
 };
 
-/// The roster id in claims for issued keys. The issuer is the only witness of such a key.
+/// The roster id in claims for issued keys. The issuer is the only witness of such a key. No
+/// roster has this id, because makeRoster() creates only odd ids.
 inline constexpr RosterId issuerRosterId = 2;
 
 class Witness
@@ -62,7 +63,7 @@
     /// this one.
     void release(const std::string &key, const NodeIncarnation &claimant, std::uint64_t claim);
 
-    /// Creates a key that only this run admits.
+    /// Creates a key that only this incarnation admits.
     std::string issueKey(WallTime wall);
 
     /// Removes the records of expired keys.
--- a/lib/Idempotency/KeyClaims.cpp
+++ b/lib/Idempotency/KeyClaims.cpp
@@ -211,8 +211,8 @@
     const Claim &claim = *it->second.claim;
     const bool isWitness
         = std::find(claim.witnesses.begin(), claim.witnesses.end(), from) != claim.witnesses.end();
-    // Ignores a vote for an earlier nodeIncarnation of this node. That nodeIncarnation may have
-    // dispatched the key, and the witness recorded the key for that nodeIncarnation only.
+    // Ignores a vote for an earlier incarnation of this node. That incarnation may have dispatched
+    // the key, and the witness recorded the key for that incarnation only.
     if (vote.requesterIncarnation != m_options.incarnation)
         return;
     // Ignores votes for another roster or an earlier claim, and votes of a witness that has
@@ -248,9 +248,9 @@
             state.state = static_cast<std::uint8_t>(KeyPhase::Failed);
         state.bodyHash = held.bodyHash;
     } else {
-        // The witness still has the record of a claim that this nodeIncarnation abandoned: the
-        // release was lost or arrived before the claim. Without another release the key would be
-        // refused for the rest of its lifetime.
+        // The witness still has the record of a claim that this incarnation abandoned: the release
+        // was lost or arrived before the claim. Without another release the key would be refused
+        // for the rest of its lifetime.
         Claim claim;
         claim.number = m_claimCount;
         static_cast<void>(chooseWitnesses(parseKey(query.key), claim));
--- a/lib/Idempotency/KeyRegistry.cpp
+++ b/lib/Idempotency/KeyRegistry.cpp
@@ -62,8 +62,8 @@
     Refusal refusal {
         409, "key-from-future", "the key's creation time is too far in the future", {}};
     refusal.retryAfter = ahead - milliseconds(m_options.futureTolerance);
-    // The clock of another node is at most two skews ahead of this one, so no node can have
-    // admitted the key.
+    // The clock of another node is at most twice maxClockSkew ahead of this one, so no node can
+    // have admitted the key.
     const auto maxAhead
         = milliseconds(m_options.futureTolerance) + 2 * milliseconds(m_options.maxClockSkew);
     if (ahead > maxAhead)
@@ -92,8 +92,7 @@
         return;
     }
     if (m_heldKeys.size() >= m_options.maxKeys) {
-        // Evicting an old key instead would let a repeated request nodeIncarnation its operation
-        // again.
+        // Evicting an old key instead would let a repeated request run its operation again.
         refuse(request, key,
                {503, "too-many-keys", "no capacity for another key", defaultRetryAfter}, out);
         return;
@@ -140,8 +139,8 @@
     const auto margin
         = 2 * milliseconds(m_options.maxClockSkew) + milliseconds(m_options.futureTolerance);
     // When another node queries a key that this node does not hold, this node replies that it has
-    // not nodeIncarnation the key. It must therefore remember a key until the key is expired by
-    // every other clock in the fleet.
+    // not run the key. It must therefore remember a key until the key is expired by every other
+    // clock in the fleet.
     if (parsedKey.kind == KeyKind::Opaque)
         return m_wall + 2 * lifetime + margin;
     return parsedKey.createdAt + lifetime + margin;
@@ -186,8 +185,7 @@
     const auto it = m_heldKeys.find(key);
     if (it == m_heldKeys.end() || it->second.phase > KeyPhase::Admitted)
         return Verdict::MayHaveRun;
-    // Before a quorum has voted for this node, another router may hold the key and have
-    // nodeIncarnation it.
+    // Before a quorum has voted for this node, another router may hold the key and have run it.
     const bool isHolder = it->second.phase == KeyPhase::Admitted;
     if (it->second.claim)
         releaseClaim(key, *it->second.claim, out);
@@ -218,7 +216,7 @@
     held.body = std::move(body);
     m_storedResponseKeys.push_back(key);
     while (m_storedResponseBytes > m_options.maxStoredResponseBytes) {
-        // Drops only the response; the fact that the key was nodeIncarnation is retained.
+        // Drops only the response; the fact that the key was run is retained.
         const auto oldest = m_heldKeys.find(m_storedResponseKeys.front());
         m_storedResponseKeys.pop_front();
         if (oldest == m_heldKeys.end() || !oldest->second.body)
--- a/lib/Idempotency/LivenessView.cpp
+++ b/lib/Idempotency/LivenessView.cpp
@@ -18,8 +18,7 @@
 LivenessView::LivenessView(const NodeIncarnation &self, Duration livenessTimeout)
     : m_livenessTimeout(livenessTimeout)
 {
-    // The start of this nodeIncarnation proves that the node's earlier nodeIncarnations have
-    // terminated.
+    // The start of this incarnation proves that the node's earlier incarnations have terminated.
     if (self.incarnation != 0)
         m_terminatedUpTo[self.node] = self.incarnation - 1;
 }
@@ -62,7 +61,7 @@
 {
     if (nodeIncarnation.incarnation < latestIncarnation(nodeIncarnation.node)
         || isProvenTerminated(nodeIncarnation))
-        return false; // A delayed datagram of a nodeIncarnation that has terminated.
+        return false; // A delayed datagram of an incarnation that has terminated.
     const bool isNew = aliveIncarnation(nodeIncarnation.node) != nodeIncarnation;
     m_lastMessages[nodeIncarnation.node] = {nodeIncarnation.incarnation, m_now};
     Incarnation &terminatedUpTo = m_terminatedUpTo[nodeIncarnation.node];
--- a/lib/Idempotency/RosterCoordinator.cpp
+++ b/lib/Idempotency/RosterCoordinator.cpp
@@ -119,7 +119,7 @@
         [&](const NodeIncarnation &member) { return nodeIncarnations.contains(member); });
 }
 
-bool RosterCoordinator::addListedRecipients(std::set<NodeIncarnation> &nodeIncarnations) const
+bool RosterCoordinator::addListedRecipients(std::set<NodeIncarnation> &recipients) const
 {
     // A list that does not name this node is older than this node, and may omit all members of a
     // current roster.
@@ -131,22 +131,22 @@
         const NodeIncarnation nodeIncarnation
             = isSelf ? m_options.self : m_view.aliveIncarnation(entry.node);
         if (nodeIncarnation.incarnation != 0) {
-            nodeIncarnations.insert(nodeIncarnation);
+            recipients.insert(nodeIncarnation);
             ++listed;
         } else if (m_view.isUnresponsive(entry.node)) {
             return false; // The node may be a member of a roster that no node here knows.
         }
     }
     for (const NodeIncarnation &nodeIncarnation : m_view.aliveIncarnations())
-        nodeIncarnations.insert(nodeIncarnation);
+        recipients.insert(nodeIncarnation);
     return listed > m_view.list().vms.size() / 2;
 }
 
 std::optional<std::set<NodeIncarnation>> RosterCoordinator::proposalRecipients(
     const std::vector<NodeIncarnation> &wanted) const
 {
-    std::set<NodeIncarnation> nodeIncarnations(wanted.begin(), wanted.end());
-    nodeIncarnations.insert(m_options.self);
+    std::set<NodeIncarnation> recipients(wanted.begin(), wanted.end());
+    recipients.insert(m_options.self);
     for (const Roster &roster : m_chain.live()) {
         for (const NodeIncarnation &member : roster.members) {
             if (member != m_options.self && m_view.isTerminated(member, roster.listRevision))
@@ -155,20 +155,19 @@
             // node here knows.
             if (member != m_options.self && !m_view.isAlive(member))
                 return std::nullopt;
-            nodeIncarnations.insert(member);
+            recipients.insert(member);
         }
     }
     const auto live = m_chain.live();
-    const bool hasMemberOfEachRoster
-        = !live.empty() && std::all_of(live.begin(), live.end(), [&](const Roster &roster) {
-              return includesMemberOf(roster, nodeIncarnations);
-          });
+    const bool hasMemberOfEachRoster = !live.empty()
+        && std::all_of(live.begin(), live.end(),
+                       [&](const Roster &roster) { return includesMemberOf(roster, recipients); });
     // If no member of a known roster remains, its members may have agreed on another roster before
     // they terminated. The members of that roster are in the VM list or alive, so all of these
     // nodes are asked for consent.
-    if (!hasMemberOfEachRoster && !addListedRecipients(nodeIncarnations))
+    if (!hasMemberOfEachRoster && !addListedRecipients(recipients))
         return std::nullopt;
-    return nodeIncarnations;
+    return recipients;
 }
 
 std::chrono::milliseconds RosterCoordinator::minStartDelay() const
@@ -188,8 +187,8 @@
     proposal.roster.proposer = m_options.self;
     proposal.roster.sequence = ++m_sequence;
     // A member that has terminated has voted only for keys created up to its own clock plus the
-    // tolerance, and two clocks differ by at most two skews. The consent timeout is added for the
-    // nodeIncarnations that are asked for consent.
+    // tolerance, and two clocks differ by at most twice maxClockSkew. The consent timeout is added
+    // for the incarnations that are asked for consent.
     proposal.roster.startsAt = wall + minStartDelay() + milliseconds(m_options.consentTimeout);
     proposal.roster.listRevision = m_view.list().revision;
     proposal.roster.members = wanted;
@@ -223,9 +222,9 @@
 {
     if (m_chain.find(roster.id))
         return true;
-    // This nodeIncarnation may have voted for any key created up to its clock plus the tolerance.
-    // Those keys must remain with the roster in which it voted because the members of the new
-    // roster do not know them.
+    // This incarnation may have voted for any key created up to its clock plus the tolerance. Those
+    // keys must remain with the roster in which it voted because the members of the new roster do
+    // not know them.
     if (roster.startsAt <= wall + milliseconds(m_options.futureTolerance))
         return false;
     const auto all = m_chain.all();
@@ -321,8 +320,8 @@
 
 void RosterCoordinator::abandonProposal(TimePoint now, KeyOutput &out)
 {
-    // Only this nodeIncarnation could have activated the roster, so the consents given for it may
-    // be dropped.
+    // Only this incarnation could have activated the roster, so the consents given for it may be
+    // dropped.
     m_chain.remove(m_proposal->roster.id);
     for (const NodeIncarnation &nodeIncarnation : m_proposal->recipients)
         out.sends.push_back({nodeIncarnation.node, RosterDecision {m_proposal->roster.id, false}});
--- a/lib/Idempotency/Witness.cpp
+++ b/lib/Idempotency/Witness.cpp
@@ -85,8 +85,8 @@
 Vote Witness::issuedEligibility(const ParsedKey &parsedKey, RosterId claimedRoster) const
 {
     const bool isOwn = NodeIncarnation {parsedKey.issuer, parsedKey.issuerIncarnation} == m_self;
-    // A key that this run did not issue may have been issued by an earlier run, which may have
-    // admitted it. A node that restarts loses its record of admitted keys.
+    // A key that this incarnation did not issue may have been issued by an earlier one, which may
+    // have admitted it. A node that restarts loses its record of admitted keys.
     if (claimedRoster != issuerRosterId || !isOwn || parsedKey.sequence == 0
         || parsedKey.sequence > m_issuedCount)
         return Vote::Abstain;
--- a/lib/Net/EarlyShedding.h
+++ b/lib/Net/EarlyShedding.h
@@ -1,7 +1,7 @@
 // Decides whether an overloaded thread sheds a request, from the bytes that are available when its
 // connection becomes readable.
 //
-// EarlyShedResult serves the case of a node that receives ten times the load that it can handle. If
+// Early shedding serves the case of a node that receives ten times the load that it can handle. If
 // the requests that it can't serve passed through a session, a parser and several event loop
 // iterations before they are rejected, they would use all of the thread's processor time.
 #pragma once
--- a/unittests/Idempotency/KeyFleet.h
+++ b/unittests/Idempotency/KeyFleet.h
@@ -37,7 +37,7 @@
 public:
     struct Node
     {
-        NodeIncarnation run;
+        NodeIncarnation nodeIncarnation;
         ZoneId zone;
         KeyRegistry registry;
         bool isPaused = false;
@@ -51,19 +51,20 @@
     TimePoint now() const { return m_clock.now(); }
     WallTime wall() const { return m_clock.wallNow(); }
 
-    static KeyOptions options(const NodeIncarnation &run)
+    static KeyOptions options(const NodeIncarnation &nodeIncarnation)
     {
         KeyOptions options;
-        options.node = run.node;
-        options.incarnation = run.incarnation;
+        options.node = nodeIncarnation.node;
+        options.incarnation = nodeIncarnation.incarnation;
         return options;
     }
 
-    /// Starts a process with empty state as the next run of the node.
+    /// Starts a process with empty state as the next incarnation of the node.
     void start(const std::string &name, const std::string &zone)
     {
-        const NodeIncarnation run {NodeId(name), ++m_incarnation};
-        nodes[run.node] = Node {run, ZoneId(zone), KeyRegistry(options(run))};
+        const NodeIncarnation nodeIncarnation {NodeId(name), ++m_incarnation};
+        nodes[nodeIncarnation.node]
+            = Node {nodeIncarnation, ZoneId(zone), KeyRegistry(options(nodeIncarnation))};
         if (m_list.revision != 0)
             setList(name);
     }
@@ -73,7 +74,7 @@
     void kill(const std::string &name)
     {
         const NodeId node(name);
-        m_terminatedIncarnations[node] = nodes[node]->run.incarnation;
+        m_terminatedIncarnations[node] = nodes[node]->nodeIncarnation.incarnation;
         nodes[node].reset();
     }
 
@@ -122,7 +123,7 @@
         return verdict;
     }
 
-    /// Reports to a node which runs refused a connection.
+    /// Reports to a node which incarnations refused a connection.
     void reportTerminated(const std::string &name)
     {
         std::vector<KeyMember> members;
@@ -135,9 +136,9 @@
 
     void collect(const NodeId &from, KeyOutput &out)
     {
-        const NodeIncarnation run = nodes.at(from)->run;
+        const NodeIncarnation nodeIncarnation = nodes.at(from)->nodeIncarnation;
         for (OutgoingKeyMessage &send : out.sends)
-            network.push_back({run, send.to, std::move(send.message)});
+            network.push_back({nodeIncarnation, send.to, std::move(send.message)});
         for (KeyDecision &decision : out.decisions)
             decisions.push_back(std::move(decision));
         out = {};
--- a/unittests/Idempotency/KeyPropertyTest.cpp
+++ b/unittests/Idempotency/KeyPropertyTest.cpp
@@ -201,13 +201,14 @@
 TEST(KeyProperty, ParsesAnyTextAndRoundTripsIssuedKeys)
 {
     const bool isSatisfied = rc::check(
-        "issued keys round-trip", [](std::uint32_t time, std::uint64_t run, std::uint64_t number) {
+        "issued keys round-trip",
+        [](std::uint32_t time, std::uint64_t incarnation, std::uint64_t number) {
             const ParsedKey made {KeyKind::Issued, WallTime(std::chrono::milliseconds(time)),
-                                  NodeId("n-1"), run, number};
+                                  NodeId("n-1"), incarnation, number};
             const ParsedKey read
                 = parseKey(scopedKey(ServiceId("s"), WorkspaceId("w"), formatIssuedKey(made)));
             RC_ASSERT(read.kind == KeyKind::Issued);
-            RC_ASSERT(read.createdAt == made.createdAt && read.issuerIncarnation == run
+            RC_ASSERT(read.createdAt == made.createdAt && read.issuerIncarnation == incarnation
                       && read.sequence == number);
         });
     EXPECT_TRUE(isSatisfied);
--- a/unittests/Idempotency/KeyRegistryTest.cpp
+++ b/unittests/Idempotency/KeyRegistryTest.cpp
@@ -174,8 +174,8 @@
     EXPECT_EQ(fleet.admissions(), 1U);
 }
 
-// An issuer that restarts has lost the record of which keys it ran. Its new run must not admit
-// them.
+// An issuer that restarts has lost the record of which keys it ran. Its new incarnation must not
+// admit them.
 TEST(KeyRegistry, RestartedIssuerAdmitsNoneOfItsOldKeys)
 {
     KeyFleet fleet = startNineNodes();
--- a/unittests/Idempotency/KeySearch.cpp
+++ b/unittests/Idempotency/KeySearch.cpp
@@ -24,7 +24,7 @@
 
 std::uint64_t digestOf(const SearchNode &node)
 {
-    return hash64(node.run.node.str() + std::to_string(node.run.incarnation)
+    return hash64(node.nodeIncarnation.node.str() + std::to_string(node.nodeIncarnation.incarnation)
                   + node.registry.describe());
 }
 
@@ -60,11 +60,11 @@
     return digestOf(values);
 }
 
-KeyOptions options(const NodeIncarnation &run)
+KeyOptions options(const NodeIncarnation &nodeIncarnation)
 {
     KeyOptions options;
-    options.node = run.node;
-    options.incarnation = run.incarnation;
+    options.node = nodeIncarnation.node;
+    options.incarnation = nodeIncarnation.incarnation;
     // Periodic liveness messages do not affect safety; without them the search needs fewer time
     // steps.
     options.gossipPeriod = std::chrono::hours(1);
@@ -102,9 +102,9 @@
         // A liveness message without new information is treated as lost.
         const bool isIdle
             = update && update->rosters.empty() && update->terminated.empty() && !node->isNew;
-        if (!to || send.to == node->run.node || isIdle)
+        if (!to || send.to == node->nodeIncarnation.node || isIdle)
             continue;
-        SearchMessage message {node->run, *to, std::move(send.message), 0};
+        SearchMessage message {node->nodeIncarnation, *to, std::move(send.message), 0};
         message.digest = digestOf(message);
         outcome.sent.push_back(std::make_shared<const SearchMessage>(std::move(message)));
     }
@@ -131,18 +131,18 @@
 NodePointer makeStartedNode(const SearchSetup &setup, std::size_t index, const SearchState &state,
                             Incarnation incarnation)
 {
-    const NodeIncarnation run {setup.names[index], incarnation};
-    SearchNode node {run, KeyRegistry(options(run)), 0, true};
+    const NodeIncarnation nodeIncarnation {setup.names[index], incarnation};
+    SearchNode node {nodeIncarnation, KeyRegistry(options(nodeIncarnation)), 0, true};
     KeyOutput out;
     node.registry.onVmList(setup.lists[index], state.now, wallTimeOf(setup, state, index), out);
     node.digest = digestOf(node);
     return std::make_shared<const SearchNode>(std::move(node));
 }
 
-/// Terminates the node's run in the state and reports the termination to the other nodes.
+/// Terminates the node's incarnation in the state and reports the termination to the other nodes.
 void terminateIncarnation(const SearchSetup &setup, SearchState &state, std::size_t index)
 {
-    const NodeIncarnation terminated = state.nodes[index]->run;
+    const NodeIncarnation terminated = state.nodes[index]->nodeIncarnation;
     state.nodes[index] = nullptr;
     const KeyMember gone {terminated.node, terminated.incarnation, false, false, true};
     for (std::size_t i = 0; i < state.nodes.size(); ++i) {
@@ -381,8 +381,8 @@
         enqueue(state, "start " + m_setup.names[index].str(), std::move(next));
     }
 
-    /// Lets the new run and the other nodes exchange their first messages at once. Before that, the
-    /// new run could only refuse keys.
+    /// Lets the new incarnation and the other nodes exchange their first messages at once. Before
+    /// that, the new incarnation could only refuse keys.
     void exchangeFirstMessages(SearchState &state, std::size_t index)
     {
         const auto tick = [&](KeyRegistry &node, KeyOutput &out) {
--- a/unittests/Idempotency/KeySearch.h
+++ b/unittests/Idempotency/KeySearch.h
@@ -15,7 +15,7 @@
 /// One process in the search, shared between the states in which it is the same.
 struct SearchNode
 {
-    NodeIncarnation run;
+    NodeIncarnation nodeIncarnation;
     KeyRegistry registry;
     std::uint64_t digest = 0;
     /// Set if the process was started in the search; other nodes learn of it by its liveness
@@ -101,11 +101,12 @@
 SearchSetup makeSetup(const std::vector<std::string> &names, const VmList &list);
 /// Lets time pass while all messages are delivered in order without faults.
 void runWithoutFaults(SearchSetup &setup, Duration time);
-/// Delivers a list to a node and to its later runs.
+/// Delivers a list to a node and to its later incarnations.
 void setList(SearchSetup &setup, std::size_t index, const VmList &list);
-/// Starts the node's next run with empty state. Its earlier run must have terminated.
+/// Starts the node's next incarnation with empty state. Its earlier incarnation must have
+/// terminated.
 void start(SearchSetup &setup, std::size_t index);
-/// Terminates the node's run and reports the termination to the other nodes.
+/// Terminates the node's incarnation and reports the termination to the other nodes.
 void kill(SearchSetup &setup, std::size_t index);
 
 /// Explores all states that can follow the setup's start state.
--- a/unittests/Idempotency/KeySearchTest.cpp
+++ b/unittests/Idempotency/KeySearchTest.cpp
@@ -92,7 +92,7 @@
 }
 
 // A router runs the key, restarts with empty state and receives the key again. Votes for its
-// earlier run are still in transit and must not admit the new run.
+// earlier incarnation are still in transit and must not admit the new one.
 TEST(KeySearch, RestartedRouterReceivesKeyAgain)
 {
     SearchSetup setup = agreedRosterSetup({"a", "b", "c"});
@@ -101,9 +101,9 @@
     searchAndCheck("router restarted", setup, 500'000);
 }
 
-// A witness has restarted, so the other nodes agree on a roster with its new run. Meanwhile two
-// routers receive a key whose creation time lies after the new roster's start. Every message of the
-// agreement may be late, and votes in the old roster are still in transit.
+// A witness has restarted, so the other nodes agree on a roster with its new incarnation. Meanwhile
+// two routers receive a key whose creation time lies after the new roster's start. Every message of
+// the agreement may be late, and votes in the old roster are still in transit.
 TEST(KeySearch, OneKeyTwoRoutersOneRestartOneRosterChange)
 {
     SearchSetup setup = agreedRosterSetup({"a", "b", "c"});
--- a/unittests/Net/EarlySheddingTest.cpp
+++ b/unittests/Net/EarlySheddingTest.cpp
@@ -1,5 +1,5 @@
 // Tests the decisions of an overloaded thread on the first bytes of a request.
-#include "Screening.h"
+#include "EarlyShedding.h"
 
 #include <gtest/gtest.h>
 #include <string>
@@ -68,7 +68,7 @@
     EXPECT_FALSE(tryEarlyShed(completeRequest + completeRequest).immediateResponse);
 }
 
-// Guards against counting a request twice: during shedResult and when its head is complete.
+// Guards against counting a request twice: during early shedding and when its head is complete.
 TEST_F(EarlySheddingTest, incompleteHeadIsUndecided)
 {
     EXPECT_EQ(tryEarlyShed(head).decision, ShedDecision::Undecided);
