--- a/lib/Idempotency/KeyClaims.cpp
+++ b/lib/Idempotency/KeyClaims.cpp
@@ -31,11 +31,12 @@
     if (!roster && !chain.lastActive())
         return Refusal {503, "no-witnesses", "the nodes have not yet agreed on witnesses",
                         defaultRetryAfter};
-    if (!roster)
+    if (!roster) {
         return Refusal {409,
                         "key-too-old",
                         "the key was created before the oldest known roster of witnesses",
                         {}};
+    }
     claim.roster = roster->id;
     claim.witnesses = roster->members;
     claim.quorum = roster->quorum();
@@ -155,10 +156,11 @@
                 409, "holder-gone", "the node process that held the key has terminated", {}};
         return std::nullopt;
     }
-    if (claim.witnesses.size() - claim.no.size() < claim.quorum)
+    if (claim.witnesses.size() - claim.no.size() < claim.quorum) {
         return Refusal {503, "witnesses-abstain",
                         "too few witnesses can tell whether the key was used before",
                         defaultRetryAfter};
+    }
     return std::nullopt;
 }
 
--- a/lib/Net/TargetAttempt.cpp
+++ b/lib/Net/TargetAttempt.cpp
@@ -313,10 +313,11 @@
     m_deadline->stop();
     // The connection is not reusable if bytes are left over, or if the target still has to read the
     // rest of the request: the next request would be out of step with its response.
-    if (m_parser->keep_alive() && m_isRequestSent && m_buffer.size() == 0)
+    if (m_parser->keep_alive() && m_isRequestSent && m_buffer.size() == 0) {
         m_pool.put(m_dispatch.endpoint, std::move(m_socket),
                    announcedIdleTimeout(m_parser->get().base()), m_dispatch.idleConnectionLimit,
                    Clock::now());
+    }
     close();
 }
 
--- a/lib/Net/TrafficThread.cpp
+++ b/lib/Net/TrafficThread.cpp
@@ -203,10 +203,11 @@
     const bool isLate = lag > minReportedLag;
     // Reports once more after the last late iteration, so that the core learns that the lag has
     // ended.
-    if (isLate || m_wasLate || isShedding())
+    if (isLate || m_wasLate || isShedding()) {
         report(TrafficThreadReport {lag, std::exchange(m_acceptedConnections, 0),
                                     std::exchange(m_abandonedRequests, 0),
                                     m_loadShedder.takeShedCounts()});
+    }
     m_wasLate = isLate;
 }
 
