--- a/benchmarks/Documents.cpp
+++ b/benchmarks/Documents.cpp
@@ -1,5 +1,5 @@
-// What a service document costs a node: its size, the time to check it and put it into force, and
-// the memory that it holds, swept over workspaces and over targets. Prints one line a size.
+// Measures the cost of a service document at a node: its size, the time to validate and activate
+// it, and its memory, over the number of workspaces and of targets. Prints one line per size.
 #include "berylridge/Config/DocumentStore.h"
 #include "berylridge/Config/DocumentWriter.h"
 #include "berylridge/Support/Hash.h"
@@ -53,7 +53,7 @@
     constexpr std::size_t repeats = 21;
     const auto text = writeServiceDocument(makeDocument(workspaces, targets));
     std::vector<double> times;
-    std::size_t held = 0;
+    std::size_t heapBytes = 0;
     for (std::size_t i = 0; i < repeats; ++i) {
         const auto before = heapInUse();
         DocumentStore store;
@@ -62,14 +62,15 @@
         const auto result = store.accept(std::move(document));
         times.push_back(microsecondsSince(begin));
         if (result.status != AcceptStatus::Accepted) {
-            std::printf("refused: %s\n", result.diagnostics.front().str().c_str());
+            std::printf("document refused: %s\n", result.diagnostics.front().str().c_str());
             return;
         }
-        held = heapInUse() - before;
+        heapBytes = heapInUse() - before;
     }
     std::nth_element(times.begin(), times.begin() + repeats / 2, times.end());
     std::printf("%10zu %8zu %10zu %12.0f %12zu\n", workspaces, targets,
-                writeEnvelope({"service/assistant", 1, text}).size(), times[repeats / 2], held);
+                writeEnvelope({"service/assistant", 1, text}).size(), times[repeats / 2],
+                heapBytes);
 }
 
 } // namespace
--- a/include/berylridge/Idempotency/KeyRegistry.h
+++ b/include/berylridge/Idempotency/KeyRegistry.h
@@ -1,11 +1,12 @@
-// The idempotency component's face: admits each key at most once over the fleet, keeps answers for
-// repeats and serves as a witness for other nodes. See docs/design/idempotency.md.
+// The entry point of the idempotency component. It admits each key at most once in the fleet,
+// stores responses for repeated requests and acts as a witness for other nodes. See
+// docs/design/idempotency.md.
 #pragma once
 
 #include "berylridge/Config/Vms.h"
-#include "berylridge/Idempotency/KeyLife.h"
 #include "berylridge/Idempotency/KeyOutput.h"
-#include "berylridge/Idempotency/RosterKeeper.h"
+#include "berylridge/Idempotency/KeyPhase.h"
+#include "berylridge/Idempotency/RosterCoordinator.h"
 #include "berylridge/Idempotency/Witness.h"
 
 #include <cstddef>
@@ -24,94 +25,113 @@
 {
     NodeId node;
     Incarnation incarnation = 0;
-    Duration lifetime = std::chrono::hours(1);                ///< A key is refused when older.
-    Duration futureTolerance = std::chrono::seconds(1);       ///< Callers' clocks ahead of ours.
-    Duration clockSkew = std::chrono::milliseconds(500);      ///< Nodes' clocks against true time.
-    Duration decisionWindow = std::chrono::milliseconds(500); ///< For all consents to a roster.
-    Duration settleTime = std::chrono::seconds(1);           ///< Unchanged members before a roster.
-    Duration silenceLimit = std::chrono::milliseconds(2500); ///< Until a run is not heard.
-    Duration claimTimeout = std::chrono::milliseconds(1500); ///< Longest wait for witnesses.
-    Duration resendPeriod = std::chrono::milliseconds(100);  ///< For lost datagrams.
-    Duration gossipPeriod = std::chrono::seconds(1); ///< Between signs of life to witnesses.
-    std::size_t rosterLimit = 9;                     ///< Witnesses of a roster.
-    std::size_t keyLimit = 100'000;                  ///< Keys held, and votes given.
-    std::size_t keptBytes = 8 << 20;                 ///< Kept answers, all together.
-    std::size_t keptAnswerLimit = 64 << 10;          ///< One kept answer.
+    Duration lifetime = std::chrono::hours(1); ///< Older keys are refused.
+    /// How far a caller's clock may be ahead of this node's clock.
+    Duration futureTolerance = std::chrono::seconds(1);
+    /// The maximum deviation of a node's clock from true time.
+    Duration maxClockSkew = std::chrono::milliseconds(500);
+    /// How long a proposer waits until all recipients have consented to a roster.
+    Duration consentTimeout = std::chrono::milliseconds(500);
+    /// How long the set of members must be unchanged before a node proposes a roster.
+    Duration membershipStablePeriod = std::chrono::seconds(1);
+    /// How long an incarnation counts as alive after its last message.
+    Duration livenessTimeout = std::chrono::milliseconds(2500);
+    /// The longest wait for the votes of witnesses.
+    Duration claimTimeout = std::chrono::milliseconds(1500);
+    /// Claims and proposals are resent at this interval because datagrams may be lost.
+    Duration resendPeriod = std::chrono::milliseconds(100);
+    /// The interval of liveness messages to the witnesses.
+    Duration gossipPeriod = std::chrono::seconds(1);
+    std::size_t maxRosterMembers = 9; ///< The maximum number of witnesses in a roster.
+    /// The maximum number of keys held and, separately, of keys voted for as a witness.
+    std::size_t maxKeys = 100'000;
+    /// The maximum size of all stored response bodies together.
+    std::size_t maxStoredResponseBytes = 8 << 20;
+    /// The maximum size of one stored response body.
+    std::size_t maxStoredResponseBodyBytes = 64 << 10;
 };
 
-/// One node's part in running each key at most once. A value: tests copy it.
+/// Implements one node's part in running each key at most once. It is copyable so that tests can
+/// copy a node's state.
 class KeyRegistry
 {
 public:
     explicit KeyRegistry(KeyOptions options);
 
-    /// Asks for a key. The answer is a decision for the request, at once or later; until then the
-    /// request waits. Not to be called for requests without a key.
-    void begin(KeyRequest request, const std::string &key, std::uint64_t bodyHash, TimePoint now,
+    /// Requests admission of a key. The decision for the request is output now or later; the
+    /// request waits until then. Must not be called for a request without a key.
+    void begin(KeyRequestId request, const std::string &key, std::uint64_t bodyHash, TimePoint now,
                WallTime wall, KeyOutput &out);
 
-    /// Whether an admitted key may still be dispatched; ask just before the first byte leaves.
+    /// Returns whether an admitted key may still be dispatched. Must be checked immediately before
+    /// the first byte is sent.
     bool mayDispatch(const std::string &key, TimePoint now, WallTime wall) const;
-    /// Bytes may leave for a target from now on.
+    /// Records that bytes may be sent to a target from now on.
     void dispatched(const std::string &key);
-    /// The attempt failed before any byte left: as if it had not been dispatched.
-    void notSent(const std::string &key);
-    /// The request is given up before any byte left. Says what may be told to the caller: NotRun
-    /// only where this node held the key, else MayHaveRun.
+    /// Records that the attempt failed before any byte was sent, as if the key had not been
+    /// dispatched.
+    void revertDispatch(const std::string &key);
+    /// Ends the claim of a request that is abandoned before any byte was sent. Returns the verdict
+    /// for the caller: NotRun only if this node held the key, otherwise MayHaveRun.
     Verdict release(const std::string &key, KeyOutput &out);
-    /// The target answered; the answer is kept for repeats while memory and lifetime allow.
+    /// Records the target's response. The response is stored for repeated requests as long as
+    /// memory and the key's lifetime allow.
     void finished(const std::string &key, unsigned status, std::vector<KeyHeader> headers,
                   std::optional<std::string> body);
-    /// The attempt ended without a whole answer: the operation may have run.
+    /// Records that the attempt ended without a complete response: the operation may have run.
     void failed(const std::string &key);
 
-    /// A new key that this process alone admits; for POST /v1/idempotency-keys.
+    /// Returns a new key that only this process admits, for POST /v1/idempotency-keys.
     std::string issueKey(TimePoint now, WallTime wall);
 
     void onMessage(const NodeId &from, Incarnation incarnation, const KeyMessage &message,
                    TimePoint now, WallTime wall, KeyOutput &out);
-    /// All nodes that the membership knows, whenever one of them changed.
+    /// Receives all nodes that the membership knows, whenever one of them changes.
     void onMembers(std::span<const KeyMember> members, TimePoint now, WallTime wall,
                    KeyOutput &out);
     void onVmList(const VmList &list, TimePoint now, WallTime wall, KeyOutput &out);
     void tick(TimePoint now, WallTime wall, KeyOutput &out);
-    /// When to call tick() next; TimePoint::max() when there is nothing to wait for.
+    /// Returns when tick() must be called next, or TimePoint::max() if nothing is pending.
     TimePoint nextTimer() const;
 
     KeyPhase phase(const std::string &key) const;
-    /// How many claims this run has made; each has the next number.
-    std::uint64_t claimCount() const { return m_claims; }
-    /// Whether a key that a caller makes now would find witnesses. Not before the first roster has
-    /// begun, nor for a moment after: the caller's clock may be behind.
-    bool takesKeysMadeNow(WallTime wall) const;
-
-    /// The rosters that this node knows, for operators.
-    const RosterChain &rosters() const { return m_keeper.chain(); }
-    /// One line with all that decides what this node does next; for operators and searches.
+    /// Returns how many claims this process has made. Claims are numbered consecutively.
+    std::uint64_t claimCount() const { return m_claimCount; }
+    /// Returns whether witnesses exist for a key that a caller creates now. False until the first
+    /// roster has started and for maxClockSkew after that, because the caller's clock may be
+    /// behind.
+    bool acceptsNewKeys(WallTime wall) const;
+
+    /// Returns the rosters that this node knows, for operators.
+    const RosterChain &rosters() const { return m_rosterCoordinator.chain(); }
+    /// Returns one line with all state that determines the node's further behaviour, for operators
+    /// and for state-space searches in tests.
     std::string describe() const;
 
 private:
-    /// What this node asked of a key's witnesses, while it waits for them.
+    /// A claim that waits for the votes of the key's witnesses.
     struct Claim
     {
         std::uint64_t number = 0;
         RosterId roster = 0;
-        std::vector<NodeRun> witnesses;
+        std::vector<NodeIncarnation> witnesses;
         std::size_t quorum = 0;
-        std::set<NodeRun> yes;
-        std::set<NodeRun> no;
-        std::optional<NodeRun> holder; ///< A witness says that this run holds the key.
+        std::set<NodeIncarnation> yes;
+        std::set<NodeIncarnation> no;
+        /// The incarnation that holds the key according to a witness.
+        std::optional<NodeIncarnation> holder;
         TimePoint deadline;
         TimePoint resendAt;
     };
 
+    /// The state of a key that this node holds.
     struct Held
     {
         KeyPhase phase = KeyPhase::Claiming;
-        KeyRequest request = 0;
+        KeyRequestId request = 0;
         std::uint64_t bodyHash = 0;
-        WallTime begunAt;
-        WallTime forgetAt;
+        WallTime receivedAt;
+        WallTime retainUntil;
         unsigned status = 0;
         std::vector<KeyHeader> headers;
         std::optional<std::string> body;
@@ -120,7 +140,7 @@
 
     using HeldKeys = std::unordered_map<std::string, Held>;
 
-    /// A refusal before it is bound to a request.
+    /// A refusal that is not yet assigned to a request.
     struct Refusal
     {
         unsigned status = 503;
@@ -130,51 +150,54 @@
         Verdict verdict = Verdict::MayHaveRun;
     };
 
-    NodeRun self() const { return {m_options.node, m_options.incarnation}; }
-    void advance(TimePoint now, WallTime wall);
-    std::optional<Refusal> refusalByAge(const KeyText &text) const;
-    void repeat(KeyRequest request, const std::string &key, std::uint64_t bodyHash,
-                const Held &held, KeyOutput &out) const;
-    WallTime forgetTime(const KeyText &text) const;
-    static void refuse(KeyRequest request, const std::string &key, const Refusal &refusal,
+    NodeIncarnation self() const { return {m_options.node, m_options.incarnation}; }
+    void advanceClocks(TimePoint now, WallTime wall);
+    std::optional<Refusal> refusalForAge(const ParsedKey &parsedKey) const;
+    void handleRepeat(KeyRequestId request, const std::string &key, std::uint64_t bodyHash,
+                      const Held &held, KeyOutput &out) const;
+    WallTime retentionEnd(const ParsedKey &parsedKey) const;
+    static void refuse(KeyRequestId request, const std::string &key, const Refusal &refusal,
                        KeyOutput &out);
-    void keep(const std::string &key, Held &held, std::optional<std::string> body);
-    void forgetOld();
+    void storeResponse(const std::string &key, Held &held, std::optional<std::string> body);
+    void removeExpiredKeys();
 
-    // The claim of a key, in lib/Idempotency/KeyClaims.cpp.
+    // The functions below handle claims and the messages about them; see
+    // lib/Idempotency/KeyClaims.cpp.
     void startClaim(const std::string &key, Held &held, KeyOutput &out);
-    std::optional<Refusal> chooseWitnesses(const KeyText &text, Claim &claim) const;
+    std::optional<Refusal> chooseWitnesses(const ParsedKey &parsedKey, Claim &claim) const;
     bool isCurrent(const std::string &key, const Claim &claim) const;
     void sendClaims(const std::string &key, Held &held, KeyOutput &out);
     void releaseClaim(const std::string &key, const Claim &claim, KeyOutput &out);
-    void countVote(const std::string &key, const NodeRun &from, const VoteResult &result,
+    void countVote(const std::string &key, const NodeIncarnation &from, const VoteResult &result,
                    KeyOutput &out);
-    void judge(const std::string &key, KeyOutput &out);
-    void giveUp(const std::string &key, const Refusal &refusal, KeyOutput &out);
+    void evaluateClaim(const std::string &key, KeyOutput &out);
+    void abandonClaim(const std::string &key, const Refusal &refusal, KeyOutput &out);
     void resendClaims(KeyOutput &out);
-    std::optional<Refusal> refusalOf(const Claim &claim) const;
-
-    void take(const NodeRun &from, const KeyClaim &claim, KeyOutput &out);
-    void take(const NodeRun &from, const KeyVote &vote, KeyOutput &out);
-    void take(const NodeRun &from, const KeyRelease &release, KeyOutput &out);
-    void take(const NodeRun &from, const KeyQuery &query, KeyOutput &out);
-    void take(const NodeRun &from, const KeyState &state, KeyOutput &out);
-    void take(const NodeRun &from, const RosterNews &news, KeyOutput &out);
-    void take(const NodeRun &from, const RosterProposal &proposal, KeyOutput &out);
-    void take(const NodeRun &from, const RosterConsent &consent, KeyOutput &out);
-    void take(const NodeRun &from, const RosterDecision &decision, KeyOutput &out);
+    std::optional<Refusal> refusalForClaim(const Claim &claim) const;
+
+    void handle(const NodeIncarnation &from, const KeyClaim &claim, KeyOutput &out);
+    void handle(const NodeIncarnation &from, const KeyVote &vote, KeyOutput &out);
+    void handle(const NodeIncarnation &from, const KeyRelease &release, KeyOutput &out);
+    void handle(const NodeIncarnation &from, const KeyQuery &query, KeyOutput &out);
+    void handle(const NodeIncarnation &from, const KeyState &state, KeyOutput &out);
+    void handle(const NodeIncarnation &from, const RosterUpdate &update, KeyOutput &out);
+    void handle(const NodeIncarnation &from, const RosterProposal &proposal, KeyOutput &out);
+    void handle(const NodeIncarnation &from, const RosterProposalReply &reply, KeyOutput &out);
+    void handle(const NodeIncarnation &from, const RosterDecision &decision, KeyOutput &out);
 
     KeyOptions m_options;
     TimePoint m_now;
-    WallTime m_wall; ///< Never steps back, whatever the machine's clock does.
-    RosterKeeper m_keeper;
+    WallTime m_wall; ///< Never decreases, even if the machine's clock is set back.
+    RosterCoordinator m_rosterCoordinator;
     Witness m_witness;
-    HeldKeys m_held;
-    std::set<std::string> m_claiming; ///< Keys of m_held in the phase Claiming.
-    std::uint64_t m_claims = 0;       ///< Numbers claims.
-    std::deque<std::string> m_kept;   ///< Keys with a kept answer, oldest first.
-    std::size_t m_keptBytes = 0;
-    WallTime m_forgetAt;
+    HeldKeys m_heldKeys;
+    /// The keys of m_heldKeys in the phase Claiming.
+    std::set<std::string> m_claimingKeys;
+    std::uint64_t m_claimCount = 0; ///< The number of the latest claim.
+    /// The keys with a stored response, oldest first.
+    std::deque<std::string> m_storedResponseKeys;
+    std::size_t m_storedResponseBytes = 0;
+    WallTime m_nextSweepAt;
 };
 
 } // namespace berylridge
--- a/include/berylridge/Idempotency/Witness.h
+++ b/include/berylridge/Idempotency/Witness.h
@@ -1,7 +1,8 @@
-// The witness role: records which run of which node asked for a key first, and denies it to others.
+// The witness role: records which incarnation of which node claimed a key first, and rejects the
+// claims of all others.
 #pragma once
 
-#include "berylridge/Idempotency/KeyTime.h"
+#include "berylridge/Idempotency/KeyFormat.h"
 #include "berylridge/Idempotency/Roster.h"
 
 #include <cstddef>
@@ -14,26 +15,28 @@
 
 enum class Vote : std::uint8_t {
     Yes,
-    Held,        ///< Another run holds the key.
-    Abstain,     ///< This witness can't know whether the key was run before.
-    OtherRoster, ///< The key belongs to another roster than the one the asker named.
-    Expired,     ///< The key is past its lifetime, or from the future.
-    Full,        ///< No memory for another key.
-    Stale,       ///< The claim is older than one that the asker made since; not answered.
+    Held,        ///< Another incarnation holds the key.
+    Abstain,     ///< This witness cannot know whether the key has been run before.
+    OtherRoster, ///< The key belongs to another roster than the one that the claim names.
+    /// The key's lifetime has ended, or its creation time is too far in the future.
+    Expired,
+    Full,  ///< The witness has reached its maximum number of records.
+    Stale, ///< The claimant has made a later claim since; the witness does not reply.
 };
 
-/// When a key's votes may be given, by the witness's own clock.
-struct KeyLimits
+/// The limits on a key's creation time, relative to the witness's own clock, within which the
+/// witness votes.
+struct KeyTimeLimits
 {
     Duration lifetime {0};
     Duration futureTolerance {0};
-    Duration clockSkew {0};
+    Duration maxClockSkew {0};
 };
 
-/// A claim as a witness sees it.
-struct WitnessedClaim
+/// The content of a claim that a witness received.
+struct ReceivedClaim
 {
-    NodeRun asker;
+    NodeIncarnation claimant;
     RosterId roster = 0;
     std::uint64_t claim = 0;
 };
@@ -41,27 +44,29 @@
 struct VoteResult
 {
     Vote vote = Vote::Abstain;
-    NodeRun holder; ///< With Held.
+    NodeIncarnation holder; ///< Set if the vote is Held.
 };
 
-/// A roster's id in claims for issued keys, whose only witness is the issuer.
-inline constexpr RosterId issuerRoster = 2;
+/// The roster id in claims for issued keys. The issuer is the only witness of such a key. No
+/// roster has this id, because makeRoster() creates only odd ids.
+inline constexpr RosterId issuerRosterId = 2;
 
 class Witness
 {
 public:
-    Witness(NodeRun self, KeyLimits limits, std::size_t recordLimit);
+    Witness(NodeIncarnation self, KeyTimeLimits limits, std::size_t maxRecords);
 
-    /// The wall-clock time must not step back between calls.
-    VoteResult vote(const std::string &key, const WitnessedClaim &claim, const RosterChain &chain,
+    /// Votes on a claim. The wall-clock time must not decrease between calls.
+    VoteResult vote(const std::string &key, const ReceivedClaim &claim, const RosterChain &chain,
                     WallTime wall);
-    /// The asker has not run the key under any of its claims up to this one.
-    void release(const std::string &key, const NodeRun &asker, std::uint64_t claim);
+    /// Drops the claimant's record. The claimant has not run the key under any of its claims up to
+    /// this one.
+    void release(const std::string &key, const NodeIncarnation &claimant, std::uint64_t claim);
 
-    /// Makes a key that this run alone admits.
+    /// Creates a key that only this incarnation admits.
     std::string issueKey(WallTime wall);
 
-    /// Forgets records of keys past their lifetime.
+    /// Removes the records of expired keys.
     void prune(WallTime wall);
 
     std::size_t size() const { return m_records.size(); }
@@ -70,22 +75,22 @@
 private:
     struct Record
     {
-        NodeRun holder;
+        NodeIncarnation holder;
         std::uint64_t claim = 0;
         WallTime expiresAt;
     };
 
-    Vote eligibility(const KeyText &text, RosterId asked, const RosterChain &chain,
-                     WallTime wall) const;
-    Vote issuedEligibility(const KeyText &text, RosterId asked) const;
-    Vote opaqueEligibility(RosterId asked, const RosterChain &chain, WallTime wall) const;
-    Vote memberEligibility(const Roster *roster, RosterId asked) const;
-    WallTime expiryOf(const KeyText &text, WallTime wall) const;
-
-    NodeRun m_self;
-    KeyLimits m_limits;
-    std::size_t m_recordLimit;
-    std::uint64_t m_issued = 0;
+    Vote eligibilityVote(const ParsedKey &parsedKey, RosterId claimedRoster,
+                         const RosterChain &chain, WallTime wall) const;
+    Vote issuedEligibility(const ParsedKey &parsedKey, RosterId claimedRoster) const;
+    Vote opaqueEligibility(RosterId claimedRoster, const RosterChain &chain, WallTime wall) const;
+    Vote memberEligibility(const Roster *roster, RosterId claimedRoster) const;
+    WallTime expiryOf(const ParsedKey &parsedKey, WallTime wall) const;
+
+    NodeIncarnation m_self;
+    KeyTimeLimits m_limits;
+    std::size_t m_maxRecords;
+    std::uint64_t m_issuedCount = 0;
     std::unordered_map<std::string, Record> m_records;
 };
 
--- a/include/berylridge/Net/HttpClient.h
+++ b/include/berylridge/Net/HttpClient.h
@@ -1,4 +1,5 @@
-// Calls to one HTTP server, one after another on a kept connection: load polls, platform, nodes.
+// Sends HTTP calls to one server, one at a time on a persistent connection. Used for load polls and
+// for calls to the platform and to nodes.
 #pragma once
 
 #include "berylridge/Net/Asio.h"
@@ -17,62 +18,63 @@
 
 struct HttpReply
 {
-    std::optional<AttemptFailure> failure; ///< Why there is no answer.
+    std::optional<AttemptFailure> failure; ///< Why there is no response.
     unsigned status = 0;
     std::string body;
 };
 
-/// For calls that may be repeated: one that fails on a kept connection is sent once more on a new
-/// one. Lives on one thread.
+/// Only for calls that can be repeated safely: a call that fails on a reused connection is sent
+/// once more on a new one. Not thread-safe: runs on one thread.
 class HttpClient : public std::enable_shared_from_this<HttpClient>
 {
 public:
-    using Done = std::function<void(HttpReply)>;
+    using CompletionHandler = std::function<void(HttpReply)>;
 
-    static constexpr std::uint64_t answerLimit = 64 << 20;
+    static constexpr std::uint64_t maxResponseBytes = 64 << 20;
     static constexpr std::size_t queueLimit = 64;
 
     HttpClient(asio::io_context &context, Endpoint endpoint);
 
-    void get(std::string_view target, Duration timeout, Done done);
-    void post(std::string_view target, std::string body, Duration timeout, Done done);
+    void get(std::string_view target, Duration timeout, CompletionHandler done);
+    void post(std::string_view target, std::string body, Duration timeout, CompletionHandler done);
 
-    /// Calls that are waiting or under way.
+    /// Returns the number of calls that are queued or in progress.
     std::size_t pending() const { return m_calls.size(); }
-    /// Drops all calls; none is answered.
+    /// Cancels all calls without calling their handlers.
     void close();
 
 private:
-    /// What operations under way refer to. They own it: one whose answer has already come when the
-    /// connection is given up still touches it after that.
+    /// The state that pending asynchronous operations use. They share its ownership, because an
+    /// operation whose response has already arrived when the connection is closed still accesses it
+    /// afterwards.
     struct Connection;
 
     struct Call
     {
-        std::shared_ptr<const StringRequest> request; ///< Shared with the write under way.
+        std::shared_ptr<const StringRequest> request; ///< Shared with the pending write.
         Duration timeout;
-        Done done;
-        bool isRepeated = false;
+        CompletionHandler done;
+        bool isRetried = false;
     };
 
     void enqueue(http::verb method, std::string_view target, std::string body, Duration timeout,
-                 Done done);
-    void begin();
+                 CompletionHandler done);
+    void startCall();
     void connect();
     void send();
     void receive();
-    /// An operation on the connection has ended: what comes next, unless it failed.
-    void goOn(const std::shared_ptr<Connection> &connection, error_code error,
-              void (HttpClient::*next)());
-    void drop();
+    /// Handles the end of an operation on the connection: calls next, or handles the error.
+    void onOperationDone(const std::shared_ptr<Connection> &connection, error_code error,
+                         void (HttpClient::*next)());
+    void closeConnection();
     void onFailure(AttemptFailure failure);
-    void onAnswer();
+    void onResponse();
     void complete(HttpReply reply);
 
     asio::io_context &m_context;
     const Endpoint m_endpoint;
-    std::shared_ptr<Connection> m_connection; ///< Null where there is none.
-    bool m_isKept = false;                    ///< The connection has served a call before.
+    std::shared_ptr<Connection> m_connection; ///< Null if not connected.
+    bool m_hasServedCall = false;             ///< Whether the connection has served a call before.
     std::deque<Call> m_calls;
 };
 
--- a/include/berylridge/Net/Metrics.h
+++ b/include/berylridge/Net/Metrics.h
@@ -1,4 +1,5 @@
-// Counters and latency histograms of one process, in the Prometheus text format.
+// Keeps the counters and latency histograms of one process and prints them in the Prometheus text
+// format.
 #pragma once
 
 #include "berylridge/Net/Datagram.h"
@@ -15,7 +16,7 @@
 
 namespace berylridge {
 
-/// Latencies of requests in logarithmic buckets (Boost.Histogram); for any thread.
+/// Counts request latencies in logarithmic buckets (Boost.Histogram). Thread-safe.
 class LatencyHistogram
 {
 public:
@@ -24,7 +25,7 @@
 
     void add(Duration latency);
 
-    /// Appends the buckets, sum and count under the name.
+    /// Appends the buckets, the sum and the count under the name.
     void print(const std::string &name, const std::string &help, std::string &out) const;
 
 private:
@@ -32,58 +33,63 @@
     std::unique_ptr<Impl> m_impl;
 };
 
-/// Bytes and messages of one kind, in one direction.
+/// Counts messages and bytes of one kind in one direction.
 struct MessageCounter
 {
     std::atomic<std::uint64_t> messages {0};
     std::atomic<std::uint64_t> bytes {0};
 };
 
-/// Everything that /metrics shows but the core's own view.
+/// Holds every value that /metrics shows, except the core's own state.
 class Metrics
 {
 public:
     using Counter = std::atomic<std::uint64_t>;
 
-    std::array<Counter, 3> requestsByVerdict {}; ///< Indexed by Verdict: requests that ended.
+    std::array<Counter, 3> requestsByVerdict {}; ///< Requests that ended, indexed by Verdict.
     Counter requestsReceived {0};
-    Counter callersGone {0};
-    Counter callersGoneUnread {0}; ///< Of requests that were read when their caller had left.
+    Counter callerDisconnects {0};
+
+    /// Requests that were read after their caller had closed the connection.
+    Counter requestsReadAfterDisconnect {0};
     Counter connectionsAccepted {0};
     Counter acceptFailures {0};
-    Counter trafficLagMicroseconds {0}; ///< The last that a traffic thread reported.
+    Counter trafficLagMicroseconds {0}; ///< The latest value from any traffic thread.
     Counter connectionsOpen {0};
-    Counter connectionsRefused {0};
+    Counter connectionsRejected {0};
     Counter attemptsStarted {0};
     Counter attemptsFailed {0};
     Counter connectionsReused {0};
-    std::array<MessageCounter, peerMessageKinds> sent {};
-    std::array<MessageCounter, peerMessageKinds> received {};
+    std::array<MessageCounter, peerMessageKindCount> sent {};
+    std::array<MessageCounter, peerMessageKindCount> received {};
     Counter datagramsSent {0};
     Counter datagramsReceived {0};
     Counter datagramBytesSent {0};
     Counter datagramBytesReceived {0};
+
+    /// Counts RPC calls between nodes, for messages that are too large for a datagram.
     Counter callsSent {0};
     Counter callBytesSent {0};
     Counter callsReceived {0};
     Counter callBytesReceived {0};
+
     Counter datagramsRejected {0};
     Counter platformCalls {0};
     Counter targetPolls {0};
     Counter logLinesDropped {0};
     Counter controlEvents {0};
-    LatencyHistogram firstByte;
-    LatencyHistogram whole;
+    LatencyHistogram firstByteLatency;
+    LatencyHistogram requestLatency;
 
-    /// Counts a refusal under its problem type.
-    void addRefusal(const std::string &type);
+    /// Counts a rejected request under its problem type.
+    void countRejectedRequest(const std::string &type);
 
-    /// controlSeconds is the processor time of the control thread.
-    std::string print(double controlSeconds) const;
+    /// Prints all metrics. controlCpuSeconds is the processor time of the control thread.
+    std::string print(double controlCpuSeconds) const;
 
 private:
     mutable std::mutex m_mutex;
-    std::map<std::string, std::uint64_t> m_refusals;
+    std::map<std::string, std::uint64_t> m_rejectedRequests;
 };
 
 } // namespace berylridge
--- a/include/berylridge/Net/WireProtocol.h
+++ b/include/berylridge/Net/WireProtocol.h
@@ -1,5 +1,7 @@
-// How requests and answers look in HTTP: the names of fields and what they mean. The shell forwards
-// by it; the product's own protocol is one, an adapter for a foreign platform brings another.
+// Defines the interface to an HTTP mapping: the names of header fields and their meaning. The
+// shell, which is the networking code around the decision core, uses it to forward requests and
+// responses. The product's native protocol is one implementation; an adapter for a foreign platform
+// provides another.
 #pragma once
 
 #include "berylridge/Net/Asio.h"
@@ -17,130 +19,135 @@
 
 namespace berylridge {
 
-using AnswerHead = http::response_header<>;
+using ResponseHead = http::response_header<>;
 using RequestHead = http::request<http::empty_body>;
-using CallerAnswerHead = http::response<http::empty_body>;
+using CallerResponseHead = http::response<http::empty_body>;
 
-/// What the shell knows of an attempt when it writes the request's head for the target.
-struct AttemptNames
+/// Identifiers that the shell passes when it builds a request head for the target.
+struct AttemptIds
 {
     std::string_view requestId;
     std::string_view attemptId;   ///< Unique to this attempt.
-    std::string_view lastEventId; ///< Of the last event that the caller has; empty for none.
+    std::string_view lastEventId; ///< Id of the last event that the caller received; empty if none.
 };
 
-/// What a target's answer head says.
-struct AnswerFacts
+/// Properties of a target's response head.
+struct ResponseInfo
 {
-    bool isOwn = true;    ///< False for a late answer to an earlier request on the connection.
-    bool isUsable = true; ///< False where the answer can't be what the target meant to say.
-    /// NotRun, OtherTarget or TargetError where the answer is a failure: the core decides what
-    /// becomes of the request, and the caller sees nothing of it yet.
+    bool isForThisRequest
+        = true;           ///< False for a late response to an earlier request on the connection.
+    bool isUsable = true; ///< False if the response is inconsistent and must not be used.
+    /// Set to NotRun, OtherTarget or TargetError if the response reports a failure: the core then
+    /// decides how the request continues, and nothing is sent to the caller yet.
     std::optional<AttemptFailure> failure;
-    bool isPassable = true;             ///< Whether a TargetError may reach the caller as it is.
-    std::string bootId;                 ///< Of the target; empty where it doesn't tell.
-    std::optional<Duration> coldFor {}; ///< How long the target says that it stays cold.
+    bool isRelayable = true; ///< Whether a TargetError may be relayed to the caller unchanged.
+    std::string bootId;      ///< Boot id of the target; empty if it sends none.
+    std::optional<Duration> coldFor {}; ///< How long the target reports that it stays cold.
 };
 
-/// Who sends a request, as its head says.
-struct CallerNames
+/// Identity of a request's sender, from the request head.
+struct CallerIdentity
 {
-    std::string requestId;  ///< Empty where the caller gave none.
-    std::string credential; ///< The workspace's key; empty where there is none.
+    std::string requestId;  ///< Empty if the caller sent none.
+    std::string credential; ///< The workspace's key; empty if there is none.
 };
 
-/// Choices of a protocol that the shell itself acts on.
-struct WireRules
+/// Properties of a protocol that the shell itself depends on.
+struct WireProtocolTraits
 {
-    bool streamsEndWithMark = true;    ///< A stream is whole only after `data: [DONE]`.
-    bool takesUnframedAnswers = false; ///< An answer without a length ends with its connection.
-    bool ignoresTrailingBytes = false; ///< Bytes after a whole answer only end the connection.
-    /// A small answer is passed on when it is whole, so that one cut short can be tried again.
-    bool buffersSmallAnswers = false;
+    bool streamsEndWithDoneEvent = true; ///< Only `data: [DONE]` completes a stream.
+    bool acceptsUnframedResponses
+        = false; ///< The end of the connection ends a response without a length.
+    bool ignoresTrailingBytes = false; ///< Bytes after a complete response only end the connection.
+    /// A small response is relayed only when it is complete, so that a truncated one can be
+    /// retried.
+    bool buffersSmallResponses = false;
 };
 
-/// What the shell needs of a protocol. Used by all traffic threads at once: it must not change.
+/// Requirements of the shell on a protocol. All traffic threads use it concurrently, so it must be
+/// immutable.
 template <typename T>
 concept WireProtocol
     = requires(const T &protocol, const StringRequest &request, std::string_view text,
-               const Dispatch &order, const AttemptNames &names, RequestHead &requestHead,
-               const AnswerHead &answerHead, CallerAnswerHead &callerHead, const Problem &problem)
+               const Dispatch &dispatch, const AttemptIds &ids, RequestHead &requestHead,
+               const ResponseHead &responseHead, CallerResponseHead &callerHead,
+               const Problem &problem)
 {
     {
         protocol.readCaller(request)
-        } -> std::same_as<CallerNames>;
+        } -> std::same_as<CallerIdentity>;
     {
         protocol.readRequest(request, text)
         } -> std::same_as<std::variant<RequestArrived, Problem>>;
     {
-        protocol.passesRequestField(text)
+        protocol.forwardsRequestField(text)
         } -> std::same_as<bool>;
-    protocol.completeRequestHead(request, order, names, requestHead);
+    protocol.completeRequestHead(request, dispatch, ids, requestHead);
     {
-        protocol.readAnswer(answerHead, names)
-        } -> std::same_as<AnswerFacts>;
+        protocol.readResponseHead(responseHead, ids)
+        } -> std::same_as<ResponseInfo>;
     {
-        protocol.passesAnswerField(text)
+        protocol.forwardsResponseField(text)
         } -> std::same_as<bool>;
-    protocol.completeAnswerHead(text, callerHead);
+    protocol.completeResponseHead(text, callerHead);
     {
-        protocol.problemAnswer(problem, text)
+        protocol.buildProblemResponse(problem, text)
         } -> std::same_as<StringResponse>;
     {
-        protocol.rules()
-        } -> std::same_as<WireRules>;
+        protocol.traits()
+        } -> std::same_as<WireProtocolTraits>;
 };
 
-/// A protocol as the shell holds it; the protocol itself must outlive it.
+/// Type-erased reference to a protocol, which must outlive the handle.
 struct WireProtocolHandle
 {
-    /// From the request's head; its body need not have been read.
-    std::function<CallerNames(const StringRequest &)> readCaller;
-    /// The event for a request that was read whole, without its handle; or why it is refused.
+    /// Reads the request's head; the body need not have been received.
+    std::function<CallerIdentity(const StringRequest &)> readCaller;
+    /// Converts a completely received request into an event, without its handle, or into the
+    /// problem with which it is rejected.
     std::function<std::variant<RequestArrived, Problem>(const StringRequest &,
-                                                        std::string_view freshId)>
+                                                        std::string_view generatedId)>
         readRequest;
-    /// Whether a field of the caller's request goes to the target as it is.
-    std::function<bool(std::string_view)> passesRequestField;
-    /// Adds the fields that the router sets itself.
-    std::function<void(const StringRequest &, const Dispatch &, const AttemptNames &,
-                       RequestHead &)>
+    /// Returns whether a field of the caller's request is forwarded to the target unchanged.
+    std::function<bool(std::string_view)> forwardsRequestField;
+    /// Adds the fields that the router itself sets.
+    std::function<void(const StringRequest &, const Dispatch &, const AttemptIds &, RequestHead &)>
         completeRequestHead;
-    std::function<AnswerFacts(const AnswerHead &, const AttemptNames &)> readAnswer;
-    /// Whether a field of the target's answer goes to the caller as it is.
-    std::function<bool(std::string_view)> passesAnswerField;
-    std::function<void(std::string_view requestId, CallerAnswerHead &)> completeAnswerHead;
-    /// The whole answer that the router gives itself; its Content-Length is set.
-    std::function<StringResponse(const Problem &, std::string_view requestId)> problemAnswer;
-    WireRules rules;
+    std::function<ResponseInfo(const ResponseHead &, const AttemptIds &)> readResponseHead;
+    /// Returns whether a field of the target's response is forwarded to the caller unchanged.
+    std::function<bool(std::string_view)> forwardsResponseField;
+    std::function<void(std::string_view requestId, CallerResponseHead &)> completeResponseHead;
+    /// Builds a complete response of the router itself, with its Content-Length.
+    std::function<StringResponse(const Problem &, std::string_view requestId)> buildProblemResponse;
+    WireProtocolTraits traits;
 
     template <WireProtocol T>
     static WireProtocolHandle of(const T &protocol)
     {
         return {[&protocol](const StringRequest &request) { return protocol.readCaller(request); },
-                [&protocol](const StringRequest &request, std::string_view freshId) {
-                    return protocol.readRequest(request, freshId);
+                [&protocol](const StringRequest &request, std::string_view generatedId) {
+                    return protocol.readRequest(request, generatedId);
                 },
-                [&protocol](std::string_view name) { return protocol.passesRequestField(name); },
-                [&protocol](const StringRequest &request, const Dispatch &order,
-                            const AttemptNames &names, RequestHead &head) {
-                    protocol.completeRequestHead(request, order, names, head);
+                [&protocol](std::string_view name) { return protocol.forwardsRequestField(name); },
+                [&protocol](const StringRequest &request, const Dispatch &dispatch,
+                            const AttemptIds &ids, RequestHead &head) {
+                    protocol.completeRequestHead(request, dispatch, ids, head);
                 },
-                [&protocol](const AnswerHead &head, const AttemptNames &names) {
-                    return protocol.readAnswer(head, names);
+                [&protocol](const ResponseHead &head, const AttemptIds &ids) {
+                    return protocol.readResponseHead(head, ids);
                 },
-                [&protocol](std::string_view name) { return protocol.passesAnswerField(name); },
-                [&protocol](std::string_view requestId, CallerAnswerHead &head) {
-                    protocol.completeAnswerHead(requestId, head);
+                [&protocol](std::string_view name) { return protocol.forwardsResponseField(name); },
+                [&protocol](std::string_view requestId, CallerResponseHead &head) {
+                    protocol.completeResponseHead(requestId, head);
                 },
                 [&protocol](const Problem &problem, std::string_view requestId) {
-                    return protocol.problemAnswer(problem, requestId);
+                    return protocol.buildProblemResponse(problem, requestId);
                 },
-                protocol.rules()};
+                protocol.traits()};
     }
 };
 
-/// The product's own protocol (docs/design/protocols.md).
-const WireProtocolHandle &ownProtocol();
+/// Returns the product's native protocol (docs/design/protocols.md).
+const WireProtocolHandle &nativeProtocol();
 
 } // namespace berylridge
--- a/include/berylridge/Policy/ServiceQueue.h
+++ b/include/berylridge/Policy/ServiceQueue.h
@@ -1,5 +1,5 @@
-// Requests that wait on this node for one service, by flow in order of arrival, and how fast they
-// leave.
+// Queues the requests that wait on this node for one service, by flow and in order of arrival, and
+// measures how fast they leave the queue.
 #pragma once
 
 #include "berylridge/Fleet/Messages.h"
@@ -14,19 +14,20 @@
 
 namespace berylridge {
 
-/// How fast a flow's requests leave the queue, from the times at which they left.
-class DrainMeter
+/// Estimates how fast a flow's requests leave the queue.
+class DrainRateEstimator
 {
 public:
-    /// A first request waits: from now on the flow could drain.
-    void onBusy(TimePoint now) { m_last = now; }
-    void onLeft(TimePoint now);
-    /// Requests a second; 0 when nothing has left yet.
+    /// Starts the measurement when the first request waits.
+    void onFirstWaiting(TimePoint now) { m_lastDequeuedAt = now; }
+    void onDequeued(TimePoint now);
+    /// Returns requests per second; 0 if nothing has left yet.
     double rate(TimePoint now) const;
 
 private:
-    double m_interval = 0;           ///< Smoothed seconds between two; 0 before the second.
-    std::optional<TimePoint> m_last; ///< When one left last, or when the first began to wait.
+    double m_interval = 0; ///< Smoothed seconds between two departures; 0 before the second.
+    std::optional<TimePoint>
+        m_lastDequeuedAt; ///< Last departure, or when the first request began to wait.
 };
 
 class ServiceQueue
@@ -34,16 +35,16 @@
 public:
     using Handle = std::uint64_t;
 
-    struct Waiting
+    struct WaitingRequest
     {
         Handle handle = 0;
         TimePoint since;
     };
 
     void push(FlowId flow, Handle handle, TimePoint now);
-    /// A request that is to be tried again goes before those that wait.
+    /// Queues a request that is retried, before all others.
     void pushFront(FlowId flow, Handle handle, TimePoint since, TimePoint now);
-    /// The flow's first request for which isFit(handle) holds, taken out.
+    /// Removes and returns the flow's first request for which isFit(handle) holds.
     template <typename IsFit>
     std::optional<Handle> popIf(FlowId flow, TimePoint now, IsFit isFit)
     {
@@ -56,50 +57,51 @@
                 continue;
             const Handle handle = waiting->handle;
             erase(found, waiting);
-            m_flows[flow].drain.onLeft(now);
+            m_flows[flow].drain.onDequeued(now);
             return handle;
         }
         return std::nullopt;
     }
     bool remove(FlowId flow, Handle handle);
 
-    /// Whether isSuch(flow, waiting) holds for any flow that waits.
-    template <typename IsSuch>
-    bool anyFlow(IsSuch isSuch) const
+    /// Returns whether matches(flow, waiting) holds for any flow that waits.
+    template <typename Matches>
+    bool anyFlow(Matches matches) const
     {
         return std::any_of(m_waiting.begin(), m_waiting.end(), [&](const auto &entry) {
-            return isSuch(entry.first, entry.second.size());
+            return matches(entry.first, entry.second.size());
         });
     }
 
     std::size_t size() const { return m_size; }
     std::size_t waiting(FlowId flow) const;
-    /// How long a request that comes now would wait, judged by how fast the flow drains; none when
-    /// that is not known yet.
+    /// Returns how long a request that arrives now would wait, estimated from the flow's drain
+    /// rate, or nothing if the rate is not known yet.
     std::optional<Duration> expectedWait(FlowId flow, TimePoint now) const;
 
-    void noteCost(FlowId flow, Duration used);
+    void recordCost(FlowId flow, Duration used);
     Duration expectedCost(FlowId flow) const;
 
-    /// Flows that wait, longest wait first, at most limit of them.
+    /// Returns at most `limit` of the flows that wait, those with the longest waits if there are
+    /// more.
     std::vector<FlowDemand> demand(TimePoint now, std::size_t limit) const;
-    /// When the oldest waiting request came.
-    std::optional<TimePoint> oldest() const;
+    /// Returns the arrival time of the request that has waited longest.
+    std::optional<TimePoint> oldestArrival() const;
 
 private:
-    using Queue = std::deque<Waiting>;
-    /// What is kept of a flow while nothing of it waits.
+    using Queue = std::deque<WaitingRequest>;
+    /// State of a flow that is retained while none of its requests wait.
     struct Flow
     {
-        DrainMeter drain;
-        double cost = 0; ///< Smoothed slot seconds of a request; 0 before the first.
+        DrainRateEstimator drain;
+        double cost = 0; ///< Smoothed slot seconds per request; 0 before the first.
     };
 
-    Queue &touch(FlowId flow, TimePoint now);
+    Queue &activeQueue(FlowId flow, TimePoint now);
     void erase(std::map<FlowId, Queue>::iterator entry, const Queue::const_iterator &waiting);
 
     std::map<FlowId, Flow> m_flows;
-    std::map<FlowId, Queue> m_waiting; ///< Of flows that wait; none is empty.
+    std::map<FlowId, Queue> m_waiting; ///< Queues of flows that wait; none is empty.
 
     std::size_t m_size = 0;
 };
--- a/lib/Admin/OperatorsKey.cpp
+++ b/lib/Admin/OperatorsKey.cpp
@@ -1,4 +1,4 @@
-// Checks the operators' key by its digest.
+// Verifies the operators' key against its digest.
 #include "berylridge/Admin/AdminApi.h"
 #include "berylridge/Support/Hash.h"
 
@@ -8,7 +8,7 @@
 {
     constexpr std::string_view scheme = "Bearer ";
     return authorization.starts_with(scheme)
-        && hasDigest(authorization.substr(scheme.size()), operatorsKeyDigest);
+        && matchesDigest(authorization.substr(scheme.size()), operatorsKeyDigest);
 }
 
 } // namespace berylridge
--- a/lib/Admin/StatusJson.cpp
+++ b/lib/Admin/StatusJson.cpp
@@ -1,7 +1,7 @@
-// Field by field, so that a change of a struct is a choice about the API.
+// Converts structs member by member, so that a new member isn't added to the API by accident.
 #include "StatusJson.h"
 
-#include "berylridge/Config/JsonList.h"
+#include "berylridge/Config/JsonArray.h"
 #include "berylridge/Support/LogEvent.h"
 
 namespace berylridge {
@@ -47,7 +47,7 @@
     return value;
 }
 
-Json::Value entryValue(const NumberedAuditEntry &numbered)
+Json::Value auditEntryValue(const NumberedAuditEntry &numbered)
 {
     const auto &entry = numbered.entry;
     Json::Value value;
@@ -63,11 +63,11 @@
 
 } // namespace
 
-Json::Value headValue(const DocumentHead &head)
+Json::Value documentVersionValue(const DocumentVersionEntry &documentVersion)
 {
     Json::Value value;
-    value["name"] = head.name;
-    value["version"] = Json::UInt64 {head.version};
+    value["name"] = documentVersion.name;
+    value["version"] = Json::UInt64 {documentVersion.version};
     return value;
 }
 
@@ -80,17 +80,17 @@
     value["incarnation"] = Json::UInt64 {status.incarnation};
     value["isReader"] = status.isReader;
     value["vmListRevision"] = Json::UInt64 {status.vmListRevision};
-    value["documents"] = listOf(status.documents, headValue);
-    value["members"] = listOf(status.members, memberValue);
-    value["targets"] = listOf(status.targets, targetValue);
-    value["workspaces"] = listOf(status.workspaces, workspaceValue);
+    value["documents"] = toJsonArray(status.documents, documentVersionValue);
+    value["members"] = toJsonArray(status.members, memberValue);
+    value["targets"] = toJsonArray(status.targets, targetValue);
+    value["workspaces"] = toJsonArray(status.workspaces, workspaceValue);
     return value;
 }
 
 Json::Value auditValue(const AuditPage &page)
 {
     Json::Value value;
-    value["entries"] = listOf(page.entries, entryValue);
+    value["entries"] = toJsonArray(page.entries, auditEntryValue);
     value["last"] = Json::UInt64 {page.last};
     value["hasGap"] = page.hasGap;
     value["hasMore"] = page.hasMore;
--- a/lib/Balancer/BalancedRequest.h
+++ b/lib/Balancer/BalancedRequest.h
@@ -1,11 +1,11 @@
-// What the balancer keeps of one request while it runs, and what it is refused with.
+// Holds the balancer's state of one request while it runs, and the reason for a refusal.
 #pragma once
 
-#include "RequestStory.h"
-#include "TargetBoard.h"
+#include "RequestTrace.h"
+#include "TargetSelector.h"
 
 #include "berylridge/Catalog/RouteTable.h"
-#include "berylridge/Chart/RequestLife.h"
+#include "berylridge/Chart/RequestStateMachine.h"
 #include "berylridge/Policy/WorkspaceShares.h"
 #include "berylridge/Router/Events.h"
 #include "berylridge/Support/Hash.h"
@@ -18,47 +18,49 @@
 
 namespace berylridge {
 
-/// One caller's request, from its arrival to its one final answer.
+/// Tracks one caller's request from its arrival to its single final response.
 struct BalancedRequest
 {
     RequestHandle handle = 0;
     std::string id;
-    std::shared_ptr<const RouteTable> table; ///< Under which it was admitted.
+    std::shared_ptr<const RouteTable> routeTable; ///< Table under which the request was admitted.
     const RouteSpec *route = nullptr;
     const ServiceSpec *service = nullptr;
     WorkspaceId workspace;
     std::uint64_t fingerprint = 0;
-    std::optional<PromptChain> chain;
+    std::optional<PrefixChain> chain;
     TimePoint arrivedAt;
-    TimePoint deadline; ///< Its caller's, or its route's time limit if that ends sooner.
+    TimePoint deadline; ///< Earlier of the caller's deadline and the route's timeout.
     RequestState state = RequestState::Arrived;
     Verdict verdict = Verdict::NotRun;
 
-    AttemptNumber attempts = 0;     ///< Begun, of whatever end.
-    std::uint32_t sent = 0;         ///< Attempts of which a byte may have reached a target.
-    std::vector<TargetKey> avoided; ///< Targets at which it failed.
-    bool isBegun = false;           ///< The caller has part of the answer.
+    AttemptNumber attempts = 0;             ///< Started attempts, whatever their outcome.
+    std::uint32_t sentAttempts = 0;         ///< Attempts of which a byte may have reached a target.
+    std::vector<TargetKey> excludedTargets; ///< Targets at which the request failed.
+    bool isPartlyDelivered = false;         ///< The caller has received part of the response.
 
-    // Of the attempt that runs.
+    // State of the current attempt.
     bool isRunning = false;
-    BoardChoice choice;
+    TargetChoice choice;
     TimePoint dispatchedAt;
-    Verdict verdictBefore = Verdict::NotRun;
-    bool isRead = false; ///< The target's answer has begun.
+    Verdict verdictBeforeAttempt = Verdict::NotRun;
+    bool hasResponseStarted = false; ///< The target has started its response.
 
-    RequestStory story;
-    std::optional<Duration> firstAfter; ///< From arrival to the answer's begin.
+    RequestTrace trace;
+    /// Time from the request's arrival to the start of the response.
+    std::optional<Duration> firstResponseDelay;
 
-    WorkspaceKey workspaceKey() const { return shortHash(workspace.str()); }
-    /// Whether the answer began, or hasn't begun until now, beyond the route's latency target.
+    WorkspaceKey workspaceKey() const { return hash32(workspace.str()); }
+    /// Returns whether the response started, or has still not started, after the route's latency
+    /// target.
     bool isLate(TimePoint now) const
     {
-        const Duration since = firstAfter.value_or(now - arrivedAt);
+        const Duration since = firstResponseDelay.value_or(now - arrivedAt);
         return route->latencyTargetMs > 0 && toSeconds(since) * 1000 > route->latencyTargetMs;
     }
 };
 
-/// Why a request is not served, as its caller is told.
+/// Explains to the caller why its request was refused.
 struct Refusal
 {
     unsigned status;
--- a/lib/Balancer/BalancerContext.h
+++ b/lib/Balancer/BalancerContext.h
@@ -1,12 +1,12 @@
-// What the parts of the balancer share: options, charts, the present moment, the catalog in force,
-// and where actions go.
+// Holds the state that the parts of the balancer share: options, state machines, current time,
+// active catalog, and the list of actions to perform.
 #pragma once
 
 #include "berylridge/Balancer/BalancerCore.h"
 #include "berylridge/Catalog/RouteTable.h"
 #include "berylridge/Catalog/TargetDirectory.h"
-#include "berylridge/Chart/NodeLife.h"
-#include "berylridge/Chart/RequestLife.h"
+#include "berylridge/Chart/NodeStateMachine.h"
+#include "berylridge/Chart/RequestStateMachine.h"
 #include "berylridge/Fleet/PeerTable.h"
 
 #include <memory>
@@ -15,34 +15,35 @@
 
 namespace berylridge {
 
-struct BalancerCharts
+struct BalancerStateMachines
 {
-    NodeLife node;
-    RequestLife request;
+    NodeStateMachine node;
+    RequestStateMachine request;
 };
 
 class BalancerContext
 {
 public:
-    BalancerContext(BalancerOptions balancerOptions, BalancerCharts loadedCharts, TimePoint start)
+    BalancerContext(BalancerOptions balancerOptions, BalancerStateMachines loadedStateMachines,
+                    TimePoint start)
         : options(std::move(balancerOptions))
-        , charts(std::move(loadedCharts))
+        , stateMachines(std::move(loadedStateMachines))
         , now(start)
         , peers({options.node, options.zone, options.endpoint, options.seeds})
     {
     }
 
-    void act(Action action) { actions->push_back(std::move(action)); }
+    void emit(Action action) { actions->push_back(std::move(action)); }
     void log(LogEventId id, std::string detail, Json::Value fields = {})
     {
-        act(Log {LogRecord {id, std::move(detail), {}, std::move(fields)}});
+        emit(Log {LogRecord {id, std::move(detail), {}, std::move(fields)}});
     }
 
     const BalancerOptions options;
-    const BalancerCharts charts;
+    const BalancerStateMachines stateMachines;
     TimePoint now;
     Actions *actions = nullptr;
-    std::shared_ptr<const RouteTable> table; ///< Null until a catalog is known.
+    std::shared_ptr<const RouteTable> routeTable; ///< Null until a catalog is known.
     TargetDirectory directory;
     PeerTable peers;
 };
--- a/lib/Balancer/RequestLog.h
+++ b/lib/Balancer/RequestLog.h
@@ -1,14 +1,14 @@
-// One line in the log for each request that ended; with its steps where something went wrong.
+// Logs one line for each completed request, including its steps if something went wrong.
 //
-// Load it answers: a flood of a thousand requests a second at one node, each refused. Building a
-// line takes some 10 us of the control thread, which the refusals need; beyond a budget they are
-// counted.
+// Protects the control thread against a flood, for example of a thousand refused requests a second
+// at one node. Building a line takes about 10 us of the control thread, which also has to send the
+// refusals. Requests beyond the line budget are only counted.
 #pragma once
 
 #include "BalancedRequest.h"
 #include "BalancerContext.h"
 
-#include "berylridge/Support/LogBudget.h"
+#include "berylridge/Support/LogRateLimiter.h"
 
 #include <cstdint>
 
@@ -22,23 +22,23 @@
     void answered(const BalancedRequest &request, unsigned status);
     void refused(const BalancedRequest &request, const Refusal &refusal);
     void callerGone(const BalancedRequest &request);
-    /// Refused before anything was worked out for it.
-    void refusedAtOnce(const RequestArrived &event, const Refusal &refusal);
+    /// Logs a request that was refused before its route and service were resolved.
+    void refusedEarly(const RequestArrived &event, const Refusal &refusal);
 
-    /// Tells now and then how many had no line.
+    /// Periodically logs the number of requests without a line.
     void tick();
 
 private:
-    bool takesLine();
-    void end(const BalancedRequest &request, LogEventId id, const char *outcome, Json::Value fields,
-             bool wantsSteps);
+    bool consumeLineBudget();
+    void logEnded(const BalancedRequest &request, LogEventId id, const char *outcome,
+                  Json::Value fields, bool includesSteps);
 
     BalancerContext &m_context;
-    LogBudget m_lines;
-    LogBudget m_details;
+    LogRateLimiter m_lineBudget;
+    LogRateLimiter m_detailBudget;
     std::uint64_t m_answered = 0;
-    std::uint64_t m_unlogged = 0; ///< Since it was last told.
-    TimePoint m_toldAt {};
+    std::uint64_t m_unlogged = 0; ///< Requests without a line since the last report.
+    TimePoint m_lastLoggedAt {};
 };
 
 } // namespace berylridge
--- /dev/null
+++ b/lib/Balancer/RequestProcessor.cpp
@@ -0,0 +1,518 @@
+#include "RequestProcessor.h"
+
+#include "berylridge/Policy/Admission.h"
+#include "berylridge/Support/Hash.h"
+
+#include <algorithm>
+#include <cassert>
+#include <utility>
+
+namespace berylridge {
+
+namespace {
+
+/// Time limit of a request if neither the caller nor the route sets one.
+constexpr Duration defaultDeadline = std::chrono::seconds(30);
+/// Retry-After while no catalog is known; a node receives one within a second of its start.
+constexpr Duration startingRetryAfter = std::chrono::milliseconds(300);
+/// Retry-After during a planned stop; the caller's next connection reaches another node.
+constexpr Duration leavingRetryAfter = std::chrono::milliseconds(20);
+/// Retry-After if no target is reachable. Most faults last a few seconds, and a failed target is
+/// tried again within two seconds.
+constexpr Duration noTargetRetryAfter = std::chrono::milliseconds(500);
+/// Minimum Retry-After if the targets have no capacity for the request or reject it.
+constexpr Duration fullRetryAfter = std::chrono::milliseconds(60);
+/// Cost of a generated token relative to a token that is read.
+constexpr double generatedTokenCost = 2;
+
+std::uint64_t fingerprintOf(const RequestArrived &event, const WorkspaceId &workspace)
+{
+    return hash64(event.path, hash64(workspace.str(), event.bodyHash));
+}
+
+/// Selects a service by weight; the result is the same each time the request is sent.
+const std::string *selectService(const RouteSpec &route, const std::string &requestId)
+{
+    double total = 0;
+    for (const WeightedService &each : route.services)
+        total += each.weight;
+    constexpr double steps = 1 << 20;
+    double left = total * static_cast<double>(hash64(requestId) % (1 << 20)) / steps;
+    for (const WeightedService &each : route.services) {
+        if (left < each.weight)
+            return &each.service;
+        left -= each.weight;
+    }
+    return route.services.empty() ? nullptr : &route.services.back().service;
+}
+
+double demandOf(const BalancedRequest &request)
+{
+    if (!request.chain)
+        return 0;
+    return request.chain->inputTokens + generatedTokenCost * request.chain->outputTokens;
+}
+
+bool isKnownNotRun(const AttemptFailed &event)
+{
+    return !event.sentAny || event.failure == AttemptFailure::NotRun
+        || event.failure == AttemptFailure::OtherTarget;
+}
+
+const char *failureName(AttemptFailure failure)
+{
+    switch (failure) {
+    case AttemptFailure::ConnectRefused:
+        return "connection refused";
+    case AttemptFailure::ConnectTimeout:
+        return "connect timeout";
+    case AttemptFailure::Reset:
+        return "reset";
+    case AttemptFailure::Timeout:
+        return "timeout";
+    case AttemptFailure::InvalidResponse:
+        return "bad answer";
+    case AttemptFailure::TruncatedResponse:
+        return "cut short";
+    case AttemptFailure::NotRun:
+        return "not run";
+    case AttemptFailure::OtherTarget:
+        return "other target";
+    case AttemptFailure::TargetError:
+        return "target error";
+    }
+    return "unknown";
+}
+
+} // namespace
+
+RequestProcessor::RequestProcessor(BalancerContext &context, TargetSelector &targetSelector)
+    : m_context(context)
+    , m_targetSelector(targetSelector)
+    , m_log(context)
+    , m_tally(context)
+    , m_overloadLog(context)
+    , m_random(context.options.seed)
+{
+}
+
+void RequestProcessor::onArrived(const RequestArrived &event)
+{
+    m_lastArrival = m_context.now;
+    BalancedRequest request;
+    request.handle = event.handle;
+    request.id = event.requestId;
+    request.arrivedAt = m_context.now;
+    if (const auto refusal = resolveRequest(request, event)) {
+        m_tally.refused(request, refusal->type);
+        refuseEarly(event, *refusal);
+        return;
+    }
+    BalancedRequest &added = m_requests.emplace(event.handle, std::move(request)).first->second;
+    step(added, RequestSignal::Enqueued);
+    m_tally.requested(added, demandOf(added));
+    m_retries[added.service->name].onFirstAttempt(m_context.now);
+    if (const auto refusal = placeRequest(added, true))
+        refuse(added, *refusal);
+}
+
+std::optional<Refusal> RequestProcessor::resolveRequest(BalancedRequest &request,
+                                                        const RequestArrived &event)
+{
+    if (m_isRejectingNewRequests)
+        return Refusal {503, "leaving", "the router is shutting down", leavingRetryAfter};
+    request.routeTable = m_context.routeTable;
+    if (!request.routeTable)
+        return Refusal {503, "starting", "the router has no catalog yet", startingRetryAfter};
+    request.route = request.routeTable->route(event.host, event.path);
+    if (!request.route)
+        return Refusal {404, "unknown-route", "no route matches host and path", {}};
+    if (request.routeTable->needsCredentials()) {
+        const WorkspaceSpec *workspace
+            = request.routeTable->workspaceForCredential(event.credential);
+        if (!workspace && !request.route->isPublic)
+            return Refusal {401, "unknown-credential", "no workspace has this credential", {}};
+        if (workspace)
+            request.workspace = WorkspaceId(workspace->name);
+    }
+    request.fingerprint = fingerprintOf(event, request.workspace);
+    if (m_crashes.remainingBlockTime(request.fingerprint, m_context.now))
+        return Refusal {502, "crashing-request", "the request crashed the targets that ran it", {}};
+    const std::string *service = selectService(*request.route, event.requestId);
+    request.service = service ? request.routeTable->service(*service) : nullptr;
+    if (!request.service)
+        return Refusal {503, "no-service", "the route's service is not known", noTargetRetryAfter};
+    Duration limit = event.deadline.value_or(defaultDeadline);
+    if (request.route->timeoutMs > 0)
+        limit = std::min(limit, fromMilliseconds(request.route->timeoutMs));
+    request.deadline = m_context.now + limit;
+    if (event.prompt && request.service->isEngine)
+        request.chain = prefixChainOf(*event.prompt);
+    return std::nullopt;
+}
+
+std::optional<Refusal> RequestProcessor::placeRequest(BalancedRequest &request, bool isFirst)
+{
+    const PrefixChain *chain = request.chain ? &*request.chain : nullptr;
+    const auto choice = m_targetSelector.choose(*request.service, chain, request.excludedTargets);
+    const Duration at = m_context.now - request.arrivedAt;
+    if (!choice) {
+        request.trace.add(at, NoTargetStep {});
+        return Refusal {503, "no-target", "no target can accept the request now",
+                        addRetryJitter(noTargetRetryAfter, m_random)};
+    }
+    PlacementStep step;
+    step.choice = *choice;
+    std::optional<Refusal> refusal
+        = isFirst ? checkAdmission(request, *choice, step) : std::nullopt;
+    if (!refusal && !m_targetSelector.reserve(*choice, *request.service, chain)) {
+        refusal
+            = Refusal {503, "target-cold", "the cold targets have reached their request rate limit",
+                       addRetryJitter(noTargetRetryAfter, m_random)};
+    }
+    step.isAccepted = !refusal;
+    request.trace.add(at, std::move(step));
+    if (refusal)
+        return refusal;
+    if (isFirst) {
+        const double demand = demandOf(request);
+        m_shares.onAdmitted(request.workspaceKey(), demand, m_context.now);
+        m_tally.admitted(request, demand);
+    }
+    start(request, *choice);
+    return std::nullopt;
+}
+
+std::optional<Refusal> RequestProcessor::checkAdmission(BalancedRequest &request,
+                                                        const TargetChoice &choice,
+                                                        PlacementStep &step)
+{
+    double secondsOver = 0;
+    if (request.chain) {
+        const WorkspaceKey workspace = request.workspaceKey();
+        m_shares.onRequested(workspace, demandOf(request), m_context.now);
+        secondsOver = m_shares.secondsOverShare(workspace, m_context.now);
+        step.shareStatus = m_shares.shareStatus(workspace, m_context.now);
+    }
+    step.isWithinShare = secondsOver <= 0;
+    const double target = request.route->latencyTargetMs;
+    if (target <= 0)
+        return std::nullopt;
+    const double allowed = maxQueueWaitMs({target, choice.readMs, secondsOver});
+    step.allowedMs = allowed;
+    if (choice.waitMs <= allowed)
+        return std::nullopt;
+    m_shares.onRejected(demandOf(request), m_context.now);
+    if (!step.isWithinShare && choice.waitMs <= maxQueueWaitMs({target, choice.readMs, 0}))
+        m_tally.heldBack(request);
+    // The queue shrinks by the excess in this time, provided that callers don't retry earlier.
+    const auto excess = fromSeconds((choice.waitMs - allowed) / 1000);
+    return Refusal {
+        503, step.isWithinShare ? "full" : "beyond-share",
+        "the expected wait at the targets is too long for the request to be done in time",
+        addRetryJitter(std::max(excess, fullRetryAfter), m_random)};
+}
+
+void RequestProcessor::start(BalancedRequest &request, const TargetChoice &choice)
+{
+    ++request.attempts;
+    request.choice = choice;
+    request.isRunning = true;
+    request.hasResponseStarted = false;
+    request.dispatchedAt = m_context.now;
+    // From here on a byte may be sent at any moment. Only a report of the event loop that none was
+    // sent, or of the target that the request has not run, reverts the verdict.
+    request.verdictBeforeAttempt = request.verdict;
+    request.verdict = Verdict::MayHaveRun;
+    step(request, RequestSignal::Dispatched);
+
+    const Duration left = request.deadline - m_context.now;
+    Dispatch dispatch;
+    dispatch.handle = request.handle;
+    dispatch.attempt = request.attempts;
+    dispatch.target = choice.target;
+    dispatch.endpoint = choice.endpoint;
+    dispatch.notAfter = request.deadline;
+    dispatch.attemptTimeout = left;
+    dispatch.timeLeft = left;
+    dispatch.connectTimeout = std::chrono::milliseconds(400);
+    dispatch.firstByteTimeout = std::min(left, firstByteLimit(request));
+    dispatch.idleTimeout = allowsAnotherAttempt(request)
+        ? std::min<Duration>(left, std::chrono::milliseconds(1000))
+        : left;
+    dispatch.isResumed = request.isPartlyDelivered;
+    dispatch.workspace = request.workspace;
+    dispatch.resendPolicy
+        = request.route->isRetryable() ? ResendPolicy::Allowed : ResendPolicy::Forbidden;
+    dispatch.idleConnectionLimit = idleConnectionLimit(
+        request.service->connectionLimit, m_context.peers.limitShareCount(m_context.now));
+    m_context.emit(std::move(dispatch));
+}
+
+/// Returns the time after which a silent target is abandoned for another one. Applies only if the
+/// request may be retried.
+Duration RequestProcessor::firstByteLimit(const BalancedRequest &request) const
+{
+    const Duration left = request.deadline - m_context.now;
+    if (!allowsAnotherAttempt(request))
+        return left;
+    constexpr Duration minTimeout = std::chrono::milliseconds(600);
+    constexpr Duration maxTimeout = std::chrono::milliseconds(1600);
+    const auto expected = fromSeconds((request.choice.waitMs + request.choice.readMs) / 1000 * 3);
+    const Duration latencyBound = fromMilliseconds(request.route->latencyTargetMs) * 3;
+    return std::clamp(std::max(expected, latencyBound), minTimeout, maxTimeout);
+}
+
+/// Returns whether a further attempt would be allowed if the attempt that is starting fails without
+/// a response.
+bool RequestProcessor::allowsAnotherAttempt(const BalancedRequest &request) const
+{
+    return request.route->isRetryable() && request.sentAttempts + 1 < request.route->attempts;
+}
+
+void RequestProcessor::onHead(const AttemptHead &event)
+{
+    BalancedRequest *request = find(event.handle, event.attempt);
+    if (!request)
+        return;
+    step(*request, RequestSignal::HeadCame);
+    if (std::exchange(request->hasResponseStarted, true))
+        return;
+    const Duration at = m_context.now - request->arrivedAt;
+    request->trace.add(at, ResponseStartedStep {event.status});
+    if (!request->firstResponseDelay) {
+        request->firstResponseDelay = at;
+        m_tally.begun(*request, request->isLate(m_context.now));
+    }
+    m_targetSelector.onFirstEvent(request->choice, m_context.now - request->dispatchedAt);
+}
+
+void RequestProcessor::onDone(const AttemptDone &event)
+{
+    BalancedRequest *request = find(event.handle, event.attempt);
+    if (!request)
+        return;
+    request->verdict = Verdict::Ran;
+    m_crashes.clear(request->fingerprint);
+    m_targetSelector.health(request->choice.key).onCompleteResponse(m_context.now);
+    if (!request->chain)
+        m_targetSelector.onResponseCompleted(request->service->name,
+                                             m_context.now - request->dispatchedAt);
+    endAttempt(*request);
+    step(*request, RequestSignal::AnswerEnded);
+    m_log.answered(*request, event.status);
+    finish(event.handle);
+}
+
+void RequestProcessor::onFailed(const AttemptFailed &event)
+{
+    BalancedRequest *request = find(event.handle, event.attempt);
+    if (!request)
+        return;
+    updateTargetHealth(*request, event);
+    endAttempt(*request);
+    if (isKnownNotRun(event))
+        request->verdict = request->verdictBeforeAttempt;
+    if (event.sentAny && event.failure != AttemptFailure::OtherTarget)
+        ++request->sentAttempts;
+    request->isPartlyDelivered = request->isPartlyDelivered || event.answerBegun;
+    request->excludedTargets.push_back(request->choice.key);
+    m_tally.attemptFailed(*request, failureName(event.failure));
+    request->trace.add(
+        m_context.now - request->arrivedAt,
+        AttemptFailedStep {request->choice.target, failureName(event.failure), event.sentAny});
+    if (mayRetry(*request, event)) {
+        step(*request, RequestSignal::Retried);
+        if (!placeRequest(*request, false))
+            return;
+    }
+    finishFailed(*request, event);
+}
+
+void RequestProcessor::updateTargetHealth(BalancedRequest &request, const AttemptFailed &event)
+{
+    TargetHealth &health = m_targetSelector.health(request.choice.key);
+    const TimePoint now = m_context.now;
+    if (event.coldFor)
+        m_targetSelector.onColdReported(request.choice.key, *event.coldFor);
+    switch (event.failure) {
+    case AttemptFailure::ConnectRefused:
+    case AttemptFailure::ConnectTimeout:
+    case AttemptFailure::OtherTarget: // The listed target is no longer at this address.
+        health.onConnectFailed(now);
+        return;
+    case AttemptFailure::Timeout:
+        if (now < request.deadline)
+            health.onConnectionBroken(now);
+        return;
+    case AttemptFailure::Reset:
+    case AttemptFailure::TruncatedResponse:
+        if (event.sentAny) {
+            health.onConnectionBroken(now);
+            recordInterruptedRequest(request);
+        }
+        return;
+    case AttemptFailure::InvalidResponse:
+    case AttemptFailure::TargetError:
+    case AttemptFailure::NotRun:
+        health.onFailedResponse(now);
+        return;
+    }
+}
+
+bool RequestProcessor::mayRetry(BalancedRequest &request, const AttemptFailed &event)
+{
+    constexpr Duration minTimeLeft = std::chrono::milliseconds(50);
+    constexpr AttemptNumber maxAttempts = 6;
+    if (request.deadline - m_context.now < minTimeLeft || request.attempts >= maxAttempts)
+        return false;
+    if (!isKnownNotRun(event) && !request.route->isRetryable())
+        return false;
+    if (request.sentAttempts >= request.route->attempts)
+        return false;
+    if (m_crashes.remainingBlockTime(request.fingerprint, m_context.now))
+        return false;
+    if (!event.sentAny)
+        return true; // Nothing reached a target, so a retry repeats nothing.
+    return m_retries[request.service->name].tryTake(
+        m_context.options.retries, m_context.peers.limitShareCount(m_context.now), m_context.now);
+}
+
+void RequestProcessor::finishFailed(BalancedRequest &request, const AttemptFailed &event)
+{
+    if (event.hasHeldResponse && !request.isRunning) {
+        m_context.emit(RelayHeldResponse {event.handle, event.attempt});
+        step(request, RequestSignal::GivenUp);
+        finish(request.handle);
+        return;
+    }
+    if (request.verdict == Verdict::NotRun) {
+        refuse(request,
+               {503, "target-refused", "no target accepted the request",
+                addRetryJitter(fullRetryAfter, m_random)});
+        return;
+    }
+    const bool isLate = m_context.now + std::chrono::milliseconds(5) >= request.deadline;
+    refuse(request,
+           {isLate ? 504U : 502U,
+            isLate ? "deadline" : "target-failed",
+            std::string("the target failed: ") + failureName(event.failure),
+            {}});
+}
+
+void RequestProcessor::recordInterruptedRequest(const BalancedRequest &request)
+{
+    if (m_crashes.add(request.fingerprint, request.choice.boot, m_context.now))
+        m_interruptedRequests.push_back({request.fingerprint, request.choice.boot});
+}
+
+void RequestProcessor::onRemoteInterruptedRequest(const InterruptedRequestEntry &entry)
+{
+    m_crashes.add(entry.fingerprint, entry.boot, m_context.now);
+}
+
+void RequestProcessor::onLag(const TrafficThreadReport &event)
+{
+    m_overloadLog.onLag(event);
+    m_tally.turnedAway(event.shed);
+}
+
+void RequestProcessor::onCallerGone(const CallerGone &event)
+{
+    const auto found = m_requests.find(event.handle);
+    if (found == m_requests.end())
+        return;
+    BalancedRequest &request = found->second;
+    if (request.isRunning) {
+        m_context.emit(AbortAttempt {request.handle, request.attempts});
+        endAttempt(request);
+    }
+    step(request, RequestSignal::CallerGone);
+    m_log.callerGone(request);
+    finish(event.handle);
+}
+
+void RequestProcessor::tick()
+{
+    m_crashes.expire(m_context.now);
+    m_log.tick();
+    m_overloadLog.tick(m_requests.size());
+    const double configuredTokensPerSecond
+        = m_context.routeTable ? m_context.routeTable->catalog().tokensPerSecond : 0;
+    m_shares.update(configuredTokensPerSecond, m_context.now);
+    m_tally.tick(m_shares.fleet());
+    if (m_shares.isOverloaded() == m_wasOverloaded)
+        return;
+    m_wasOverloaded = m_shares.isOverloaded();
+    Json::Value fields;
+    fields["named"] = configuredTokensPerSecond;
+    fields["level"] = std::min(m_shares.fleet().fairRate, configuredTokensPerSecond);
+    m_context.log(m_wasOverloaded ? LogEventId::FleetFull : LogEventId::FleetHasRoom, "",
+                  std::move(fields));
+}
+
+void RequestProcessor::abortAll()
+{
+    std::vector<RequestHandle> handles;
+    for (const auto &[handle, request] : m_requests)
+        handles.push_back(handle);
+    for (const RequestHandle handle : handles) {
+        BalancedRequest &request = m_requests.at(handle);
+        if (request.isRunning) {
+            m_context.emit(AbortAttempt {handle, request.attempts});
+            endAttempt(request);
+        }
+        refuse(
+            request,
+            {502, "stopping", "the router is shutting down before the response is complete", {}});
+    }
+}
+
+std::vector<InterruptedRequestEntry> RequestProcessor::takeInterruptedRequests()
+{
+    return std::exchange(m_interruptedRequests, {});
+}
+
+BalancedRequest *RequestProcessor::find(RequestHandle handle, AttemptNumber attempt)
+{
+    const auto found = m_requests.find(handle);
+    if (found == m_requests.end() || found->second.attempts != attempt || !found->second.isRunning)
+        return nullptr;
+    return &found->second;
+}
+
+void RequestProcessor::step(BalancedRequest &request, RequestSignal signal)
+{
+    m_context.stateMachines.request.step(request.state, signal);
+}
+
+void RequestProcessor::endAttempt(BalancedRequest &request)
+{
+    assert(request.isRunning && "an attempt must end only once");
+    request.isRunning = false;
+    m_targetSelector.onAttemptEnded(request.choice, request.hasResponseStarted);
+}
+
+void RequestProcessor::refuse(BalancedRequest &request, const Refusal &refusal)
+{
+    m_log.refused(request, refusal);
+    m_tally.refused(request, refusal.type);
+    m_context.emit(Refuse {request.handle, refusal.status, request.verdict, refusal.title,
+                           refusal.type, refusal.retryAfter});
+    step(request, RequestSignal::GivenUp);
+    finish(request.handle);
+}
+
+void RequestProcessor::refuseEarly(const RequestArrived &event, const Refusal &refusal)
+{
+    m_log.refusedEarly(event, refusal);
+    m_context.emit(Refuse {event.handle, refusal.status, Verdict::NotRun, refusal.title,
+                           refusal.type, refusal.retryAfter});
+}
+
+void RequestProcessor::finish(RequestHandle handle)
+{
+    m_requests.erase(handle);
+}
+
+} // namespace berylridge
--- /dev/null
+++ b/lib/Balancer/RequestProcessor.h
@@ -0,0 +1,87 @@
+// Processes callers' requests: routing, admission, attempts, retries and the single final response.
+#pragma once
+
+#include "BalancedRequest.h"
+#include "BalancerContext.h"
+#include "OverloadLog.h"
+#include "RequestLog.h"
+#include "TargetSelector.h"
+#include "WorkspaceTally.h"
+
+#include "berylridge/Policy/CrashRecord.h"
+#include "berylridge/Support/Random.h"
+
+#include <map>
+#include <optional>
+#include <string>
+#include <unordered_map>
+#include <vector>
+
+namespace berylridge {
+
+class RequestProcessor
+{
+public:
+    RequestProcessor(BalancerContext &context, TargetSelector &targetSelector);
+
+    void onArrived(const RequestArrived &event);
+    /// Records how late a traffic thread is.
+    void onLag(const TrafficThreadReport &event);
+    void onCallerGone(const CallerGone &event);
+    void onHead(const AttemptHead &event);
+    void onDone(const AttemptDone &event);
+    void onFailed(const AttemptFailed &event);
+    /// Records that another node lost a target while the target ran a request with this
+    /// fingerprint.
+    void onRemoteInterruptedRequest(const InterruptedRequestEntry &entry);
+
+    /// Does the periodic work: updates shares and logs, and removes expired entries.
+    void tick();
+    /// Rejects all new requests from now on, because a planned stop could not wait for their
+    /// responses.
+    void rejectNewRequests() { m_isRejectingNewRequests = true; }
+    /// Aborts all requests when a planned stop reaches its time limit.
+    void abortAll();
+
+    WorkspaceShares &shares() { return m_shares; }
+    std::vector<InterruptedRequestEntry> takeInterruptedRequests();
+    std::size_t size() const { return m_requests.size(); }
+    TimePoint lastArrival() const { return m_lastArrival; }
+
+private:
+    std::optional<Refusal> resolveRequest(BalancedRequest &request, const RequestArrived &event);
+    std::optional<Refusal> placeRequest(BalancedRequest &request, bool isFirst);
+    std::optional<Refusal> checkAdmission(BalancedRequest &request, const TargetChoice &choice,
+                                          PlacementStep &step);
+    void start(BalancedRequest &request, const TargetChoice &choice);
+    Duration firstByteLimit(const BalancedRequest &request) const;
+    bool allowsAnotherAttempt(const BalancedRequest &request) const;
+    void updateTargetHealth(BalancedRequest &request, const AttemptFailed &event);
+    bool mayRetry(BalancedRequest &request, const AttemptFailed &event);
+    void finishFailed(BalancedRequest &request, const AttemptFailed &event);
+    void recordInterruptedRequest(const BalancedRequest &request);
+    BalancedRequest *find(RequestHandle handle, AttemptNumber attempt);
+    void step(BalancedRequest &request, RequestSignal signal);
+    void endAttempt(BalancedRequest &request);
+    void refuse(BalancedRequest &request, const Refusal &refusal);
+    void refuseEarly(const RequestArrived &event, const Refusal &refusal);
+    void finish(RequestHandle handle);
+
+    BalancerContext &m_context;
+    TargetSelector &m_targetSelector;
+    RequestLog m_log;
+    WorkspaceTally m_tally;
+    OverloadLog m_overloadLog;
+    WorkspaceShares m_shares;
+    CrashRecord m_crashes;
+    std::map<std::string, FleetRetryBudget> m_retries; ///< Keyed by service.
+    std::unordered_map<RequestHandle, BalancedRequest> m_requests;
+    std::vector<InterruptedRequestEntry>
+        m_interruptedRequests; ///< Entries to be sent with the next digest.
+    RandomEngine m_random;
+    TimePoint m_lastArrival {};
+    bool m_wasOverloaded = false;
+    bool m_isRejectingNewRequests = false;
+};
+
+} // namespace berylridge
--- /dev/null
+++ b/lib/Balancer/RequestTrace.h
@@ -0,0 +1,72 @@
+// Records the decisions about one request and their inputs until the request ends. Most requests
+// need only one log line; if a request was refused, failed or late, the line includes its steps.
+#pragma once
+
+#include "TargetSelector.h"
+
+#include "berylridge/Policy/WorkspaceShares.h"
+
+#include <json/value.h>
+#include <string>
+#include <variant>
+#include <vector>
+
+namespace berylridge {
+
+/// Records that a target was chosen, and whether the request was sent there or rejected because the
+/// wait is too long.
+struct PlacementStep
+{
+    TargetChoice choice;
+    bool isAccepted = false;
+    bool isWithinShare = true;
+    double allowedMs = 0; ///< Maximum accepted wait; 0 if there is no limit.
+    WorkspaceShares::ShareStatus shareStatus;
+};
+
+/// Records that no target could be chosen.
+struct NoTargetStep
+{
+};
+
+/// Records that the target started its response.
+struct ResponseStartedStep
+{
+    unsigned status = 0;
+};
+
+/// Records that the attempt ended without a complete response.
+struct AttemptFailedStep
+{
+    TargetId target;
+    const char *failure = "";
+    bool isSent = false; ///< A byte of the request has left this node.
+};
+
+using RequestTraceStep
+    = std::variant<PlacementStep, NoTargetStep, ResponseStartedStep, AttemptFailedStep>;
+
+class RequestTrace
+{
+public:
+    /// Appends a step. `at` is the time since the request's arrival.
+    void add(Duration at, RequestTraceStep step);
+
+    /// Returns the steps as a list of objects for the log.
+    Json::Value details() const;
+
+private:
+    struct Entry
+    {
+        Duration at;
+        RequestTraceStep step;
+    };
+
+    /// Bounds the steps of a request that one target after the other rejects; other requests have
+    /// few attempts.
+    static constexpr std::size_t maxSteps = 16;
+
+    std::vector<Entry> m_entries;
+};
+
+} // namespace berylridge
--- /dev/null
+++ b/lib/Balancer/TargetSelector.cpp
@@ -0,0 +1,269 @@
+#include "TargetSelector.h"
+
+#include "berylridge/Support/Hash.h"
+
+#include <algorithm>
+#include <cstring>
+
+namespace berylridge {
+
+namespace {
+
+/// Assumed speed of a target before the first sample. Current engines read 100 to 160 tokens per
+/// ms, and fewer while they generate.
+constexpr double initialTokensPerMs = 90;
+constexpr double minTokensPerMs = 20;
+constexpr double maxTokensPerMs = 400;
+/// Weight of one sample in the moving average; a target's speed changes over seconds.
+constexpr double sampleWeight = 0.08;
+/// Shorter prompts give no sample, since their time depends more on the network than on the target.
+constexpr std::uint64_t minSampleTokens = 3000;
+/// Part of the time to the first event that is not spent on reading the prompt.
+constexpr double fixedOverheadMs = 20;
+constexpr double initialServiceMs = 30;
+constexpr double serviceSampleWeight = 0.1;
+/// Minimum number of tokens that this node's requests added to a target's cache before they are
+/// reported to the other nodes: about one percent of an engine's memory.
+constexpr std::uint32_t minReportedWrittenTokens = 8192;
+/// Maximum number of nodes that may send to the same cold target. Besides its part of the rate,
+/// each node may send one request at any moment: 74 nodes exceeded a rate of 16 requests a second,
+/// eight nodes stay below it.
+constexpr std::size_t maxColdSenders = 8;
+/// Time for which the choice of these nodes is cached, because it hashes the ids of all nodes.
+constexpr Duration coldSenderCacheTime = std::chrono::milliseconds(500);
+/// Time after a broken connection within which the platform reports a restart of the target: two of
+/// its report periods and the transmission of the update.
+constexpr Duration restartReportDelay = std::chrono::milliseconds(2500);
+
+std::uint64_t bootHash(const TargetRecord &record)
+{
+    return hash64(record.id, static_cast<std::uint64_t>(record.startedAtMs));
+}
+
+std::uint64_t affinityOf(PrefixKey part, TargetKey target)
+{
+    char bytes[sizeof(part)];
+    std::memcpy(bytes, &part, sizeof(part));
+    return hash64({bytes, sizeof(bytes)}, target);
+}
+
+} // namespace
+
+std::size_t TargetSelector::coldSenderCount() const
+{
+    return std::min(maxColdSenders, m_context.peers.limitShareCount(m_context.now));
+}
+
+bool TargetSelector::isColdSender(Target &target, TargetKey key) const
+{
+    if (m_context.now < target.coldSenderValidUntil)
+        return target.isColdSender;
+    const std::uint64_t own = hash64(m_context.options.node.str(), key);
+    std::size_t before = 0;
+    m_context.peers.forEach([&](const NodeId &node, const PeerTable::Peer &peer) {
+        const bool hasLimitShare = m_context.peers.hasLimitShare(peer, m_context.now);
+        before += hasLimitShare && hash64(node.str(), key) < own ? 1 : 0;
+    });
+    target.isColdSender = before < maxColdSenders;
+    target.coldSenderValidUntil = m_context.now + coldSenderCacheTime;
+    return target.isColdSender;
+}
+
+bool TargetSelector::isCold(const TargetDirectory::Entry &entry, const Target &target,
+                            const ServiceSpec &service) const
+{
+    if (service.coldRequestsPerSecond <= 0)
+        return false;
+    const TimePoint now = m_context.now;
+    if (m_context.directory.isCold(entry, now) || target.coldUntil > now)
+        return true;
+    // A target whose connections broke may have restarted and be cold before any report says so;
+    // its usual load would crash it again. The platform's next report on the target resolves the
+    // doubt.
+    const TimePoint broken = target.health.lastBrokenAt();
+    const bool mayHaveRestarted = broken > TimePoint {} && entry.updatedAt < broken;
+    return mayHaveRestarted && now - broken < restartReportDelay + fromMilliseconds(service.coldMs);
+}
+
+PlacementCandidate TargetSelector::candidate(const TargetDirectory::Entry &entry,
+                                             const Target &target, TargetKey key,
+                                             const ServiceSpec &service,
+                                             const PrefixChain *chain) const
+{
+    const TimePoint now = m_context.now;
+    PlacementCandidate candidate;
+    candidate.load = m_loads.total(key);
+    const std::uint32_t slots = entry.record.slots > 0 ? entry.record.slots : service.engineSlots;
+    candidate.slots = std::max(1U, slots);
+    candidate.tokensPerMs = target.tokensPerMs > 0 ? target.tokensPerMs : initialTokensPerMs;
+    candidate.failureRatio = target.health.failureRatio(now);
+    candidate.isOtherZone = entry.record.zone != m_context.options.zone.str();
+    candidate.isZoneSilent = m_context.peers.isZoneSilent(entry.record.zone, now);
+    if (chain && !chain->links.empty()) {
+        candidate.cachedTokens = m_prompts.cachedTokens(*chain, key);
+        candidate.cacheLifetimeSeconds = m_prompts.cacheLifetimeSeconds(key, now);
+        candidate.affinity = affinityOf(chain->links.front().key, key);
+    }
+    return candidate;
+}
+
+std::optional<TargetChoice> TargetSelector::choose(const ServiceSpec &service,
+                                                   const PrefixChain *chain,
+                                                   const std::vector<TargetKey> &excludedTargets)
+{
+    const TimePoint now = m_context.now;
+    std::vector<PlacementCandidate> candidates;
+    std::vector<std::pair<const TargetDirectory::Entry *, TargetKey>> entries;
+    for (const auto &[id, entry] : m_context.directory.entries()) {
+        if (entry.record.service != service.name || !m_context.directory.isUsable(entry, now))
+            continue;
+        const TargetKey key = hash32(id);
+        if (std::find(excludedTargets.begin(), excludedTargets.end(), key) != excludedTargets.end())
+            continue;
+        Target &target = m_targets[key];
+        if (target.boot == 0)
+            target.boot = bootHash(entry.record);
+        if (!target.health.isReachable(now))
+            continue;
+        if (isCold(entry, target, service)
+            && (!isColdSender(target, key)
+                || !target.cold.hasToken(service.coldRequestsPerSecond, coldSenderCount(), now)))
+            continue;
+        candidates.push_back(candidate(entry, target, key, service, chain));
+        entries.emplace_back(&entry, key);
+    }
+    PlacementRequest need;
+    if (chain) {
+        need.inputTokens = std::max(1U, chain->inputTokens);
+        need.parts = m_prompts.sharedParts(*chain, now);
+    }
+    const auto measured = m_serviceMs.find(service.name);
+    need.serviceMs = measured == m_serviceMs.end() ? initialServiceMs : measured->second;
+    const auto placed = choosePlacement(candidates, need);
+    if (!placed)
+        return std::nullopt;
+    const auto &[entry, key] = entries[placed->index];
+    TargetChoice choice;
+    choice.key = key;
+    choice.target = TargetId(entry->record.id);
+    choice.endpoint = {entry->record.address, entry->record.port};
+    choice.boot = bootHash(entry->record);
+    choice.waitMs = placed->waitMs;
+    choice.readMs = placed->readMs;
+    choice.tokens = placed->tokens;
+    choice.aheadTokens = candidates[placed->index].load.tokens;
+    choice.running = candidates[placed->index].load.running;
+    choice.candidates = candidates.size();
+    choice.recordAge = now - entry->updatedAt;
+    return choice;
+}
+
+bool TargetSelector::reserve(const TargetChoice &choice, const ServiceSpec &service,
+                             const PrefixChain *chain)
+{
+    const TimePoint now = m_context.now;
+    Target &target = m_targets[choice.key];
+    const TargetDirectory::Entry *entry = m_context.directory.find(choice.target.str());
+    if (entry && isCold(*entry, target, service)
+        && !target.cold.tryTake(service.coldRequestsPerSecond, coldSenderCount(), now))
+        return false;
+    if (target.health.isProbeNeeded())
+        target.health.onProbeStarted(now);
+    m_loads.begin(choice.key, choice.tokens);
+    if (!chain)
+        return true;
+    const std::uint32_t writtenTokens = choice.tokens + chain->outputTokens;
+    m_prompts.setCapacity(choice.key, service.engineTokens);
+    m_prompts.onTokensWritten(choice.key, writtenTokens, now);
+    target.writtenTokens += writtenTokens;
+    // Skips the last part, which belongs to this request alone and can't be reused by others.
+    for (std::size_t i = 0; i < sharedLinkCount(*chain); ++i) {
+        m_prompts.onPromptSent(chain->links[i].key, choice.key, now);
+        m_newPlacements.push_back({chain->links[i].key, choice.key});
+    }
+    return true;
+}
+
+void TargetSelector::onFirstEvent(const TargetChoice &choice, Duration since)
+{
+    m_loads.onPromptRead(choice.key, choice.tokens);
+    const std::uint64_t tokens = choice.aheadTokens + choice.tokens;
+    if (tokens < minSampleTokens)
+        return;
+    const double ms = std::max(1.0, toSeconds(since) * 1000 - fixedOverheadMs);
+    const double sample
+        = std::clamp(static_cast<double>(tokens) / ms, minTokensPerMs, maxTokensPerMs);
+    double &speed = m_targets[choice.key].tokensPerMs;
+    speed = speed > 0 ? speed + (sample - speed) * sampleWeight
+                      : initialTokensPerMs + (sample - initialTokensPerMs) * sampleWeight;
+}
+
+void TargetSelector::onAttemptEnded(const TargetChoice &choice, bool hadResponseStarted)
+{
+    if (!hadResponseStarted)
+        m_loads.onPromptRead(choice.key, choice.tokens);
+    m_loads.end(choice.key);
+}
+
+void TargetSelector::onColdReported(TargetKey key, Duration coldFor)
+{
+    m_targets[key].coldUntil = m_context.now + coldFor;
+}
+
+void TargetSelector::onResponseCompleted(const std::string &service, Duration duration)
+{
+    const auto [found, isNew] = m_serviceMs.try_emplace(service, initialServiceMs);
+    found->second += (toSeconds(duration) * 1000 - found->second) * serviceSampleWeight;
+}
+
+std::vector<TargetCacheWriteEntry> TargetSelector::takeCacheWrites()
+{
+    std::vector<TargetCacheWriteEntry> cacheWrites;
+    for (auto &[key, target] : m_targets) {
+        if (target.writtenTokens - target.writtenTokensReported < minReportedWrittenTokens)
+            continue;
+        target.writtenTokensReported = target.writtenTokens;
+        cacheWrites.push_back({key, target.writtenTokens});
+    }
+    return cacheWrites;
+}
+
+void TargetSelector::onRemoteCacheWrite(const NodeId &node, Incarnation incarnation,
+                                        const TargetCacheWriteEntry &entry)
+{
+    RemoteCacheWrite &known = m_remoteCacheWrites[{node, entry.target}];
+    const bool isSame = known.incarnation == incarnation;
+    // The counters wrap around; their unsigned difference stays correct.
+    const std::uint32_t since
+        = isSame ? entry.writtenTokens - known.writtenTokens : entry.writtenTokens;
+    known = {incarnation, entry.writtenTokens};
+    m_prompts.onTokensWritten(entry.target, since, m_context.now);
+}
+
+void TargetSelector::onRemotePlacement(PrefixKey part, TargetKey target)
+{
+    m_prompts.onPromptSent(part, target, m_context.now);
+}
+
+void TargetSelector::onDirectory()
+{
+    for (const auto &[id, entry] : m_context.directory.entries()) {
+        const TargetKey key = hash32(id);
+        const auto found = m_targets.find(key);
+        if (found == m_targets.end())
+            continue;
+        const std::uint64_t boot = bootHash(entry.record);
+        const bool isNewBoot = found->second.boot != 0 && found->second.boot != boot;
+        found->second.boot = boot;
+        if (isNewBoot || entry.record.isRemoved)
+            m_prompts.forgetTarget(key);
+    }
+}
+
+void TargetSelector::expire()
+{
+    m_prompts.expire(m_context.now);
+    m_loads.expire(m_context.now);
+}
+
+} // namespace berylridge
--- /dev/null
+++ b/lib/Balancer/TargetSelector.h
@@ -0,0 +1,114 @@
+// Combines all that this node knows of the targets, and selects a target for each attempt.
+#pragma once
+
+#include "BalancerContext.h"
+
+#include "berylridge/Policy/FleetLimits.h"
+#include "berylridge/Policy/Placement.h"
+#include "berylridge/Policy/PromptCacheDirectory.h"
+#include "berylridge/Policy/TargetHealth.h"
+#include "berylridge/Policy/TargetLoads.h"
+
+#include <map>
+#include <optional>
+#include <string>
+#include <unordered_map>
+#include <utility>
+#include <vector>
+
+namespace berylridge {
+
+/// Describes the target that was selected for an attempt.
+struct TargetChoice
+{
+    TargetKey key = 0;
+    TargetId target;
+    Endpoint endpoint;
+    std::uint64_t boot = 0;   ///< Distinguishes this boot of the target from others.
+    double waitMs = 0;        ///< Expected wait before the target starts to process the request.
+    double readMs = 0;        ///< Expected time to read the prompt.
+    std::uint32_t tokens = 0; ///< Tokens of the prompt that the target still has to read.
+    std::uint64_t aheadTokens = 0; ///< Tokens of the requests ahead in the target's queue.
+    std::uint32_t running = 0;     ///< Requests of all nodes that run at the target.
+    std::size_t candidates = 0;    ///< Number of targets that were considered.
+    Duration recordAge {0};        ///< Time since the platform last reported the target.
+};
+
+class TargetSelector
+{
+public:
+    explicit TargetSelector(BalancerContext &context)
+        : m_context(context)
+    {
+    }
+
+    /// Returns the best target of the service that can accept the request now, without reserving
+    /// capacity.
+    std::optional<TargetChoice> choose(const ServiceSpec &service, const PrefixChain *chain,
+                                       const std::vector<TargetKey> &excludedTargets);
+    /// Counts the request at the target. At a cold target it also consumes one request of this
+    /// node's part of the rate; returns false if that part is used up.
+    bool reserve(const TargetChoice &choice, const ServiceSpec &service, const PrefixChain *chain);
+
+    void onFirstEvent(const TargetChoice &choice, Duration since);
+    void onAttemptEnded(const TargetChoice &choice, bool hadResponseStarted);
+    TargetHealth &health(TargetKey key) { return m_targets[key].health; }
+    void onColdReported(TargetKey key, Duration coldFor);
+    /// Records the duration of a request without a prompt whose response is complete.
+    void onResponseCompleted(const std::string &service, Duration duration);
+
+    void onRemotePlacement(PrefixKey part, TargetKey target);
+    void onRemoteCacheWrite(const NodeId &node, Incarnation incarnation,
+                            const TargetCacheWriteEntry &entry);
+    /// Discards the cached prompts of targets that have restarted or been removed.
+    void onDirectory();
+    void expire();
+
+    TargetLoads &loads() { return m_loads; }
+    /// Returns the shared prompt parts that this node placed since the last call, for the other
+    /// nodes.
+    std::vector<PlacementEntry> takePlacements() { return std::exchange(m_newPlacements, {}); }
+    /// Returns the counters of tokens that this node's requests added to targets' caches, where
+    /// they have grown enough to be reported to the other nodes.
+    std::vector<TargetCacheWriteEntry> takeCacheWrites();
+
+private:
+    struct Target
+    {
+        TargetHealth health;
+        ColdTargetLimiter cold;
+        TimePoint coldUntil {}; ///< End of the cold state as reported in the target's responses.
+        /// This node is among those that may send to the target while it is cold.
+        bool isColdSender = false;
+        TimePoint coldSenderValidUntil {};
+        double tokensPerMs = 0; ///< Measured speed; 0 before the first sample.
+        std::uint64_t boot = 0;
+        std::uint32_t writtenTokens = 0; ///< Tokens that this node had the target read or generate.
+        /// Value of `writtenTokens` last reported to the other nodes.
+        std::uint32_t writtenTokensReported = 0;
+    };
+    struct RemoteCacheWrite
+    {
+        Incarnation incarnation = 0;
+        std::uint32_t writtenTokens = 0;
+    };
+
+    /// Returns the number of nodes that share a cold target's rate.
+    std::size_t coldSenderCount() const;
+    bool isColdSender(Target &target, TargetKey key) const;
+    bool isCold(const TargetDirectory::Entry &entry, const Target &target,
+                const ServiceSpec &service) const;
+    PlacementCandidate candidate(const TargetDirectory::Entry &entry, const Target &target,
+                                 TargetKey key, const ServiceSpec &service,
+                                 const PrefixChain *chain) const;
+
+    BalancerContext &m_context;
+    std::unordered_map<TargetKey, Target> m_targets;
+    TargetLoads m_loads;
+    PromptCacheDirectory m_prompts;
+    std::unordered_map<std::string, double> m_serviceMs; ///< Moving average by service.
+    std::vector<PlacementEntry> m_newPlacements;
+    std::map<std::pair<NodeId, TargetKey>, RemoteCacheWrite> m_remoteCacheWrites;
+};
+
+} // namespace berylridge
--- a/lib/Config/JsonSource.cpp
+++ b/lib/Config/JsonSource.cpp
@@ -1,4 +1,4 @@
-// Parses by jsoncpp and turns its errors into diagnostics.
+// Parses JSON with jsoncpp and converts its errors to diagnostics.
 #include "JsonSource.h"
 
 #include <algorithm>
@@ -9,11 +9,11 @@
 
 namespace {
 
-/// Put before a repeated name; a name of ours never begins with it.
-constexpr char repeatedMark = '\x01';
-/// A text with more repeated names than this is refused at the first one that is left: each costs a
-/// parse of the whole, and a router reads documents on its control thread.
-constexpr int repeatedLimit = 16;
+/// Prefix that marks a repeated name; valid names never begin with it.
+constexpr char repeatedNameMarker = '\x01';
+/// Parsing stops at the first repeated name beyond this number. Each of them requires parsing the
+/// whole text again, and a router reads documents on its control thread.
+constexpr int maxRepeatedNames = 16;
 constexpr std::string_view byteOrderMark = "\xEF\xBB\xBF";
 
 struct Position
@@ -22,19 +22,19 @@
     int column = 0;
 };
 
-/// Reads "Line 3, Column 5" after the given place in the parser's errors.
+/// Parses "Line 3, Column 5" after the given offset in the parser's errors.
 std::optional<Position> positionAfter(const std::string &errors, std::size_t from)
 {
     const auto lineAt = errors.find("Line ", from);
     const auto columnAt = errors.find("Column ", from);
     if (lineAt == std::string::npos || columnAt == std::string::npos)
         return std::nullopt;
-    return Position {std::atoi(errors.c_str() + lineAt + 5),    // NOLINT: digits by the parser
+    return Position {std::atoi(errors.c_str() + lineAt + 5),    // NOLINT: The parser wrote digits.
                      std::atoi(errors.c_str() + columnAt + 7)}; // NOLINT: as above
 }
 
-/// Where each line begins. Counts lines as the parser does: a carriage return ends a line, alone or
-/// before a line feed.
+/// Returns the offset of each line's start. Counts lines like the parser, for which a carriage
+/// return ends a line, alone or before a line feed.
 std::vector<std::size_t> lineStartsOf(std::string_view text)
 {
     std::vector<std::size_t> starts {0};
@@ -46,7 +46,7 @@
     return starts;
 }
 
-/// Empty where the text was parsed.
+/// Parses the text. Returns the parser's errors; empty on success.
 std::string parseInto(const std::string &text, Json::Value &root)
 {
     Json::CharReaderBuilder builder;
@@ -60,14 +60,15 @@
         if (reader->parse(text.data(), text.data() + text.size(), &root, &errors))
             return {};
     } catch (const std::exception &error) {
-        // The parser throws where the nesting passes its limit.
+        // The parser throws if the nesting exceeds its limit.
         return std::string("* Line 1, Column 1\n  ") + error.what() + "\n";
     }
     return errors.empty() ? "* Line 1, Column 1\n  not JSON\n" : errors;
 }
 
-/// The parser's words in the form of our diagnostics: first letter in lower case, no full stop.
-std::string inOurForm(std::string message)
+/// Returns a message of the parser in the style of this project's diagnostics: it starts in lower
+/// case and has no full stop.
+std::string normalizedMessage(std::string message)
 {
     while (!message.empty() && (message.back() == '.' || message.back() == ' '))
         message.pop_back();
@@ -89,9 +90,9 @@
 {
     Json::Value root;
     std::string errors = parseInto(m_text, root);
-    // The parser gives up an object at its first repeated name. Marking that name and parsing again
-    // finds the others, and lets the fields' own checks run over all the rest.
-    for (int i = 0; i < repeatedLimit && !errors.empty() && markRepeated(errors); ++i) {
+    // The parser stops reading an object at its first repeated name. Marking that name and parsing
+    // again finds the next one, and allows the checks of all other fields to run.
+    for (int i = 0; i < maxRepeatedNames && !errors.empty() && markRepeatedName(errors); ++i) {
         root = Json::Value();
         errors = parseInto(m_text, root);
     }
@@ -106,14 +107,14 @@
     return root;
 }
 
-bool JsonSource::isRepeated(std::string_view name)
+bool JsonSource::isRepeatedName(std::string_view name)
 {
-    return !name.empty() && name.front() == repeatedMark;
+    return !name.empty() && name.front() == repeatedNameMarker;
 }
 
-std::string_view JsonSource::written(std::string_view name)
+std::string_view JsonSource::originalName(std::string_view name)
 {
-    const auto begin = name.find_first_not_of(repeatedMark);
+    const auto begin = name.find_first_not_of(repeatedNameMarker);
     return begin == std::string_view::npos ? std::string_view() : name.substr(begin);
 }
 
@@ -141,7 +142,7 @@
     return std::move(m_diagnostics);
 }
 
-bool JsonSource::markRepeated(const std::string &parserErrors)
+bool JsonSource::markRepeatedName(const std::string &parserErrors)
 {
     const auto message = parserErrors.find("\n  ");
     if (message == std::string::npos || parserErrors.compare(message + 3, 13, "Duplicate key") != 0)
@@ -155,20 +156,21 @@
     const auto quote = m_lineStarts[line] + static_cast<std::size_t>(position->column) - 1;
     if (quote >= m_text.size() || m_text[quote] != '"')
         return false;
-    m_text.insert(quote + 1, 1, repeatedMark);
+    m_text.insert(quote + 1, 1, repeatedNameMarker);
     m_lineStarts = lineStartsOf(m_text);
     return true;
 }
 
 void JsonSource::reportSyntax(const std::string &parserErrors)
 {
-    // Only the first error: those after it come from the parser's guesses at where to go on.
+    // Only the first error is reported, since the later ones result from the parser's error
+    // recovery.
     const auto position = positionAfter(parserErrors, 0).value_or(Position {1, 1});
     const auto begin = parserErrors.find("\n  ");
     std::string message = "not JSON";
     if (begin != std::string::npos)
         message = parserErrors.substr(begin + 3, parserErrors.find('\n', begin + 3) - begin - 3);
-    report(position.line, "", inOurForm(std::move(message)));
+    report(position.line, "", normalizedMessage(std::move(message)));
 }
 
 } // namespace berylridge
--- a/lib/Config/JsonSource.h
+++ b/lib/Config/JsonSource.h
@@ -1,7 +1,7 @@
-// One text of JSON with comments: parses it and collects what is wrong with it, by line.
+// Parses one text of JSON with comments and collects its errors by line.
 #pragma once
 
-#include "berylridge/Config/Reader.h"
+#include "berylridge/Config/DocumentReader.h"
 
 #include <cstddef>
 #include <json/value.h>
@@ -17,14 +17,14 @@
 public:
     JsonSource(std::string_view file, std::string_view text);
 
-    /// The root, where the text can be parsed and is an object. A name that stands twice in an
-    /// object is kept under a marked name (isRepeated()), so that all other checks still run.
+    /// Returns the root if the text can be parsed and is an object. A name that occurs twice in an
+    /// object is kept under a marked name (isRepeatedName()), so that all other checks still run.
     std::optional<Json::Value> parse();
 
-    /// Whether the parser marked this name as one that already stands in its object.
-    static bool isRepeated(std::string_view name);
-    /// The name as it was written.
-    static std::string_view written(std::string_view name);
+    /// Returns whether parse() marked this name as a repetition of an earlier one in its object.
+    static bool isRepeatedName(std::string_view name);
+    /// Returns the name as it is written in the text, without the mark.
+    static std::string_view originalName(std::string_view name);
 
     void report(const Json::Value &at, std::string name, std::string message);
     void report(int line, std::string name, std::string message);
@@ -32,12 +32,12 @@
 
     int lineOf(const Json::Value &value) const;
 
-    /// All errors by rising line.
+    /// Returns all errors in ascending order of line.
     std::vector<Diagnostic> takeDiagnostics();
 
 private:
     void reportSyntax(const std::string &parserErrors);
-    bool markRepeated(const std::string &parserErrors);
+    bool markRepeatedName(const std::string &parserErrors);
 
     std::string m_file;
     std::string m_text;
--- a/lib/Fleet/PeerTable.cpp
+++ b/lib/Fleet/PeerTable.cpp
@@ -7,21 +7,23 @@
 
 namespace {
 
-/// All nodes of a zone silent for so long: three digests from each would have to be lost.
-constexpr Duration zoneSilentLimit = std::chrono::milliseconds(700);
-constexpr std::size_t countedLeast = 2;
+/// A zone counts as silent once no digest arrived from any of its nodes for this long. That is the
+/// time of three digests from each node.
+constexpr Duration zoneSilenceTimeout = std::chrono::milliseconds(700);
+constexpr std::size_t minLimitShareCount = 2;
 
 } // namespace
 
 PeerTable::PeerTable(PeerTableOptions options)
     : m_options(std::move(options))
-    // Nodes begin at themselves, so that a period's digests spread over all receivers.
+    // Each node starts its rotation at its own id, so that one period's digests are spread over all
+    // receivers.
     , m_lastReceiver(m_options.self)
 {
 }
 
-bool PeerTable::onHeard(const NodeId &node, Incarnation incarnation, const LoadDigest &digest,
-                        TimePoint now)
+bool PeerTable::onMessageReceived(const NodeId &node, Incarnation incarnation,
+                                  const LoadDigest &digest, TimePoint now)
 {
     if (node == m_options.self)
         return false;
@@ -31,16 +33,16 @@
     peer.incarnation = incarnation;
     peer.zone = digest.zone;
     peer.endpoint = {digest.address, digest.port};
-    peer.heardAt = now;
+    peer.lastMessageAt = now;
     peer.isLeaving = digest.isLeaving;
-    peer.isReading = digest.isReading;
+    peer.isReadingPlatform = digest.isReadingPlatform;
     for (const PeerEntry &entry : digest.peers) {
         const NodeId named(entry.node);
         if (named == m_options.self)
             continue;
         Peer &other = m_peers[named];
-        other.listedAt = now;
-        if (other.heardAt)
+        other.lastListedAt = now;
+        if (other.lastMessageAt)
             continue;
         other.zone = entry.zone;
         other.endpoint = {entry.address, entry.port};
@@ -48,30 +50,31 @@
     return true;
 }
 
-void PeerTable::forgetSilent(TimePoint now)
+void PeerTable::removeSilent(TimePoint now)
 {
     std::erase_if(m_peers, [&](const auto &entry) {
         const Peer &peer = entry.second;
-        const TimePoint last = std::max(peer.heardAt.value_or(peer.listedAt), peer.listedAt);
-        return now - last > forgetLimit;
+        const TimePoint last
+            = std::max(peer.lastMessageAt.value_or(peer.lastListedAt), peer.lastListedAt);
+        return now - last > removalTimeout;
     });
 }
 
-void PeerTable::onWoke(Duration gap)
+void PeerTable::onProcessResumed(Duration gap)
 {
     for (auto &[node, peer] : m_peers) {
-        if (peer.heardAt)
-            *peer.heardAt += gap;
-        peer.listedAt += gap;
+        if (peer.lastMessageAt)
+            *peer.lastMessageAt += gap;
+        peer.lastListedAt += gap;
     }
 }
 
 std::vector<std::pair<NodeId, Endpoint>> PeerTable::nextReceivers(TimePoint now)
 {
     std::vector<std::pair<NodeId, Endpoint>> receivers;
-    // In turn, not at random: with 73 peers each hears from this node every 0.6 s, and what it
-    // knows is 0.3 s old on average; at random the mean age is twice that, and one in fifteen is
-    // given up.
+    // Receivers rotate instead of being chosen at random. With 73 peers, each peer receives a
+    // digest every 0.6 s and its knowledge of this node is 0.3 s old on average. With random choice
+    // the mean age is twice that, and one peer in fifteen takes this node for silent.
     const std::size_t count = std::min(fanOut, m_peers.size());
     auto next = m_peers.upper_bound(m_lastReceiver);
     while (receivers.size() < count) {
@@ -81,7 +84,8 @@
         m_lastReceiver = next->first;
         ++next;
     }
-    // A node that hears few others asks the seeds: it may be new, or its part of the fleet may be.
+    // Seeds that are not live peers receive a digest too: this node may be new, or the nodes that
+    // it knows may be a part of the fleet that was started separately.
     for (const Endpoint &seed : m_options.seeds) {
         const bool isKnown = seed == m_options.endpoint
             || std::any_of(m_peers.begin(), m_peers.end(), [&](const auto &entry) {
@@ -93,17 +97,17 @@
     return receivers;
 }
 
-unsigned PeerTable::periodsPerTurn() const
+unsigned PeerTable::periodsPerRotation() const
 {
     const std::size_t periods = (m_peers.size() + fanOut - 1) / fanOut;
     return static_cast<unsigned>(std::max<std::size_t>(periods, 1));
 }
 
-std::vector<PeerEntry> PeerTable::someLiveEntries(std::size_t most, TimePoint now)
+std::vector<PeerEntry> PeerTable::nextLiveEntries(std::size_t maxCount, TimePoint now)
 {
     std::vector<PeerEntry> entries;
     auto next = m_peers.upper_bound(m_lastListed);
-    for (std::size_t i = 0; i < m_peers.size() && entries.size() < most; ++i, ++next) {
+    for (std::size_t i = 0; i < m_peers.size() && entries.size() < maxCount; ++i, ++next) {
         if (next == m_peers.end())
             next = m_peers.begin();
         const auto &[node, peer] = *next;
@@ -116,7 +120,7 @@
 
 bool PeerTable::isLive(const Peer &peer, TimePoint now) const
 {
-    return peer.heardAt && now - *peer.heardAt < liveLimit;
+    return peer.lastMessageAt && now - *peer.lastMessageAt < liveTimeout;
 }
 
 const PeerTable::Peer *PeerTable::find(const NodeId &node) const
@@ -125,34 +129,35 @@
     return found == m_peers.end() ? nullptr : &found->second;
 }
 
-std::size_t PeerTable::counted(TimePoint now) const
+std::size_t PeerTable::limitShareCount(TimePoint now) const
 {
-    const auto heard = std::count_if(m_peers.begin(), m_peers.end(), [&](const auto &entry) {
-        return isCounted(entry.second, now);
+    const auto peerCount = std::count_if(m_peers.begin(), m_peers.end(), [&](const auto &entry) {
+        return hasLimitShare(entry.second, now);
     });
-    return std::max(countedLeast, static_cast<std::size_t>(heard) + 1);
+    return std::max(minLimitShareCount, static_cast<std::size_t>(peerCount) + 1);
 }
 
-std::size_t PeerTable::live(TimePoint now) const
+std::size_t PeerTable::liveCount(TimePoint now) const
 {
-    const auto heard = std::count_if(m_peers.begin(), m_peers.end(),
-                                     [&](const auto &entry) { return isLive(entry.second, now); });
-    return static_cast<std::size_t>(heard) + 1;
+    const auto peerCount = std::count_if(m_peers.begin(), m_peers.end(), [&](const auto &entry) {
+        return isLive(entry.second, now);
+    });
+    return static_cast<std::size_t>(peerCount) + 1;
 }
 
 bool PeerTable::isZoneSilent(const std::string &zone, TimePoint now) const
 {
     if (zone == m_options.zone.str())
         return false;
-    bool isAnyHeard = false;
+    bool hasCountedNode = false;
     for (const auto &[node, peer] : m_peers) {
-        if (peer.zone != zone || !peer.heardAt || peer.isLeaving)
+        if (peer.zone != zone || !peer.lastMessageAt || peer.isLeaving)
             continue;
-        if (now - *peer.heardAt < zoneSilentLimit)
+        if (now - *peer.lastMessageAt < zoneSilenceTimeout)
             return false;
-        isAnyHeard = isAnyHeard || isCounted(peer, now);
+        hasCountedNode = hasCountedNode || hasLimitShare(peer, now);
     }
-    return isAnyHeard;
+    return hasCountedNode;
 }
 
 } // namespace berylridge
--- a/lib/Idempotency/Roster.cpp
+++ b/lib/Idempotency/Roster.cpp
@@ -18,16 +18,16 @@
     std::string text = roster.proposer.node.str() + ' '
         + std::to_string(roster.proposer.incarnation) + ' ' + std::to_string(roster.sequence) + ' '
         + std::to_string(roster.startsAt.time_since_epoch().count());
-    for (const NodeRun &member : roster.members)
+    for (const NodeIncarnation &member : roster.members)
         text += ' ' + member.node.str() + ' ' + std::to_string(member.incarnation);
-    return hash64(text) | 1; // never 0, which means none
+    return hash64(text) | 1; // Avoids 0, which means no roster.
 }
 
 } // namespace
 
-bool Roster::contains(const NodeRun &run) const
+bool Roster::contains(const NodeIncarnation &nodeIncarnation) const
 {
-    return std::binary_search(members.begin(), members.end(), run);
+    return std::binary_search(members.begin(), members.end(), nodeIncarnation);
 }
 
 Roster makeRoster(const RosterMessage &message)
@@ -54,16 +54,16 @@
     message.startsAt = roster.startsAt.time_since_epoch().count();
     message.isActive = roster.isActive;
     message.listRevision = roster.listRevision;
-    for (const NodeRun &member : roster.members)
+    for (const NodeIncarnation &member : roster.members)
         message.members.push_back({member.node.str(), member.incarnation});
     return message;
 }
 
-const Roster *RosterChain::rosterAt(WallTime madeAt) const
+const Roster *RosterChain::rosterAt(WallTime createdAt) const
 {
     const auto next
         = std::partition_point(m_rosters.begin(), m_rosters.end(),
-                               [&](const Roster &roster) { return roster.startsAt < madeAt; });
+                               [&](const Roster &roster) { return roster.startsAt < createdAt; });
     return next == m_rosters.begin() ? nullptr : &*std::prev(next);
 }
 
@@ -81,7 +81,7 @@
     return it == m_rosters.rend() ? nullptr : &*it;
 }
 
-std::span<const Roster> RosterChain::open() const
+std::span<const Roster> RosterChain::live() const
 {
     const std::span<const Roster> rosters = m_rosters;
     const Roster *active = lastActive();
@@ -95,9 +95,9 @@
         m_rosters.insert(it, roster);
         return true;
     }
-    const bool isNews = roster.isActive && !it->isActive;
+    const bool isChanged = roster.isActive && !it->isActive;
     it->isActive |= roster.isActive;
-    return isNews;
+    return isChanged;
 }
 
 void RosterChain::remove(RosterId id)
@@ -108,10 +108,10 @@
 
 void RosterChain::prune(WallTime before)
 {
-    const auto open = this->open();
+    const auto live = this->live();
     std::size_t count = 0;
-    const std::size_t closed = m_rosters.size() - open.size();
-    while (count < closed && m_rosters[count + 1].startsAt < before)
+    const std::size_t superseded = m_rosters.size() - live.size();
+    while (count < superseded && m_rosters[count + 1].startsAt < before)
         ++count;
     m_rosters.erase(m_rosters.begin(), m_rosters.begin() + static_cast<std::ptrdiff_t>(count));
 }
--- a/lib/Idempotency/Witness.cpp
+++ b/lib/Idempotency/Witness.cpp
@@ -13,51 +13,52 @@
 
 } // namespace
 
-Witness::Witness(NodeRun self, KeyLimits limits, std::size_t recordLimit)
+Witness::Witness(NodeIncarnation self, KeyTimeLimits limits, std::size_t maxRecords)
     : m_self(std::move(self))
     , m_limits(limits)
-    , m_recordLimit(recordLimit)
+    , m_maxRecords(maxRecords)
 {
 }
 
-VoteResult Witness::vote(const std::string &key, const WitnessedClaim &claim,
+VoteResult Witness::vote(const std::string &key, const ReceivedClaim &claim,
                          const RosterChain &chain, WallTime wall)
 {
-    const KeyText text = parseKey(key);
-    const Vote eligible = eligibility(text, claim.roster, chain, wall);
+    const ParsedKey parsedKey = parseKey(key);
+    const Vote eligible = eligibilityVote(parsedKey, claim.roster, chain, wall);
     if (eligible != Vote::Yes)
         return {eligible, {}};
     const auto it = m_records.find(key);
     if (it == m_records.end()) {
-        if (m_records.size() >= m_recordLimit)
+        if (m_records.size() >= m_maxRecords)
             return {Vote::Full, {}};
-        m_records[key] = {claim.asker, claim.claim, expiryOf(text, wall)};
+        m_records[key] = {claim.claimant, claim.claim, expiryOf(parsedKey, wall)};
         return {Vote::Yes, {}};
     }
     Record &record = it->second;
-    if (record.holder != claim.asker)
+    if (record.holder != claim.claimant)
         return {Vote::Held, record.holder};
     if (claim.claim < record.claim)
         return {Vote::Stale, {}};
     record.claim = claim.claim;
-    record.expiresAt = expiryOf(text, wall);
+    record.expiresAt = expiryOf(parsedKey, wall);
     return {Vote::Yes, {}};
 }
 
-void Witness::release(const std::string &key, const NodeRun &asker, std::uint64_t claim)
+void Witness::release(const std::string &key, const NodeIncarnation &claimant, std::uint64_t claim)
 {
     const auto it = m_records.find(key);
-    if (it == m_records.end() || it->second.holder != asker)
+    if (it == m_records.end() || it->second.holder != claimant)
         return;
-    // A release that was overtaken by the asker's next claim must not free that one: another router
-    // would be admitted beside it.
+    // A release that arrives after the claimant's next claim must not drop that claim: another
+    // router would be admitted at the same time.
     if (it->second.claim <= claim)
         m_records.erase(it);
 }
 
 std::string Witness::issueKey(WallTime wall)
 {
-    return issuedKeyText({KeyKind::Issued, wall, m_self.node, m_self.incarnation, ++m_issued});
+    return formatIssuedKey(
+        {KeyKind::Issued, wall, m_self.node, m_self.incarnation, ++m_issuedCount});
 }
 
 void Witness::prune(WallTime wall)
@@ -65,64 +66,67 @@
     std::erase_if(m_records, [&](const auto &item) { return item.second.expiresAt < wall; });
 }
 
-Vote Witness::eligibility(const KeyText &text, RosterId asked, const RosterChain &chain,
-                          WallTime wall) const
+Vote Witness::eligibilityVote(const ParsedKey &parsedKey, RosterId claimedRoster,
+                              const RosterChain &chain, WallTime wall) const
 {
-    if (text.kind == KeyKind::Opaque)
-        return opaqueEligibility(asked, chain, wall);
-    if (text.madeAt + milliseconds(m_limits.lifetime) < wall)
+    if (parsedKey.kind == KeyKind::Opaque)
+        return opaqueEligibility(claimedRoster, chain, wall);
+    if (parsedKey.createdAt + milliseconds(m_limits.lifetime) < wall)
         return Vote::Expired;
-    if (text.kind == KeyKind::Issued)
-        return issuedEligibility(text, asked);
-    // A vote for a key from the future could fall into the time of a roster that is made later and
-    // whose members know nothing of it: they would admit the key again.
-    if (text.madeAt > wall + milliseconds(m_limits.futureTolerance))
+    if (parsedKey.kind == KeyKind::Issued)
+        return issuedEligibility(parsedKey, claimedRoster);
+    // A key created in the future could belong to a roster that is agreed on later and whose
+    // members do not know of this vote; they would admit the key again.
+    if (parsedKey.createdAt > wall + milliseconds(m_limits.futureTolerance))
         return Vote::Expired;
-    return memberEligibility(chain.rosterAt(text.madeAt), asked);
+    return memberEligibility(chain.rosterAt(parsedKey.createdAt), claimedRoster);
 }
 
-Vote Witness::issuedEligibility(const KeyText &text, RosterId asked) const
+Vote Witness::issuedEligibility(const ParsedKey &parsedKey, RosterId claimedRoster) const
 {
-    const bool isOwn = NodeRun {text.issuer, text.issuerIncarnation} == m_self;
-    // A key that this run never issued may have been another's: a node that restarted has forgotten
-    // what it admitted.
-    if (asked != issuerRoster || !isOwn || text.sequence == 0 || text.sequence > m_issued)
+    const bool isOwn = NodeIncarnation {parsedKey.issuer, parsedKey.issuerIncarnation} == m_self;
+    // A key that this incarnation did not issue may have been issued by an earlier one, which may
+    // have admitted it. A node that restarts loses its record of admitted keys.
+    if (claimedRoster != issuerRosterId || !isOwn || parsedKey.sequence == 0
+        || parsedKey.sequence > m_issuedCount)
         return Vote::Abstain;
     return Vote::Yes;
 }
 
-Vote Witness::opaqueEligibility(RosterId asked, const RosterChain &chain, WallTime wall) const
+Vote Witness::opaqueEligibility(RosterId claimedRoster, const RosterChain &chain,
+                                WallTime wall) const
 {
     const Roster *roster = chain.rosterAt(wall);
-    const Vote eligible = memberEligibility(roster, asked);
+    const Vote eligible = memberEligibility(roster, claimedRoster);
     if (eligible != Vote::Yes)
         return eligible;
-    // An opaque key doesn't tell whether an earlier roster admitted it. After a whole lifetime its
-    // caller no longer sends it.
-    const auto silence = milliseconds(m_limits.lifetime) + 2 * milliseconds(m_limits.clockSkew);
-    return roster->startsAt + silence < wall ? Vote::Yes : Vote::Abstain;
+    // An opaque key does not show whether an earlier roster admitted it. After a whole key
+    // lifetime, its caller no longer sends it.
+    const auto minRosterAge
+        = milliseconds(m_limits.lifetime) + 2 * milliseconds(m_limits.maxClockSkew);
+    return roster->startsAt + minRosterAge < wall ? Vote::Yes : Vote::Abstain;
 }
 
-Vote Witness::memberEligibility(const Roster *roster, RosterId asked) const
+Vote Witness::memberEligibility(const Roster *roster, RosterId claimedRoster) const
 {
     if (!roster)
         return Vote::Abstain;
-    if (roster->id != asked)
+    if (roster->id != claimedRoster)
         return Vote::OtherRoster;
-    // In a proposed roster there is nothing to vote yet: members of the one before may still do so.
+    // A proposed roster must not vote yet because members of the previous roster may still vote.
     if (!roster->isActive || !roster->contains(m_self))
         return Vote::Abstain;
     return Vote::Yes;
 }
 
-WallTime Witness::expiryOf(const KeyText &text, WallTime wall) const
+WallTime Witness::expiryOf(const ParsedKey &parsedKey, WallTime wall) const
 {
     const auto lifetime = milliseconds(m_limits.lifetime);
-    // The lifetime of an opaque key begins at its first use, which may be a lifetime before the
-    // last: the holder dispatches within one lifetime of its claim.
-    if (text.kind == KeyKind::Opaque)
+    // The lifetime of an opaque key begins at its first use, which may be one lifetime before the
+    // last use: the holder dispatches within one lifetime of its claim.
+    if (parsedKey.kind == KeyKind::Opaque)
         return wall + 2 * lifetime;
-    return text.madeAt + lifetime;
+    return parsedKey.createdAt + lifetime;
 }
 
 std::string Witness::describe() const
--- a/lib/Net/AdminFace.h
+++ b/lib/Net/AdminHttpServer.h
@@ -1,4 +1,4 @@
-// The operators' listener: health checks, metrics and JSON-RPC.
+// Serves the operators' listener: health checks, metrics and JSON-RPC.
 #pragma once
 
 #include "HttpListener.h"
@@ -11,29 +11,29 @@
 
 namespace berylridge {
 
-/// Lives on the control thread.
-class AdminFace
+/// Runs on the control thread.
+class AdminHttpServer
 {
 public:
-    struct Sources
+    struct Handlers
     {
         std::function<bool()> isReady;
         std::function<std::string()> metrics;
-        RpcHandler rpc; ///< May be empty.
+        RpcHandler rpc; ///< Optional.
         std::string operatorsKeyDigest;
     };
 
-    AdminFace(asio::io_context &context, Sources sources);
+    AdminHttpServer(asio::io_context &context, Handlers handlers);
 
     std::string listen(const Endpoint &endpoint) { return m_listener.listen(endpoint); }
     Endpoint endpoint() const { return m_listener.endpoint(); }
 
 private:
-    StringResponse answer(const StringRequest &request) const;
-    StringResponse answerRpc(const StringRequest &request) const;
+    StringResponse handleRequest(const StringRequest &request) const;
+    StringResponse handleRpcRequest(const StringRequest &request) const;
     bool isOperator(const StringRequest &request) const;
 
-    Sources m_sources;
+    Handlers m_handlers;
     HttpListener m_listener;
 };
 
--- a/lib/Net/CallerSession.h
+++ b/lib/Net/CallerSession.h
@@ -1,8 +1,8 @@
-// One connection of a caller: reads its requests one after another and writes their answers.
+// Serves one connection of a caller: reads its requests one after another and writes the responses.
 #pragma once
 
 #include "Deadline.h"
-#include "Screening.h"
+#include "EarlyShedding.h"
 #include "berylridge/Net/Asio.h"
 #include "berylridge/Net/Problem.h"
 
@@ -26,59 +26,61 @@
     CallerSession(const CallerSession &) = delete;
     CallerSession &operator=(const CallerSession &) = delete;
 
-    /// received: what was read from the connection so far, and the decision on it.
+    /// Starts with the bytes received so far and the shedding decision on them.
     void start(std::string_view received, ShedDecision decision);
 
-    /// Queues bytes of an answer; written is called once the operating system has taken them.
+    /// Queues bytes of a response. Calls `written` once the operating system has accepted them.
     void write(std::string bytes, std::function<void()> written);
 
-    /// The request's answer is written: goes on to the next request, or closes.
-    void endExchange(bool isKept);
+    /// Called when the response is completely written: continues with the next request, or closes
+    /// the connection.
+    void endExchange(bool keepAlive);
 
-    /// Closes at once, so that the caller sees that its answer is incomplete.
-    void cut();
+    /// Closes the connection immediately, so that the caller sees that the response is incomplete.
+    void abortConnection();
 
-    bool isWriting() const { return !m_out.empty(); }
+    bool hasPendingWrite() const { return !m_writeQueue.empty(); }
 
 private:
     enum class State : std::uint8_t {
         Idle,    ///< Between requests.
-        Reading, ///< A request is coming in.
-        Waiting, ///< For the answer, or while it streams.
+        Reading, ///< Receiving a request.
+        Waiting, ///< Waiting for the response or streaming it.
         Closing,
     };
 
-    /// Bytes of an answer on their way out.
-    struct Outgoing
+    /// Bytes of a response that are queued for writing.
+    struct PendingWrite
     {
         std::string bytes;
         std::function<void()> written;
     };
 
     void awaitRequest();
-    void watch();
+    void waitReadable();
     void onReadable(error_code error);
-    /// Reads a request's first bytes, and refuses it where it is shed.
-    void readScreened();
-    void answerAtOnce(const Screening &screening);
-    void keepIdle();
-    void lookForEnd();
+    /// Reads the first bytes of a request and rejects the request if it is shed.
+    void readAndTryEarlyShed();
+    void writeImmediateResponse(const EarlyShedResult &shedResult);
+    void waitIdle();
+    void checkForDisconnect();
     void readHead();
     void onHead(error_code error);
-    void refuseBusy(std::string_view requestId);
+    void rejectOverloaded(std::string_view requestId);
     void readRest();
     void onRequest();
-    /// Whether bytes or the end wait to be read, without taking them.
+    /// Checks for readable data without consuming it. Returns success if bytes are pending,
+    /// would_block if nothing is, else the error or the end of the stream.
     error_code peek();
-    bool hasCallerLeft();
+    bool hasCallerDisconnected();
     void onReadError(error_code error);
     void beginExchange();
-    void answerProblem(const Problem &problem, bool isKept, std::string_view requestId = {});
+    void sendProblem(const Problem &problem, bool keepAlive, std::string_view requestId = {});
     void writeFront();
     void onWritten(error_code error);
-    void callerGone();
+    void onCallerDisconnected();
     void linger();
-    void discard();
+    void discardInput();
     void close();
 
     TrafficThread &m_thread;
@@ -87,12 +89,12 @@
     beast::flat_buffer m_buffer;
     std::unique_ptr<http::request_parser<http::string_body>> m_parser;
     std::shared_ptr<Exchange> m_exchange;
-    std::deque<Outgoing> m_out;
+    std::deque<PendingWrite> m_writeQueue;
     State m_state = State::Idle;
-    ShedDecision m_decision = ShedDecision::Open; ///< On the request that is being read.
-    bool m_isWatching = false;
-    bool m_isOverdue = false;
-    bool m_isRequestWhole = false; ///< Refused, with all its bytes here.
+    ShedDecision m_shedDecision = ShedDecision::Undecided; ///< For the request that is being read.
+    bool m_isWaitingReadable = false;
+    bool m_isReadTimedOut = false;
+    bool m_isRequestComplete = false; ///< The request was rejected after all its bytes had arrived.
     bool m_isWriteActive = false;
 };
 
--- a/lib/Net/ControlLoop.h
+++ b/lib/Net/ControlLoop.h
@@ -1,4 +1,5 @@
-// Feeds the decision core, one event at a time on the control thread, and hands out its actions.
+// Passes events to the decision core, one at a time on the control thread, and forwards its
+// actions.
 #pragma once
 
 #include "Mailbox.h"
@@ -16,32 +17,34 @@
 class ControlLoop
 {
 public:
-    using CarryOut = std::function<void(Action &)>;
+    using ActionHandler = std::function<void(Action &)>;
 
-    /// endTurn is called after all actions that came of one wake-up.
-    ControlLoop(asio::io_context &context, CoreHandle core, Metrics &metrics, CarryOut carryOut,
-                std::function<void()> endTurn);
+    /// Calls onIterationEnd once after all actions that result from one iteration of the event
+    /// loop.
+    ControlLoop(asio::io_context &context, CoreHandle core, Metrics &metrics,
+                ActionHandler onAction, std::function<void()> onIterationEnd);
 
-    /// From any thread.
-    void post(Event event) { m_inbox.put(std::move(event)); }
-    void postAll(std::vector<Event> &events) { m_inbox.putAll(events); }
+    /// Queue events for the control thread. Thread-safe.
+    void post(Event event) { m_mailbox.put(std::move(event)); }
+    void postAll(std::vector<Event> &events) { m_mailbox.putAll(events); }
 
-    /// On the control thread; endTurn() must follow.
+    /// Passes one event to the core. Only for the control thread, which must call endIteration()
+    /// afterwards.
     void handle(const Event &event);
-    void endTurn();
+    void endIteration();
 
 private:
     void armTimer();
 
     CoreHandle m_core;
     Metrics &m_metrics;
-    CarryOut m_carryOut;
-    std::function<void()> m_endTurn;
+    ActionHandler m_onAction;
+    std::function<void()> m_onIterationEnd;
     SystemClock m_clock;
     asio::steady_timer m_timer;
-    std::optional<TimePoint> m_armedFor;
+    std::optional<TimePoint> m_armedDeadline;
     Actions m_actions;
-    Mailbox<Event> m_inbox;
+    Mailbox<Event> m_mailbox;
 };
 
 } // namespace berylridge
--- a/lib/Net/EventStream.cpp
+++ b/lib/Net/EventStream.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-constexpr std::string_view endOfStream = "[DONE]";
+constexpr std::string_view doneMarker = "[DONE]";
 
-std::optional<std::uint64_t> numberIn(std::string_view text)
+std::optional<std::uint64_t> parseEventNumber(std::string_view text)
 {
     std::uint64_t number = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
@@ -17,7 +17,7 @@
     return number;
 }
 
-/// One line without its end; removes it from the text.
+/// Returns the next line without its terminator and removes it from the text.
 std::string_view takeLine(std::string_view &text)
 {
     const std::size_t end = text.find('\n');
@@ -28,7 +28,7 @@
     return line;
 }
 
-/// The value of a field's line, where the line is of that field.
+/// Returns the field's value if the line holds that field.
 std::optional<std::string_view> fieldValue(std::string_view line, std::string_view name)
 {
     if (!line.starts_with(name))
@@ -44,7 +44,7 @@
     return line;
 }
 
-/// Where the first event ends, its blank line included.
+/// Returns the position after the first event, including its blank line.
 std::size_t endOfEvent(std::string_view text, std::size_t from)
 {
     for (std::size_t at = text.find('\n', from); at != std::string_view::npos;
@@ -63,12 +63,12 @@
 void EventStream::setLastId(std::string_view id)
 {
     m_lastId = id;
-    m_lastNumber = numberIn(id);
+    m_lastEventNumber = parseEventNumber(id);
 }
 
 bool EventStream::feed(std::string_view bytes, std::string &out)
 {
-    // An end may straddle two pieces by three bytes at most ("\n\r" + "\n").
+    // At most three bytes of a terminator ("\n\r" + "\n") can precede the new bytes.
     const std::size_t before = m_pending.size();
     std::size_t searchFrom = before < 3 ? 0 : before - 3;
     m_pending.append(bytes);
@@ -77,16 +77,16 @@
         const std::size_t end = endOfEvent(rest, searchFrom);
         if (end == std::string_view::npos)
             break;
-        if (!takeEvent(rest.substr(0, end), out))
+        if (!processEvent(rest.substr(0, end), out))
             return false;
         rest.remove_prefix(end);
         searchFrom = 0;
     }
     m_pending.erase(0, m_pending.size() - rest.size());
-    return m_pending.size() <= eventLimit;
+    return m_pending.size() <= maxEventBytes;
 }
 
-bool EventStream::takeEvent(std::string_view event, std::string &out)
+bool EventStream::processEvent(std::string_view event, std::string &out)
 {
     std::optional<std::string_view> id;
     std::string_view data;
@@ -103,16 +103,16 @@
         return true;
     if (m_isDone)
         return false;
-    const std::optional<std::uint64_t> number = id ? numberIn(*id) : std::nullopt;
-    // A replica that resumes may repeat events: ids rise, so what isn't higher was passed on
-    // before.
-    if (number && m_lastNumber && *number <= *m_lastNumber)
+    const std::optional<std::uint64_t> number = id ? parseEventNumber(*id) : std::nullopt;
+    // A target that resumes a stream may repeat events. Event numbers increase, so an event without
+    // a higher number was already forwarded.
+    if (number && m_lastEventNumber && *number <= *m_lastEventNumber)
         return true;
     if (id) {
         m_lastId = *id;
-        m_lastNumber = number;
+        m_lastEventNumber = number;
     }
-    m_isDone = m_endsWithMark && data == endOfStream;
+    m_isDone = m_endsWithDoneEvent && data == doneMarker;
     out.append(event);
     return true;
 }
--- a/lib/Net/JsonRpcClient.cpp
+++ b/lib/Net/JsonRpcClient.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// The library's connector interface over a function that sends.
+/// Implements the library's connector interface with a function that sends a message.
 class FunctionConnector : public jsonrpc::IClientConnector
 {
 public:
@@ -27,9 +27,9 @@
 
 } // namespace
 
-void notifyByJsonRpc(const std::string &method, const std::string &parameter,
-                     const std::string &value,
-                     const std::function<void(const std::string &message)> &send)
+void sendJsonRpcNotification(const std::string &method, const std::string &parameter,
+                             const std::string &value,
+                             const std::function<void(const std::string &message)> &send)
 {
     FunctionConnector connector(send);
     jsonrpc::Client client(connector, jsonrpc::JSONRPC_CLIENT_V2);
--- a/lib/Net/LogSink.cpp
+++ b/lib/Net/LogSink.cpp
@@ -4,7 +4,7 @@
 #include "ThreadName.h"
 
 #include "berylridge/Support/FatalSignal.h"
-#include "berylridge/Support/LogBudget.h"
+#include "berylridge/Support/LogRateLimiter.h"
 
 #include <condition_variable>
 #include <deque>
@@ -23,11 +23,11 @@
 
 namespace {
 
-constexpr std::chrono::seconds closeLimit {1};
-/// Between lines that tell of dropped ones.
-constexpr Duration tellPeriod = std::chrono::seconds(1);
+constexpr std::chrono::seconds closeTimeout {1};
+/// Minimum time between lines that report dropped records.
+constexpr Duration dropReportPeriod = std::chrono::seconds(1);
 
-log4cplus::LogLevel levelOf(LogLevel level)
+log4cplus::LogLevel log4cplusLevel(LogLevel level)
 {
     switch (level) {
     case LogLevel::Error:
@@ -51,8 +51,9 @@
         WallTime time;
     };
 
-    /// The next record to write; nothing once the sink closes and all is written.
-    std::optional<Entry> next()
+    /// Waits for the next record to write. Returns nothing once the sink is closing and the queue
+    /// is empty.
+    std::optional<Entry> waitForEntry()
     {
         std::unique_lock lock(mutex);
         changed.wait(lock, [this] { return isClosing || !entries.empty(); });
@@ -66,24 +67,24 @@
     void drop(LogEventId id)
     {
         ++dropped;
-        ++droppedUntold[id];
+        ++unreportedDrops[id];
     }
 
-    /// What was dropped since this was last asked, as a record; nothing where it was nothing, or
-    /// too short a time ago.
-    std::optional<LogRecord> takeDropped(TimePoint now)
+    /// Returns a record that counts the drops since the previous report, or nothing if there were
+    /// none or the previous report is too recent.
+    std::optional<LogRecord> takeDropReport(TimePoint now)
     {
         const std::lock_guard lock(mutex);
-        if (droppedUntold.empty() || now - toldAt < tellPeriod)
+        if (unreportedDrops.empty() || now - lastDropReportAt < dropReportPeriod)
             return std::nullopt;
-        toldAt = now;
+        lastDropReportAt = now;
         LogRecord record {LogEventId::LogLinesDropped, ""};
-        for (const auto &[id, count] : std::exchange(droppedUntold, {}))
+        for (const auto &[id, count] : std::exchange(unreportedDrops, {}))
             record.fields[std::string(logEventInfo(id).name)] = Json::UInt64(count);
         return record;
     }
 
-    /// Writes records until the sink closes.
+    /// Writes records until the sink is closed.
     void writeAll();
 
     Write write;
@@ -91,8 +92,8 @@
     std::condition_variable changed;
     std::deque<Entry> entries;
     std::uint64_t dropped = 0;
-    std::map<LogEventId, std::uint64_t> droppedUntold;
-    TimePoint toldAt {};
+    std::map<LogEventId, std::uint64_t> unreportedDrops;
+    TimePoint lastDropReportAt {};
     bool isClosing = false;
     bool isDone = false;
 };
@@ -100,31 +101,31 @@
 void LogSink::Shared::writeAll()
 {
     const SystemClock clock;
-    LogBudget budget {LogBudget::Limits()};
-    while (const auto entry = next()) {
+    LogRateLimiter rateLimiter {LogRateLimiter::Limits()};
+    while (const auto entry = waitForEntry()) {
         const LogLevel level = logEventInfo(entry->record.id).level;
-        const std::string line = logLine(entry->record, entry->time);
-        if (!budget.tryTake(line.size(), level, clock.now())) {
+        const std::string line = formatLogLine(entry->record, entry->time);
+        if (!rateLimiter.tryTake(line.size(), level, clock.now())) {
             const std::lock_guard lock(mutex);
             drop(entry->record.id);
             continue;
         }
-        if (const auto untold = takeDropped(clock.now()))
-            write(LogLevel::Warning, logLine(*untold, clock.wallNow()));
+        if (const auto dropReport = takeDropReport(clock.now()))
+            write(LogLevel::Warning, formatLogLine(*dropReport, clock.wallNow()));
         write(level, line);
     }
-    if (const auto untold = takeDropped(clock.now() + tellPeriod))
-        write(LogLevel::Warning, logLine(*untold, clock.wallNow()));
+    if (const auto dropReport = takeDropReport(clock.now() + dropReportPeriod))
+        write(LogLevel::Warning, formatLogLine(*dropReport, clock.wallNow()));
 }
 
-LogSink::LogSink(LogLevel lowest, Write write)
-    : m_lowest(lowest)
+LogSink::LogSink(LogLevel minLevel, Write write)
+    : m_minLevel(minLevel)
     , m_shared(std::make_shared<Shared>())
 {
     m_shared->write = std::move(write);
     m_writer = std::thread([shared = m_shared] {
-        nameThread("log");
-        const SignalStack stack;
+        setThreadName("log");
+        const AlternateSignalStack stack;
         shared->writeAll();
         const std::lock_guard lock(shared->mutex);
         shared->isDone = true;
@@ -139,18 +140,19 @@
         std::unique_lock lock(m_shared->mutex);
         m_shared->isClosing = true;
         m_shared->changed.notify_all();
-        isDone = m_shared->changed.wait_for(lock, closeLimit, [this] { return m_shared->isDone; });
+        isDone
+            = m_shared->changed.wait_for(lock, closeTimeout, [this] { return m_shared->isDone; });
     }
     if (isDone)
         m_writer.join();
     else
-        m_writer.detach(); // Stuck in a write that the log's reader doesn't take.
+        m_writer.detach(); // The writer is blocked because the log's reader has stopped.
 }
 
 void LogSink::add(LogRecord record)
 {
     const LogLevel level = logEventInfo(record.id).level;
-    if (level < m_lowest || level == LogLevel::Retired)
+    if (level < m_minLevel || level == LogLevel::Retired)
         return;
     const WallTime time = SystemClock().wallNow();
     const std::lock_guard lock(m_shared->mutex);
@@ -176,11 +178,11 @@
     log4cplus::Logger logger = log4cplus::Logger::getInstance(LOG4CPLUS_TEXT("berylridge"));
     logger.addAppender(appender);
     return [library, logger](LogLevel level, const std::string &line) {
-        logger.log(levelOf(level), LOG4CPLUS_STRING_TO_TSTRING(line));
+        logger.log(log4cplusLevel(level), LOG4CPLUS_STRING_TO_TSTRING(line));
     };
 }
 
-LogLevel logLevelOf(std::string_view name)
+LogLevel parseLogLevel(std::string_view name)
 {
     if (name == "error")
         return LogLevel::Error;
--- a/lib/Net/Mailbox.h
+++ b/lib/Net/Mailbox.h
@@ -1,4 +1,4 @@
-// Hands values from any thread to the one that runs an io_context, many at a time.
+// Transfers values from any thread to the thread that runs an io_context, in batches.
 #pragma once
 
 #include "berylridge/Net/Asio.h"
@@ -12,20 +12,21 @@
 
 namespace berylridge {
 
-/// Waking the other thread costs a system call: a batch that piles up meanwhile shares one.
+/// Waking the other thread costs a system call, so values that arrive before it runs are delivered
+/// in one batch.
 template <typename T>
 class Mailbox
 {
 public:
-    using Take = std::function<void(std::vector<T> &)>;
+    using Handler = std::function<void(std::vector<T> &)>;
 
-    Mailbox(asio::io_context &context, Take take)
+    Mailbox(asio::io_context &context, Handler handler)
         : m_context(context)
-        , m_take(std::move(take))
+        , m_handler(std::move(handler))
     {
     }
 
-    /// From any thread.
+    /// Adds one value. May be called from any thread.
     void put(T item)
     {
         bool isScheduled = false;
@@ -38,7 +39,7 @@
             schedule();
     }
 
-    /// From any thread: moves all of them.
+    /// Moves all values out of `items`. May be called from any thread.
     void putAll(std::vector<T> &items)
     {
         bool isScheduled = false;
@@ -55,26 +56,26 @@
 private:
     void schedule()
     {
-        asio::post(m_context, [this] { drain(); });
+        asio::post(m_context, [this] { deliver(); });
     }
 
-    void drain()
+    void deliver()
     {
         {
             const std::lock_guard lock(m_mutex);
-            m_taken.swap(m_items);
+            m_batch.swap(m_items);
             m_isScheduled = false;
         }
-        m_take(m_taken);
-        m_taken.clear();
+        m_handler(m_batch);
+        m_batch.clear();
     }
 
     asio::io_context &m_context;
-    Take m_take;
+    Handler m_handler;
     std::mutex m_mutex;
     std::vector<T> m_items;
     bool m_isScheduled = false;
-    std::vector<T> m_taken;
+    std::vector<T> m_batch;
 };
 
 } // namespace berylridge
--- a/lib/Net/TargetPoller.cpp
+++ b/lib/Net/TargetPoller.cpp
@@ -8,12 +8,12 @@
 namespace {
 
 constexpr Duration pollTimeout = std::chrono::seconds(1);
-constexpr std::chrono::seconds unusedLimit {30};
+constexpr std::chrono::seconds idleClientTimeout {30};
 constexpr unsigned okStatus = 200;
 
 } // namespace
 
-std::optional<TargetReport> readLoadAnswer(const TargetId &target, const std::string &body)
+std::optional<TargetLoadReport> parseLoadReport(const TargetId &target, const std::string &body)
 {
     Json::CharReaderBuilder builder;
     const std::unique_ptr<Json::CharReader> reader(builder.newCharReader());
@@ -25,19 +25,19 @@
         return std::nullopt;
     const Json::Value &age = value["ageMs"];
     const std::int64_t ageMs = age.isUInt() ? std::int64_t {age.asUInt()} : 0;
-    return TargetReport {target,
-                         value["bootId"].asString(),
-                         value["running"].asUInt(),
-                         value["completed"].asUInt64(),
-                         std::chrono::milliseconds(ageMs),
-                         0};
+    return TargetLoadReport {target,
+                             value["bootId"].asString(),
+                             value["running"].asUInt(),
+                             value["completed"].asUInt64(),
+                             std::chrono::milliseconds(ageMs),
+                             0};
 }
 
 TargetPoller::TargetPoller(asio::io_context &context, Metrics &metrics,
-                           std::function<void(Event)> take)
+                           std::function<void(Event)> onEvent)
     : m_context(context)
     , m_metrics(metrics)
-    , m_take(std::move(take))
+    , m_onEvent(std::move(onEvent))
 {
 }
 
@@ -47,42 +47,43 @@
         client.http->close();
 }
 
-void TargetPoller::poll(const PollTarget &order)
+void TargetPoller::poll(const PollTarget &command)
 {
-    closeUnused();
+    closeIdleClients();
     ++m_metrics.targetPolls;
-    Client &client = m_clients[order.endpoint];
+    Client &client = m_clients[command.endpoint];
     if (!client.http)
-        client.http = std::make_shared<HttpClient>(m_context, order.endpoint);
+        client.http = std::make_shared<HttpClient>(m_context, command.endpoint);
     client.lastUse = std::chrono::steady_clock::now();
-    client.http->get("/load", pollTimeout,
-                     [this, target = order.target, poll = order.poll](const HttpReply &reply) {
-                         if (reply.failure) {
-                             m_take(TargetPollFailed {target, *reply.failure, poll});
-                             return;
-                         }
-                         auto report = readLoadAnswer(target, reply.body);
-                         if (!report || reply.status != okStatus) {
-                             m_take(TargetPollFailed {target, AttemptFailure::BadAnswer, poll});
-                             return;
-                         }
-                         report->poll = poll;
-                         m_take(std::move(*report));
-                     });
+    client.http->get(
+        "/load", pollTimeout,
+        [this, target = command.target, poll = command.poll](const HttpReply &reply) {
+            if (reply.failure) {
+                m_onEvent(TargetPollFailed {target, *reply.failure, poll});
+                return;
+            }
+            auto report = parseLoadReport(target, reply.body);
+            if (!report || reply.status != okStatus) {
+                m_onEvent(TargetPollFailed {target, AttemptFailure::InvalidResponse, poll});
+                return;
+            }
+            report->poll = poll;
+            m_onEvent(std::move(*report));
+        });
 }
 
-void TargetPoller::closeUnused()
+void TargetPoller::closeIdleClients()
 {
     const auto now = std::chrono::steady_clock::now();
-    if (now - m_lastSweep < unusedLimit)
+    if (now - m_lastSweep < idleClientTimeout)
         return;
     m_lastSweep = now;
     std::erase_if(m_clients, [&](auto &entry) {
-        const bool isUnused
-            = now - entry.second.lastUse > unusedLimit && entry.second.http->pending() == 0;
-        if (isUnused)
+        const bool isIdle
+            = now - entry.second.lastUse > idleClientTimeout && entry.second.http->pending() == 0;
+        if (isIdle)
             entry.second.http->close();
-        return isUnused;
+        return isIdle;
     });
 }
 
--- a/lib/Net/TrafficThread.cpp
+++ b/lib/Net/TrafficThread.cpp
@@ -16,29 +16,30 @@
 namespace {
 
 constexpr std::chrono::seconds idleSweepPeriod {1};
-/// Below this a late timer says nothing of the load.
-constexpr std::chrono::milliseconds leastLag {15};
-/// The next connection of the caller may reach another node, which is likely to have room.
-constexpr Duration busyRetryAfter = std::chrono::milliseconds(30);
-constexpr const char *busyType = "busy";
+/// Smaller timer delays don't indicate load.
+constexpr std::chrono::milliseconds minReportedLag {15};
+/// Retry delay of rejected callers. It is short, because the caller's next connection may reach
+/// another node, which probably has capacity.
+constexpr Duration overloadRetryAfter = std::chrono::milliseconds(30);
+constexpr const char *overloadProblemType = "busy";
 constexpr std::chrono::milliseconds drainPeriod {10};
-constexpr int drainRounds = 500; ///< Five seconds for callers to take the last bytes.
+constexpr int maxDrainRounds = 500; ///< Five seconds for callers to receive the last bytes.
 
-RequestHandle handleOf(const TrafficOrder &order)
+RequestHandle handleOf(const TrafficCommand &command)
 {
-    return std::visit([](const auto &each) { return each.handle; }, order);
+    return std::visit([](const auto &each) { return each.handle; }, command);
 }
 
-/// Carries out one order on the request that it is for.
-struct CarryOut
+/// Executes one command on its request.
+struct CommandExecutor
 {
     Exchange &exchange;
 
-    void operator()(Dispatch &order) const { exchange.dispatch(order); }
-    void operator()(AbortAttempt &order) const { exchange.abort(order.attempt); }
-    void operator()(Refuse &order) const { exchange.refuse(order); }
-    void operator()(AnswerKept &order) const { exchange.answerKept(order); }
-    void operator()(PassAnswer &order) const { exchange.passAnswer(order); }
+    void operator()(Dispatch &command) const { exchange.dispatch(command); }
+    void operator()(AbortAttempt &command) const { exchange.abort(command.attempt); }
+    void operator()(Refuse &command) const { exchange.refuse(command); }
+    void operator()(SendStoredResponse &command) const { exchange.sendStoredResponse(command); }
+    void operator()(RelayHeldResponse &command) const { exchange.relayHeldResponse(command); }
 };
 
 } // namespace
@@ -47,35 +48,37 @@
     : m_index(index)
     , m_options(options)
     , m_metrics(metrics)
-    , m_work(m_context.get_executor())
+    , m_workGuard(m_context.get_executor())
     , m_idleTimer(m_context)
     , m_drainTimer(m_context)
     , m_lagTimer(m_context)
-    , m_load(options.acceptedLag)
+    , m_loadShedder(options.acceptedLag)
     , m_random(index)
-    , m_orders(m_context, [this](std::vector<TrafficOrder> &orders) { carryOut(orders); })
+    , m_commands(m_context,
+                 [this](std::vector<TrafficCommand> &commands) { executeCommands(commands); })
 {
 }
 
 TrafficThread::~TrafficThread()
 {
     stop();
-    // Handlers that never ran own sessions and requests; they go while the rest is still there.
+    // Handlers that never ran own sessions and requests, which must be destroyed before the other
+    // members.
     closeAll();
     m_exchanges.clear();
 }
 
 void TrafficThread::start()
 {
-    closeIdleTargets();
+    closeIdleConnections();
     measureLag();
     m_thread = std::thread([this] { run(); });
 }
 
 void TrafficThread::run()
 {
-    nameThread("traffic-" + std::to_string(m_index));
-    const SignalStack stack;
+    setThreadName("traffic-" + std::to_string(m_index));
+    const AlternateSignalStack stack;
     m_context.run();
 }
 
@@ -86,31 +89,33 @@
         m_thread.join();
 }
 
-void TrafficThread::adopt(Descriptor connection, tcp protocol)
+void TrafficThread::adopt(FileDescriptor connection, tcp protocol)
 {
     ++m_metrics.connectionsAccepted;
     asio::dispatch(m_context, [this, connection = std::move(connection), protocol]() mutable {
-        take(std::move(connection), protocol);
+        startSession(std::move(connection), protocol);
     });
 }
 
-void TrafficThread::take(Descriptor connection, tcp protocol)
+void TrafficThread::startSession(FileDescriptor connection, tcp protocol)
 {
-    ++m_accepted;
-    // Callers send their request as soon as they are connected: it is mostly there when the
-    // connection is taken, and waiting for it would cost two system calls and a turn.
+    ++m_acceptedConnections;
+    // Callers send their request as soon as they are connected, so it has usually arrived when the
+    // connection is accepted. Waiting for it would cost two system calls and an event loop
+    // iteration.
     const ssize_t size = ::recv(connection.number(), m_scratch.data(), m_scratch.size(), 0);
     if (size == 0)
         return;
     const std::string_view bytes(m_scratch.data(), std::max<ssize_t>(size, 0));
-    Screening screening;
+    EarlyShedResult shedResult;
     if (isShedding() && !bytes.empty())
-        screening = screen(bytes, false);
-    if (screening.answer) {
-        // A connection that is refused is never registered with the event loop. Its buffer is empty
-        // and takes the answer whole.
-        const std::string &answer = *screening.answer;
-        ::send(connection.number(), answer.data(), answer.size(), MSG_NOSIGNAL);
+        shedResult = tryEarlyShed(bytes, false);
+    if (shedResult.immediateResponse) {
+        // A rejected connection is never registered with the event loop. Its send buffer is empty
+        // and holds the complete response.
+        const std::string &immediateResponse = *shedResult.immediateResponse;
+        ::send(connection.number(), immediateResponse.data(), immediateResponse.size(),
+               MSG_NOSIGNAL);
         return;
     }
     tcp::socket socket(m_context);
@@ -121,30 +126,32 @@
     connection.release();
     const auto session = std::make_shared<CallerSession>(*this, std::move(socket));
     m_sessions.insert(session.get());
-    session->start(bytes, screening.decision);
+    session->start(bytes, shedResult.decision);
 }
 
 RequestHandle TrafficThread::nextHandle()
 {
-    return ++m_lastNumber * m_options.threads + m_index;
+    return ++m_lastHandleNumber * m_options.threads + m_index;
 }
 
-void TrafficThread::begin(RequestHandle handle, std::shared_ptr<Exchange> exchange)
+void TrafficThread::addExchange(RequestHandle handle, std::shared_ptr<Exchange> exchange)
 {
     m_exchanges.emplace(handle, std::move(exchange));
 }
 
-void TrafficThread::carryOut(std::vector<TrafficOrder> &orders)
+void TrafficThread::executeCommands(std::vector<TrafficCommand> &commands)
 {
-    for (TrafficOrder &order : orders) {
-        const auto found = m_exchanges.find(handleOf(order));
+    for (TrafficCommand &command : commands) {
+        const auto found = m_exchanges.find(handleOf(command));
         if (found != m_exchanges.end()) {
-            const auto exchange = found->second; // Carrying out may end it.
-            std::visit(CarryOut {*exchange}, order);
+            const auto exchange
+                = found->second; // Executing the command may remove it from the map.
+            std::visit(CommandExecutor {*exchange}, command);
             continue;
         }
-        // The caller left while the order was on its way; the core must get its slot back.
-        if (const auto *dispatch = std::get_if<Dispatch>(&order))
+        // The caller disconnected before the command arrived. The core must be informed, so that it
+        // frees the slot.
+        if (const auto *dispatch = std::get_if<Dispatch>(&command))
             report(AttemptFailed {dispatch->handle, dispatch->attempt, AttemptFailure::Reset, false,
                                   false});
     }
@@ -152,8 +159,8 @@
 
 void TrafficThread::report(Event event)
 {
-    // Waking the control thread costs this one two system calls: what one turn reports goes at
-    // once.
+    // Waking the control thread costs this thread two system calls, so the events of one event loop
+    // iteration are sent together.
     m_reports.push_back(std::move(event));
     if (m_reports.size() == 1)
         asio::post(m_context, [this] { flushReports(); });
@@ -165,19 +172,19 @@
     m_reports.clear();
 }
 
-void TrafficThread::closeIdleTargets()
+void TrafficThread::closeIdleConnections()
 {
     m_pool.closeIdle(ConnectionPool::Clock::now());
     m_idleTimer.expires_after(idleSweepPeriod);
     m_idleTimer.async_wait([this](error_code error) {
         if (!error)
-            closeIdleTargets();
+            closeIdleConnections();
     });
 }
 
 void TrafficThread::measureLag()
 {
-    m_lagTimer.expires_after(NodeLoad::reportPeriod);
+    m_lagTimer.expires_after(LoadShedder::reportPeriod);
     m_lagTimer.async_wait([this](error_code error) {
         if (error)
             return;
@@ -190,14 +197,17 @@
 void TrafficThread::onLag(Duration lag)
 {
     if (m_options.acceptedLag > Duration(0))
-        m_load.onLag(lag, m_options.now());
+        m_loadShedder.onLag(lag, m_options.now());
     m_metrics.trafficLagMicroseconds
         = static_cast<std::uint64_t>(std::max(lag, Duration(0)).count());
-    const bool isLate = lag > leastLag;
-    // Once more after the last late turn, so that the core learns of its end.
-    if (isLate || m_wasLate || isShedding())
-        report(TrafficLag {lag, std::exchange(m_accepted, 0), std::exchange(m_leftUnread, 0),
-                           m_load.takeShed()});
+    const bool isLate = lag > minReportedLag;
+    // Reports once more after the last late iteration, so that the core learns that the lag has
+    // ended.
+    if (isLate || m_wasLate || isShedding()) {
+        report(TrafficThreadReport {lag, std::exchange(m_acceptedConnections, 0),
+                                    std::exchange(m_abandonedRequests, 0),
+                                    m_loadShedder.takeShedCounts()});
+    }
     m_wasLate = isLate;
 }
 
@@ -205,61 +215,61 @@
 {
     if (m_options.acceptedLag == Duration(0))
         return false;
-    return m_load.sheds(shortHash(credential), m_options.now());
+    return m_loadShedder.sheds(hash32(credential), m_options.now());
 }
 
-Screening TrafficThread::screen(std::string_view bytes, bool keepsConnection)
+EarlyShedResult TrafficThread::tryEarlyShed(std::string_view bytes, bool isKeepAliveAllowed)
 {
-    const std::string unknownId = m_options.unknownId();
-    Screening screening
-        = screenRequest(bytes,
-                        {m_options.protocol, [this](std::string_view key) { return sheds(key); },
-                         [this] { return busyProblem(); }, unknownId, keepsConnection});
-    if (screening.answer) {
+    const std::string placeholderRequestId = m_options.placeholderRequestId();
+    EarlyShedResult shedResult = decideEarlyShed(
+        bytes,
+        {m_options.protocol, [this](std::string_view key) { return sheds(key); },
+         [this] { return overloadProblem(); }, placeholderRequestId, isKeepAliveAllowed});
+    if (shedResult.immediateResponse) {
         ++m_metrics.requestsByVerdict[static_cast<std::size_t>(Verdict::NotRun)];
-        m_metrics.addRefusal(busyType);
+        m_metrics.countRejectedRequest(overloadProblemType);
     }
-    return screening;
+    return shedResult;
 }
 
-Problem TrafficThread::busyProblem()
+Problem TrafficThread::overloadProblem()
 {
-    return {503, busyType, "the router has more to do than it can", Verdict::NotRun,
-            spreadRetry(busyRetryAfter, m_random)};
+    return {503, overloadProblemType, "the router is too busy to serve the request",
+            Verdict::NotRun, addRetryJitter(overloadRetryAfter, m_random)};
 }
 
 void TrafficThread::drain(std::function<void()> done)
 {
     asio::post(m_context, [this, done = std::move(done)]() mutable {
-        closeWhenWritten(std::move(done), drainRounds);
+        closeWhenWritten(std::move(done), maxDrainRounds);
     });
 }
 
-void TrafficThread::closeWhenWritten(std::function<void()> done, int roundsLeft)
+void TrafficThread::closeWhenWritten(std::function<void()> done, int remainingRounds)
 {
-    if (roundsLeft == 0 || !anyWriting()) {
+    if (remainingRounds == 0 || !hasPendingWrites()) {
         closeAll();
         flushReports();
         done();
         return;
     }
     m_drainTimer.expires_after(drainPeriod);
-    m_drainTimer.async_wait([this, done = std::move(done), roundsLeft](error_code) mutable {
-        closeWhenWritten(std::move(done), roundsLeft - 1);
+    m_drainTimer.async_wait([this, done = std::move(done), remainingRounds](error_code) mutable {
+        closeWhenWritten(std::move(done), remainingRounds - 1);
     });
 }
 
-bool TrafficThread::anyWriting() const
+bool TrafficThread::hasPendingWrites() const
 {
     return std::any_of(m_sessions.begin(), m_sessions.end(),
-                       [](const CallerSession *session) { return session->isWriting(); });
+                       [](const CallerSession *session) { return session->hasPendingWrite(); });
 }
 
 void TrafficThread::closeAll()
 {
     const std::vector<CallerSession *> sessions(m_sessions.begin(), m_sessions.end());
     for (CallerSession *session : sessions)
-        session->cut();
+        session->abortConnection();
     m_pool.clear();
 }
 
--- a/lib/Policy/TargetLoads.cpp
+++ b/lib/Policy/TargetLoads.cpp
@@ -13,17 +13,18 @@
     load.tokens += tokens;
 }
 
-void TargetLoads::promptRead(TargetKey target, std::uint32_t tokens)
+void TargetLoads::onPromptRead(TargetKey target, std::uint32_t tokens)
 {
     TargetLoad &load = m_own[target];
-    assert(load.tokens >= tokens && "tokens that were never begun");
+    assert(load.tokens >= tokens && "more tokens read than were begun");
     load.tokens -= tokens;
 }
 
 void TargetLoads::end(TargetKey target)
 {
     const auto found = m_own.find(target);
-    assert(found != m_own.end() && found->second.running > 0 && "a request that was never begun");
+    assert(found != m_own.end() && found->second.running > 0
+           && "a request ended that was not begun");
     if (--found->second.running == 0)
         m_own.erase(found);
 }
@@ -33,7 +34,7 @@
     Remote &remote = m_remotes[node];
     subtract(remote);
     remote.entries = std::move(entries);
-    remote.heardAt = now;
+    remote.digestReceivedAt = now;
     for (const RemoteEntry &entry : remote.entries) {
         TargetLoad &sum = m_remoteSums[entry.target];
         sum.running += entry.load.running;
@@ -53,7 +54,7 @@
 void TargetLoads::expire(TimePoint now)
 {
     std::erase_if(m_remotes, [&](const auto &entry) {
-        const bool isOld = now - entry.second.heardAt > remoteLimit;
+        const bool isOld = now - entry.second.digestReceivedAt > digestLifetime;
         if (isOld)
             subtract(entry.second);
         return isOld;
--- a/lib/Router/CoreContext.cpp
+++ b/lib/Router/CoreContext.cpp
@@ -4,30 +4,31 @@
 
 namespace berylridge {
 
-Expected<Charts> Charts::load(const std::string &directory)
+Expected<StateMachines> StateMachines::load(const std::string &directory)
 {
-    Expected<MemberLife> member = loadMemberLife(directory);
+    Expected<MemberStateMachine> member = loadMemberStateMachine(directory);
     if (!member)
-        return Reason {member.lastReason()};
-    Expected<NodeLife> node = loadNodeLife(directory);
+        return Reason {member.failureReason()};
+    Expected<NodeStateMachine> node = loadNodeStateMachine(directory);
     if (!node)
-        return Reason {node.lastReason()};
-    Expected<RequestLife> request = loadRequestLife(directory);
+        return Reason {node.failureReason()};
+    Expected<RequestStateMachine> request = loadRequestStateMachine(directory);
     if (!request)
-        return Reason {request.lastReason()};
-    Expected<TargetLife> target = loadTargetLife(directory);
+        return Reason {request.failureReason()};
+    Expected<TargetStateMachine> target = loadTargetStateMachine(directory);
     if (!target)
-        return Reason {target.lastReason()};
-    return Charts {*std::move(member), *std::move(node), *std::move(request), *std::move(target)};
+        return Reason {target.failureReason()};
+    return StateMachines {*std::move(member), *std::move(node), *std::move(request),
+                          *std::move(target)};
 }
 
-CoreContext::CoreContext(CoreOptions coreOptions, Charts loadedCharts, TimePoint start,
-                         WallTime wallStart)
+CoreContext::CoreContext(CoreOptions coreOptions, StateMachines loadedStateMachines,
+                         TimePoint start, WallTime wallStart)
     : options(std::move(coreOptions))
-    , charts(std::move(loadedCharts))
+    , stateMachines(std::move(loadedStateMachines))
     , now(start)
     , wall(wallStart)
-    , membership(charts.member,
+    , membership(stateMachines.member,
                  MembershipOptions {options.node, options.zone, options.endpoint,
                                     options.incarnation, options.heartbeatPeriod,
                                     options.suspectAfter},
@@ -38,29 +39,29 @@
 
 void CoreContext::log(LogEventId id, std::string detail)
 {
-    act(Log {LogRecord {id, std::move(detail)}});
+    emit(Log {LogRecord {id, std::move(detail)}});
 }
 
 void CoreContext::audit(AuditKind kind, std::string who, std::string what, std::string from,
                         std::string to)
 {
-    act(Audit {
+    emit(Audit {
         AuditEntry {kind, std::move(who), std::move(what), std::move(from), std::move(to), wall}});
 }
 
 void CoreContext::send(const NodeId &to, AnyMessage message)
 {
     if (isSelf(to)) {
-        toSelf.push_back(std::move(message));
+        selfMessages.push_back(std::move(message));
         return;
     }
     const Member *member = membership.find(to);
     if (!member || member->endpoint.port == 0)
         return;
-    act(SendToNode {to, member->endpoint, std::move(message)});
+    emit(SendToNode {to, member->endpoint, std::move(message)});
 }
 
-bool isZoneOut(const FleetDocument &fleet, const ZoneId &zone)
+bool isZoneOutOfService(const FleetDocument &fleet, const ZoneId &zone)
 {
     return std::find(fleet.zonesOut.begin(), fleet.zonesOut.end(), zone) != fleet.zonesOut.end();
 }
--- a/lib/Router/CoreContext.h
+++ b/lib/Router/CoreContext.h
@@ -1,15 +1,15 @@
-// What the parts of the core share: options, the present moment, the fleet's view, documents in
-// force, and where actions go.
+// Declares the state that the parts of the core share: options, current time, fleet membership,
+// active documents and the output list of actions.
 #pragma once
 
-#include "berylridge/Chart/MemberLife.h"
-#include "berylridge/Chart/NodeLife.h"
-#include "berylridge/Chart/RequestLife.h"
-#include "berylridge/Chart/TargetLife.h"
+#include "berylridge/Chart/MemberStateMachine.h"
+#include "berylridge/Chart/NodeStateMachine.h"
+#include "berylridge/Chart/RequestStateMachine.h"
+#include "berylridge/Chart/TargetStateMachine.h"
 #include "berylridge/Config/DocumentStore.h"
 #include "berylridge/Fleet/Membership.h"
 #include "berylridge/Router/Actions.h"
-#include "berylridge/Router/Core.h"
+#include "berylridge/Router/RouterCore.h"
 
 #include <deque>
 #include <string>
@@ -20,41 +20,43 @@
 
 using AnyMessage = std::variant<FleetMessage, KeyMessage, BalancerMessage>;
 
-/// All state charts, loaded once.
-struct Charts
+/// Holds all state machines, loaded once at the start.
+struct StateMachines
 {
-    MemberLife member;
-    NodeLife node;
-    RequestLife request;
-    TargetLife target;
+    MemberStateMachine member;
+    NodeStateMachine node;
+    RequestStateMachine request;
+    TargetStateMachine target;
 
-    static Expected<Charts> load(const std::string &directory);
+    static Expected<StateMachines> load(const std::string &directory);
 };
 
 class CoreContext
 {
 public:
-    CoreContext(CoreOptions coreOptions, Charts loadedCharts, TimePoint start, WallTime wallStart);
+    CoreContext(CoreOptions coreOptions, StateMachines loadedStateMachines, TimePoint start,
+                WallTime wallStart);
 
-    void act(Action action) { actions->push_back(std::move(action)); }
+    void emit(Action action) { actions->push_back(std::move(action)); }
     void log(LogEventId id, std::string detail);
     void audit(AuditKind kind, std::string who, std::string what, std::string from, std::string to);
 
-    /// To another node, or to this one: then it is taken in before the present event is done with.
+    /// Sends a message to a node. A message to this node itself is handled before the current event
+    /// is completed.
     void send(const NodeId &to, AnyMessage message);
     bool isSelf(const NodeId &node) const { return node == options.node; }
 
     const CoreOptions options;
-    const Charts charts;
+    const StateMachines stateMachines;
     TimePoint now;
     WallTime wall;
     Actions *actions = nullptr;
     Membership membership;
     DocumentStore documents;
-    std::deque<AnyMessage> toSelf;
+    std::deque<AnyMessage> selfMessages;
 };
 
-/// Whether operators have taken the zone out of service.
-bool isZoneOut(const FleetDocument &fleet, const ZoneId &zone);
+/// Returns whether operators have taken the zone out of service.
+bool isZoneOutOfService(const FleetDocument &fleet, const ZoneId &zone);
 
 } // namespace berylridge
--- a/lib/Router/FleetSync.cpp
+++ b/lib/Router/FleetSync.cpp
@@ -10,21 +10,22 @@
 
 namespace {
 
-/// Watches of the platform per zone: one may be lost without a gap.
+/// Nodes per zone that watch the platform. With two, one may fail without a gap.
 constexpr std::size_t readersPerZone = 2;
-constexpr Duration requestPeriod = std::chrono::milliseconds(200);
-/// Bytes of document text in one reply; the rest is asked for again.
-constexpr std::size_t replyLimit = 512 << 10;
-/// After a planned stop began, the balancer needs this long to see that this node is not ready.
-constexpr Duration balancerDelay = std::chrono::seconds(2);
-/// With no request coming in for this long, the balancer has stopped sending.
-constexpr Duration quietTime = std::chrono::seconds(1);
+constexpr Duration minDocumentsRequestInterval = std::chrono::milliseconds(200);
+/// Maximum document text in one reply, in bytes. The receiver requests the rest again.
+constexpr std::size_t maxReplyBytes = 512 << 10;
+/// Time that the load balancer needs after the start of a planned stop to see that this node is not
+/// ready.
+constexpr Duration balancerNoticeDelay = std::chrono::seconds(2);
+/// Time without a new request after which the load balancer is assumed to have stopped sending.
+constexpr Duration quietPeriod = std::chrono::seconds(1);
 
 } // namespace
 
 FleetSync::FleetSync(CoreContext &context)
     : m_context(context)
-    , m_state(context.charts.node.initial())
+    , m_state(context.stateMachines.node.initial())
     , m_startedAt(context.now)
 {
 }
@@ -32,8 +33,8 @@
 FleetSync::Changes FleetSync::takeChanges()
 {
     const std::uint64_t count = m_context.membership.changeCount();
-    m_changes.members = count != m_seenMemberChanges;
-    m_seenMemberChanges = count;
+    m_changes.members = count != m_handledMemberChanges;
+    m_handledMemberChanges = count;
     return std::exchange(m_changes, {});
 }
 
@@ -51,7 +52,7 @@
     const bool isOtherZone = ZoneId(message.zone) != m_context.options.zone;
     const std::uint64_t digest
         = hash64("view", membership.zoneDigest(m_context.options.zone, m_context.now));
-    if (isOtherZone && message.knownDigest != digest)
+    if (isOtherZone && message.counterpartZoneDigest != digest)
         m_context.send(from, FleetMessage(membership.ownZoneView()));
 }
 
@@ -63,7 +64,7 @@
 void FleetSync::requestDocuments(const NodeId &from)
 {
     TimePoint &at = m_requestedAt[from];
-    if (at != TimePoint {} && m_context.now - at < requestPeriod)
+    if (at != TimePoint {} && m_context.now - at < minDocumentsRequestInterval)
         return;
     at = m_context.now;
     DocumentsRequest request;
@@ -79,17 +80,17 @@
     std::size_t bytes = 0;
     for (const auto &entry : m_context.documents.texts()) {
         const DocumentText &document = entry.second;
-        const auto known
-            = std::find_if(message.have.begin(), message.have.end(),
-                           [&](const DocumentHead &head) { return head.name == document.name; });
+        const auto known = std::find_if(
+            message.have.begin(), message.have.end(),
+            [&](const DocumentVersionEntry &head) { return head.name == document.name; });
         if (known != message.have.end() && known->version >= document.version)
             continue;
         bytes += document.text.size();
-        if (!reply.documents.empty() && bytes > replyLimit)
+        if (!reply.documents.empty() && bytes > maxReplyBytes)
             break;
         reply.documents.push_back({document.name, document.version, document.text});
     }
-    // Also an empty one: it tells a node that starts that it lacks nothing.
+    // An empty reply is sent too: it tells a starting node that its documents are complete.
     m_context.send(from, FleetMessage(std::move(reply)));
 
     const VmList &list = m_context.membership.vmList();
@@ -158,7 +159,7 @@
     m_changes.vmList = true;
 }
 
-void FleetSync::onPlatformReach(bool isReachable)
+void FleetSync::onPlatformReachability(bool isReachable)
 {
     if (m_isPlatformReachable == isReachable)
         return;
@@ -171,11 +172,11 @@
     if (m_state == NodeState::Leaving || m_state == NodeState::Stopped)
         return;
     m_context.audit(AuditKind::NodeState, who, m_context.options.node.str(),
-                    m_context.charts.node.name(m_state), "leaving");
+                    m_context.stateMachines.node.name(m_state), "leaving");
     m_leavingSince = m_context.now;
-    step(NodeSign::LeaveOrdered);
+    step(NodeSignal::LeaveOrdered);
     m_context.log(LogEventId::NodeLeaving, "by " + who);
-    m_context.act(Readiness {false});
+    m_context.emit(Readiness {false});
     for (const auto &[node, member] : m_context.membership.members())
         m_context.send(node, FleetMessage(Goodbye {++m_sequence}));
 }
@@ -185,28 +186,28 @@
     if (m_state != NodeState::Leaving)
         return;
     m_context.audit(AuditKind::NodeState, who, m_context.options.node.str(), "leaving", "joining");
-    step(NodeSign::ReturnOrdered);
+    step(NodeSignal::ReturnOrdered);
     checkReady();
     announce();
 }
 
-void FleetSync::onWoke()
+void FleetSync::onProcessResumed()
 {
-    m_context.membership.onWoke(m_context.now);
-    m_wokeAt = m_context.now;
+    m_context.membership.onProcessResumed(m_context.now);
+    m_resumedAt = m_context.now;
 }
 
-void FleetSync::tick(bool takesKeys)
+void FleetSync::tick(bool acceptsNewKeys)
 {
-    m_takesKeys = takesKeys;
+    m_acceptsNewKeys = acceptsNewKeys;
     for (const Member &silent : m_context.membership.tick(m_context.now))
-        m_context.act(ProbeNode {silent.node, silent.endpoint, silent.incarnation});
+        m_context.emit(ProbeNode {silent.node, silent.endpoint, silent.incarnation});
     checkReady();
     chooseReaders();
     for (const Member &member : m_context.membership.dueHeartbeats(m_context.now))
         sendHeartbeat(member);
     pushZoneView();
-    for (LogRecord &record : m_context.membership.takeLog())
+    for (LogRecord &record : m_context.membership.takeLogRecords())
         m_context.log(record.id, std::move(record.detail));
 }
 
@@ -215,29 +216,30 @@
     if (m_state != NodeState::Leaving)
         return;
     const TimePoint now = m_context.now;
-    // Requests that came during a pause are still unread in the sockets when the process wakes:
-    // were the quiet counted from before the pause, it would end with them and cut them off.
-    const TimePoint quietSince = std::max(lastArrival, m_wokeAt);
-    const bool isQuiet = now - quietSince >= quietTime && now - m_leavingSince >= balancerDelay;
+    // Requests that arrived during a pause of the process are still unread in the sockets when it
+    // resumes. If the quiet period included the pause, the process would exit and drop them.
+    const TimePoint quietSince = std::max(lastArrival, m_resumedAt);
+    const bool isQuiet
+        = now - quietSince >= quietPeriod && now - m_leavingSince >= balancerNoticeDelay;
     if (requests == 0 && isQuiet) {
-        step(NodeSign::Emptied);
+        step(NodeSignal::Emptied);
         m_context.log(LogEventId::NodeStopped, "");
-        m_context.act(Stopped {});
+        m_context.emit(Stopped {});
         return;
     }
     if (now - m_leavingSince < m_context.options.stopLimit)
         return;
-    step(NodeSign::LimitReached);
+    step(NodeSignal::LimitReached);
     m_context.log(LogEventId::StopLimitReached,
                   std::to_string(requests) + " requests were running");
-    m_context.act(Stopped {});
+    m_context.emit(Stopped {});
 }
 
 void FleetSync::fillStatus(NodeStatus &status) const
 {
     status.node = m_context.options.node;
     status.zone = m_context.options.zone;
-    status.state = m_context.charts.node.name(m_state);
+    status.state = m_context.stateMachines.node.name(m_state);
     status.incarnation = m_context.options.incarnation;
     status.isReader = m_isReader;
     status.vmListRevision = m_context.membership.vmList().revision;
@@ -247,21 +249,22 @@
         MemberStatus entry;
         entry.node = node;
         entry.zone = member.zone;
-        entry.state = m_context.charts.member.name(member.state);
+        entry.state = m_context.stateMachines.member.name(member.state);
         entry.incarnation = member.incarnation;
-        entry.silentSeconds = member.wasHeard ? toSeconds(m_context.now - member.heardAt) : -1;
+        entry.silentSeconds
+            = member.hasDirectContact ? toSeconds(m_context.now - member.lastMessageAt) : -1;
         status.members.push_back(std::move(entry));
     }
 }
 
-void FleetSync::step(NodeSign sign)
+void FleetSync::step(NodeSignal signal)
 {
-    if (!m_context.charts.node.step(m_state, sign))
+    if (!m_context.stateMachines.node.step(m_state, signal))
         return;
     m_context.membership.setSelfState(memberState());
 }
 
-/// What other nodes are told of this one.
+/// Returns this node's state as reported to other nodes.
 MemberState FleetSync::memberState() const
 {
     if (m_state == NodeState::Ready)
@@ -269,9 +272,10 @@
     return m_state == NodeState::Joining ? MemberState::Joining : MemberState::Leaving;
 }
 
-/// A node that starts with no memory takes callers only after a ready node has told it which
-/// documents are in force: the platform may be stale, and would take it back behind the rest of the
-/// fleet. When no such node answers, the platform's word is the best there is.
+/// Makes the node ready once it may rely on its documents. A starting node has no state,
+/// and the platform may be stale, so documents from the platform alone could be older than those of
+/// the rest of the fleet. The node therefore waits until its documents were compared with those of
+/// a ready node. If no ready node responds within readinessWait, it uses the platform's documents.
 void FleetSync::checkReady()
 {
     if (m_state != NodeState::Joining || m_context.documents.digest() == 0)
@@ -279,18 +283,20 @@
     const Duration waited = m_context.now - m_startedAt;
     if (!m_isSynchronised && waited < m_context.options.readinessWait)
         return;
-    // Purchases that came before the nodes agreed on witnesses would be refused as perhaps run. In
-    // a fleet that can't agree, as in a zone that is cut off, the rest is served without them.
-    if (!m_takesKeys && waited < 3 * m_context.options.readinessWait)
+    // Requests with idempotency keys that arrive before the nodes agree on witnesses would be
+    // refused as "may have run". A fleet that cannot agree, such as a partitioned zone, still
+    // serves all other requests after three times readinessWait.
+    if (!m_acceptsNewKeys && waited < 3 * m_context.options.readinessWait)
         return;
-    step(NodeSign::DocumentsKnown);
+    step(NodeSignal::DocumentsKnown);
     m_context.log(LogEventId::NodeReady, "");
-    m_context.act(Readiness {true});
+    m_context.emit(Readiness {true});
     announce();
 }
 
-/// The highest by rendezvous hash among the zone's nodes that are heard watch the platform, so that
-/// calls grow with zones and not with nodes.
+/// Selects the readers of this zone: the nodes with the highest rendezvous hash among those that
+/// send heartbeats watch the platform. The platform's load thus grows with the number of zones, not
+/// of nodes.
 void FleetSync::chooseReaders()
 {
     std::vector<NodeId> candidates;
@@ -312,7 +318,7 @@
         return;
     m_isReader = isReader;
     m_context.log(LogEventId::ReaderRole, isReader ? "begins" : "ceases");
-    m_context.act(WatchPlatform {isReader});
+    m_context.emit(WatchPlatform {isReader});
 }
 
 void FleetSync::sendHeartbeat(const Member &member)
@@ -327,21 +333,22 @@
     heartbeat.address = m_context.options.endpoint.address;
     heartbeat.port = m_context.options.endpoint.port;
     heartbeat.zoneDigest = membership.zoneDigest(m_context.options.zone, m_context.now);
-    heartbeat.knownDigest = hash64("view", membership.zoneDigest(member.zone, m_context.now));
+    heartbeat.counterpartZoneDigest
+        = hash64("view", membership.zoneDigest(member.zone, m_context.now));
     m_context.send(member.node, FleetMessage(std::move(heartbeat)));
 }
 
 void FleetSync::announce()
 {
     for (const auto &[node, member] : m_context.membership.members()) {
-        const bool isNear = member.zone == m_context.options.zone;
-        const bool isHeard = member.wasHeard && member.state != MemberState::Gone;
-        if (isNear || isHeard)
+        const bool isOwnZone = member.zone == m_context.options.zone;
+        const bool isInContact = member.hasDirectContact && member.state != MemberState::Gone;
+        if (isOwnZone || isInContact)
             sendHeartbeat(member);
     }
 }
 
-/// Other zones learn at once when a node of this one comes or goes.
+/// Sends this zone's view to other zones as soon as a node of this zone joins or leaves.
 void FleetSync::pushZoneView()
 {
     const Membership &membership = m_context.membership;
@@ -351,8 +358,8 @@
     m_pushedDigest = digest;
     const ZoneView view = membership.ownZoneView();
     for (const auto &[node, member] : membership.members()) {
-        const bool isPartner = member.zone != m_context.options.zone && member.wasHeard
-            && m_context.now - member.heardAt < std::chrono::seconds(2);
+        const bool isPartner = member.zone != m_context.options.zone && member.hasDirectContact
+            && m_context.now - member.lastMessageAt < std::chrono::seconds(2);
         if (isPartner)
             m_context.send(node, FleetMessage(view));
     }
