--- a/lib/Balancer/RequestProcessor.cpp
+++ b/lib/Balancer/RequestProcessor.cpp
@@ -120,7 +120,7 @@
                                                         const RequestArrived &event)
 {
     if (m_isRejectingNewRequests)
-        return Refusal {503, "leaving", "the router is shutting down", leavingRetryAfter};
+        return Refusal {503, "leaving", "the router stops", leavingRetryAfter};
     request.routeTable = m_context.routeTable;
     if (!request.routeTable)
         return Refusal {503, "starting", "the router has no catalog yet", startingRetryAfter};
@@ -137,7 +137,7 @@
     }
     request.fingerprint = fingerprintOf(event, request.workspace);
     if (m_crashes.remainingBlockTime(request.fingerprint, m_context.now))
-        return Refusal {502, "crashing-request", "the request crashed the targets that ran it", {}};
+        return Refusal {502, "crashing-request", "the request ended the targets that ran it", {}};
     const std::string *service = selectService(*request.route, event.requestId);
     request.service = service ? request.routeTable->service(*service) : nullptr;
     if (!request.service)
@@ -158,7 +158,7 @@
     const Duration at = m_context.now - request.arrivedAt;
     if (!choice) {
         request.trace.add(at, NoTargetStep {});
-        return Refusal {503, "no-target", "no target can accept the request now",
+        return Refusal {503, "no-target", "no target can take the request now",
                         addRetryJitter(noTargetRetryAfter, m_random)};
     }
     PlacementStep step;
@@ -166,9 +166,8 @@
     std::optional<Refusal> refusal
         = isFirst ? checkAdmission(request, *choice, step) : std::nullopt;
     if (!refusal && !m_targetSelector.reserve(*choice, *request.service, chain)) {
-        refusal
-            = Refusal {503, "target-cold", "the cold targets have reached their request rate limit",
-                       addRetryJitter(noTargetRetryAfter, m_random)};
+        refusal = Refusal {503, "target-cold", "the targets are cold",
+                           addRetryJitter(noTargetRetryAfter, m_random)};
     }
     step.isAccepted = !refusal;
     request.trace.add(at, std::move(step));
@@ -207,10 +206,9 @@
         m_tally.heldBack(request);
     // The queue shrinks by the excess in this time, provided that callers don't retry earlier.
     const auto excess = fromSeconds((choice.waitMs - allowed) / 1000);
-    return Refusal {
-        503, step.isWithinShare ? "full" : "beyond-share",
-        "the expected wait at the targets is too long for the request to be done in time",
-        addRetryJitter(std::max(excess, fullRetryAfter), m_random)};
+    return Refusal {503, step.isWithinShare ? "full" : "beyond-share",
+                    "the targets have more to do than would be done in time",
+                    addRetryJitter(std::max(excess, fullRetryAfter), m_random)};
 }
 
 void RequestProcessor::start(BalancedRequest &request, const TargetChoice &choice)
@@ -388,7 +386,7 @@
     }
     if (request.verdict == Verdict::NotRun) {
         refuse(request,
-               {503, "target-refused", "no target accepted the request",
+               {503, "target-refused", "no target took the request",
                 addRetryJitter(fullRetryAfter, m_random)});
         return;
     }
@@ -462,9 +460,7 @@
             m_context.emit(AbortAttempt {handle, request.attempts});
             endAttempt(request);
         }
-        refuse(
-            request,
-            {502, "stopping", "the router is shutting down before the response is complete", {}});
+        refuse(request, {502, "stopping", "the router stops and can't wait for the answer", {}});
     }
 }
 
--- a/lib/Idempotency/KeyClaims.cpp
+++ b/lib/Idempotency/KeyClaims.cpp
@@ -21,8 +21,7 @@
         claim.quorum = 1;
         if (m_rosterCoordinator.view().isTerminated(claim.witnesses.front(),
                                                     m_rosterCoordinator.view().list().revision))
-            return Refusal {
-                409, "issuer-gone", "the node process that issued the key has terminated", {}};
+            return Refusal {409, "issuer-gone", "the node that issued the key is gone", {}};
         return std::nullopt;
     }
     const RosterChain &chain = m_rosterCoordinator.chain();
@@ -32,10 +31,7 @@
         return Refusal {503, "no-witnesses", "the nodes have not yet agreed on witnesses",
                         defaultRetryAfter};
     if (!roster) {
-        return Refusal {409,
-                        "key-too-old",
-                        "the key was created before the oldest known roster of witnesses",
-                        {}};
+        return Refusal {409, "key-too-old", "the key is older than the witnesses' memory", {}};
     }
     claim.roster = roster->id;
     claim.witnesses = roster->members;
@@ -152,13 +148,11 @@
         // terminated.
         if (m_rosterCoordinator.view().isTerminated(*claim.holder,
                                                     m_rosterCoordinator.view().list().revision))
-            return Refusal {
-                409, "holder-gone", "the node process that held the key has terminated", {}};
+            return Refusal {409, "holder-gone", "the node that took the operation is gone", {}};
         return std::nullopt;
     }
     if (claim.witnesses.size() - claim.no.size() < claim.quorum) {
-        return Refusal {503, "witnesses-abstain",
-                        "too few witnesses can tell whether the key was used before",
+        return Refusal {503, "witnesses-abstain", "too few witnesses know of the key's time",
                         defaultRetryAfter};
     }
     return std::nullopt;
@@ -280,9 +274,7 @@
     if (phase == KeyPhase::Claiming && self().node < from.node)
         return;
     if (state.bodyHash != held.bodyHash) {
-        abandonClaim(state.key,
-                     {422, "key-reused", "the key was already used for a different request", {}},
-                     out);
+        abandonClaim(state.key, {422, "key-reused", "the key names another request", {}}, out);
     } else if (phase == KeyPhase::Finished) {
         const KeyRequestId request = held.request;
         static_cast<void>(release(state.key, out));
--- a/lib/Idempotency/KeyRegistry.cpp
+++ b/lib/Idempotency/KeyRegistry.cpp
@@ -55,12 +55,11 @@
     if (parsedKey.kind == KeyKind::Opaque)
         return std::nullopt;
     if (parsedKey.createdAt + milliseconds(m_options.lifetime) < m_wall)
-        return Refusal {409, "key-expired", "the key is older than the lifetime of keys", {}};
+        return Refusal {409, "key-expired", "the key is older than keys are remembered", {}};
     const auto ahead = parsedKey.createdAt - m_wall;
     if (ahead <= milliseconds(m_options.futureTolerance))
         return std::nullopt;
-    Refusal refusal {
-        409, "key-from-future", "the key's creation time is too far in the future", {}};
+    Refusal refusal {409, "key-from-future", "the key was made in the future", {}};
     refusal.retryAfter = ahead - milliseconds(m_options.futureTolerance);
     // The clock of another node is at most twice maxClockSkew ahead of this one, so no node can
     // have admitted the key.
@@ -93,8 +92,8 @@
     }
     if (m_heldKeys.size() >= m_options.maxKeys) {
         // Evicting an old key instead would let a repeated request run its operation again.
-        refuse(request, key,
-               {503, "too-many-keys", "no capacity for another key", defaultRetryAfter}, out);
+        refuse(request, key, {503, "too-many-keys", "no memory for another key", defaultRetryAfter},
+               out);
         return;
     }
     Held &held = m_heldKeys[key];
@@ -110,8 +109,7 @@
                                const Held &held, KeyOutput &out) const
 {
     if (held.bodyHash != bodyHash) {
-        refuse(request, key,
-               {422, "key-reused", "the key was already used for a different request", {}}, out);
+        refuse(request, key, {422, "key-reused", "the key names another request", {}}, out);
         return;
     }
     if (held.phase == KeyPhase::Finished && held.body) {
@@ -120,8 +118,7 @@
         return;
     }
     if (held.phase == KeyPhase::Finished) {
-        refuse(request, key,
-               {409, "answer-not-kept", "the operation ran, but its response is not stored", {}},
+        refuse(request, key, {409, "answer-not-kept", "the operation ran; its answer is gone", {}},
                out);
         return;
     }
--- a/lib/Net/CallerSession.cpp
+++ b/lib/Net/CallerSession.cpp
@@ -205,13 +205,13 @@
     if (request.version() != 11) {
         // A caller of an older HTTP version doesn't support chunked coding and couldn't distinguish
         // a truncated response from a complete one.
-        sendProblem({505, "http-version", "the router supports only HTTP/1.1", Verdict::NotRun, {}},
+        sendProblem({505, "http-version", "the router speaks HTTP/1.1", Verdict::NotRun, {}},
                     false);
         return;
     }
     const auto coding = request.find(http::field::transfer_encoding);
     if (coding != request.end() && !beast::iequals(coding->value(), "chunked")) {
-        sendProblem({501, "transfer-coding", "the only known transfer coding is chunked",
+        sendProblem({501, "transfer-coding", "chunked is the only transfer coding known",
                      Verdict::NotRun, std::nullopt},
                     false);
         return;
--- a/lib/Net/TrafficThread.cpp
+++ b/lib/Net/TrafficThread.cpp
@@ -234,8 +234,8 @@
 
 Problem TrafficThread::overloadProblem()
 {
-    return {503, overloadProblemType, "the router is too busy to serve the request",
-            Verdict::NotRun, addRetryJitter(overloadRetryAfter, m_random)};
+    return {503, overloadProblemType, "the router has more to do than it can", Verdict::NotRun,
+            addRetryJitter(overloadRetryAfter, m_random)};
 }
 
 void TrafficThread::drain(std::function<void()> done)
--- a/unittests/Net/OverloadTest.cpp
+++ b/unittests/Net/OverloadTest.cpp
@@ -112,8 +112,7 @@
     while (metrics.connectionsOpen < callers.size())
         context().run_one();
     context().poll();
-    const std::string response
-        = callers.back().readUntil("the router is too busy to serve the request");
+    const std::string response = callers.back().readUntil("the router has more to do than it can");
     EXPECT_NE(response.find("503"), std::string::npos) << response;
     EXPECT_NE(response.find("Retry-After"), std::string::npos) << response;
     EXPECT_NE(response.find("X-Request-Id: r1"), std::string::npos) << response;
@@ -138,8 +137,7 @@
         iterations += context().run_one();
     iterations += context().poll();
     EXPECT_LE(iterations, floodSize + floodSize / 4);
-    const std::string response
-        = callers.back().readUntil("the router is too busy to serve the request");
+    const std::string response = callers.back().readUntil("the router has more to do than it can");
     EXPECT_NE(response.find("503"), std::string::npos) << response;
     EXPECT_NE(response.find("Retry-After"), std::string::npos) << response;
 }
